--- /dev/null
+++ b/crates/wire/tests/support/mod.rs
@@ -0,0 +1,371 @@
+//! Messages of every kind, by name.
+
+use std::sync::Arc;
+
+use stallmoor_core::configuration::{ApplyId, Manifest, PartDigest, PartReference};
+use stallmoor_core::control::DirectoryEntry;
+use stallmoor_core::gateway::tenant::{CallerIdentity, MilliRequests};
+use stallmoor_core::gateway::workers::{LoadNews, WorkerId, WorkerNews};
+use stallmoor_core::identity::{EngineName, GroupId, NodeId};
+use stallmoor_core::jobs::command::ItemState;
+use stallmoor_core::jobs::request::{JobsAnswer, JobsRequest};
+use stallmoor_core::jobs::table::{ListedResult, ResultPage};
+use stallmoor_core::membership::{Member, MemberStatus, MembershipMessage, MembershipPayload};
+use stallmoor_core::node::{
+    ConfigurationMessage, CreditMessage, GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody,
+    GroupStatus, NodeCounters, NodeStatus, PeerMessage,
+};
+use stallmoor_core::partition::{
+    CommandOutcome, FinishedItem, ItemVerdict, JobPhase, JobSummary, Query, QueryAnswer, Settlement,
+};
+use stallmoor_core::quota::message::{QuotaNews, QuotaReport, TenantLevel, TenantUse};
+use stallmoor_core::relay::item::{ItemState as MetadataState, MetadataItem, Revision};
+use stallmoor_core::relay::message::{ChangeSet, ChangesAnswer, ChangesRequest};
+use stallmoor_core::replication::{
+    Entry, EntryPayload, GroupMembership, LogIndex, MessageKind, ReplicationMessage, Snapshot, Term,
+};
+use stallmoor_core::routing::LeavingFact;
+use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
+
+use crate::golden_values::{
+    item_result, job_id, job_key, partition_commands, public_submission, session_key, session_record, specification,
+    submission, tenant,
+};
+
+/// A message and its name.
+pub type NamedMessage = (String, PeerMessage);
+
+/// Messages of every kind.
+pub fn all_messages() -> Vec<NamedMessage> {
+    [
+        membership_messages(),
+        replication_messages(),
+        partition_requests(),
+        jobs_requests(),
+        partition_answers(),
+        jobs_answers(),
+        changes_messages(),
+        refusals(),
+        configuration_messages(),
+        other_messages(),
+    ]
+    .concat()
+}
+
+fn named<T>(prefix: &str, values: Vec<(&str, T)>, message: impl Fn(T) -> PeerMessage) -> Vec<NamedMessage> {
+    values.into_iter().map(|(name, value)| (format!("{prefix}/{name}"), message(value))).collect()
+}
+
+fn request(body: GroupRequestBody) -> PeerMessage {
+    PeerMessage::GroupRequest(GroupRequest { id: 1, from: NodeId(2), group: GroupId(3), body })
+}
+
+fn answer(result: Result<GroupAnswerBody, GroupRefusal>) -> PeerMessage {
+    PeerMessage::GroupAnswer(GroupAnswer { id: 1, group: GroupId(3), result })
+}
+
+fn member(id: u64, status: MemberStatus) -> Member {
+    Member {
+        id: NodeId(id),
+        incarnation: 7,
+        status,
+        peer_address: "127.0.0.1:7100".parse().expect("an address"),
+        caller_address: "[::1]:7200".parse().expect("an address"),
+        zone: Arc::from("lapu-c"),
+        stores: true,
+    }
+}
+
+fn membership_messages() -> Vec<NamedMessage> {
+    let payloads = vec![
+        ("ping", MembershipPayload::Ping { target: None }),
+        ("ping-target", MembershipPayload::Ping { target: Some(NodeId(2)) }),
+        ("ack", MembershipPayload::Ack { subject: NodeId(3) }),
+        ("ping-request", MembershipPayload::PingRequest { target: NodeId(4) }),
+        ("sync-request", MembershipPayload::SyncRequest),
+        ("sync-answer", MembershipPayload::SyncAnswer),
+    ];
+    let statuses = [MemberStatus::Alive, MemberStatus::Suspect, MemberStatus::Dead, MemberStatus::Left];
+    named("membership", payloads, |payload| {
+        PeerMessage::Membership(MembershipMessage {
+            sender: member(1, MemberStatus::Alive),
+            sequence: 9,
+            configuration_revision: 12,
+            payload,
+            updates: statuses.iter().map(|status| member(5, *status)).collect(),
+        })
+    })
+}
+
+fn replication_messages() -> Vec<NamedMessage> {
+    let membership = GroupMembership { voters: [NodeId(1), NodeId(2)].into(), learners: [NodeId(3)].into() };
+    let payloads = [
+        EntryPayload::Empty,
+        EntryPayload::Command(Arc::from([1, 2, 3].as_slice())),
+        EntryPayload::Membership(membership.clone()),
+    ];
+    let entry = |(place, payload)| Entry { term: Term(4), index: LogIndex(place), payload };
+    let append = |entries| MessageKind::Append {
+        previous_index: LogIndex(7),
+        previous_term: Term(3),
+        commit: LogIndex(6),
+        sent_at: Timestamp::from_millis(17),
+        entries,
+    };
+    let append_answer =
+        |accepted, echo: Option<Timestamp>| MessageKind::AppendAnswer { accepted, index: LogIndex(10), echo };
+    let state = Arc::from([9; 40].as_slice());
+    let snapshot = Snapshot { index: LogIndex(5), term: Term(2), membership, state };
+    let vote = |transfer| MessageKind::Vote { last_index: LogIndex(3), last_term: Term(4), transfer };
+    let kinds = vec![
+        ("pre-vote", MessageKind::PreVote { last_index: LogIndex(1), last_term: Term(2) }),
+        ("pre-vote-answer", MessageKind::PreVoteAnswer { granted: true }),
+        ("vote", vote(false)),
+        ("vote-transfer", vote(true)),
+        ("vote-answer", MessageKind::VoteAnswer { granted: false }),
+        ("heartbeat", append(Vec::new())),
+        ("append", append((8..).zip(payloads).map(entry).collect())),
+        ("append-answer", append_answer(true, Some(Timestamp::from_millis(17)))),
+        ("append-refused", append_answer(false, None)),
+        ("install-snapshot", MessageKind::InstallSnapshot(snapshot)),
+        ("timeout-now", MessageKind::TimeoutNow),
+    ];
+    named("replication", kinds, |kind| {
+        let (group, from, to, term) = (GroupId(2), NodeId(1), NodeId(2), Term(4));
+        PeerMessage::Replication(ReplicationMessage { group, from, to, term, kind })
+    })
+}
+
+fn partition_requests() -> Vec<NamedMessage> {
+    let queries = vec![
+        ("job-status", Query::JobStatus { job: job_id(1) }),
+        ("job-results", Query::JobResults { job: job_id(1), first: 2, limit: 300 }),
+        ("job-list", Query::JobList { tenant: Arc::from("tenant-a"), limit: 20 }),
+        ("session", Query::Session { session: session_key() }),
+    ];
+    let mut messages = named("command", partition_commands(), |command| request(GroupRequestBody::Command(command)));
+    messages.extend(named("query", queries, |query| request(GroupRequestBody::Query(query))));
+    messages
+}
+
+fn loads() -> LoadNews {
+    let news = |worker: &str, told| WorkerNews {
+        worker: WorkerId(Arc::from(worker)),
+        requests: 12,
+        told,
+        failing: 2,
+        batch: 4,
+    };
+    let workers = vec![news("worker-a", Some(300)), news("worker-b", None)];
+    LoadNews { workers, placed_per_s: 450, tellers: 21, nodes: 20, age: Millis(65) }
+}
+
+fn jobs_requests() -> Vec<NamedMessage> {
+    let tenant_use = TenantUse {
+        tenant: tenant(),
+        spent: 9_000,
+        latest: 30,
+        asked_per_s: MilliRequests(31_500),
+        told_per_s: MilliRequests(-1),
+    };
+    let read = |caller| JobsRequest::Read { job: job_key("job-a"), first: 3, wait: Millis(1_500), caller };
+    let report = QuotaReport { machine: Arc::from("machine-a"), tenants: vec![tenant_use] };
+    let (job, item) = (job_key("job-a"), Arc::from("item-0"));
+    let values = vec![
+        ("submit", JobsRequest::Submit(submission("job-a"))),
+        ("submit-public", JobsRequest::Submit(public_submission("job-a"))),
+        ("read", read(CallerIdentity::Tenant(tenant()))),
+        ("read-unchecked", read(CallerIdentity::Unchecked)),
+        ("body", JobsRequest::Body { job: job.clone(), item, caller: CallerIdentity::Public }),
+        ("end", JobsRequest::End { job, caller: CallerIdentity::Tenant(tenant()) }),
+        ("greet", JobsRequest::Greet),
+        ("share-load", JobsRequest::ShareLoad(loads())),
+        ("gather-load", JobsRequest::GatherLoad(loads())),
+        ("share-quota", JobsRequest::ShareQuota(report)),
+    ];
+    named("jobs", values, |value| request(GroupRequestBody::Jobs(value)))
+}
+
+fn summary(phase: JobPhase, ended_at: Option<UnixMillis>) -> JobSummary {
+    JobSummary {
+        specification: specification("key-1"),
+        phase,
+        received: 2,
+        completed: 1,
+        rejected: 1,
+        opened_at: UnixMillis(1_700_000_000_100),
+        ended_at,
+    }
+}
+
+fn partition_answers() -> Vec<NamedMessage> {
+    let open = |phase| CommandOutcome::JobOpen { received: 3, phase };
+    let outcomes = vec![
+        ("uploading", open(JobPhase::Uploading)),
+        ("accepted", open(JobPhase::Accepted)),
+        ("cancelled", open(JobPhase::Cancelled)),
+        ("job-conflict", CommandOutcome::JobConflict),
+        ("unknown-job", CommandOutcome::UnknownJob),
+        ("job-cancelled", CommandOutcome::JobCancelled),
+        ("items-missing", CommandOutcome::ItemsMissing { received: 200 }),
+        ("items-completed", CommandOutcome::ItemsCompleted { dropped: 1 }),
+        ("marked", CommandOutcome::Marked),
+        ("already-marked", CommandOutcome::AlreadyMarked { settlement: None }),
+        ("already-settled", CommandOutcome::AlreadyMarked { settlement: Some(Settlement::Unknown) }),
+        ("mark-conflict", CommandOutcome::MarkConflict),
+        ("settled", CommandOutcome::Settled),
+        ("session", CommandOutcome::Session(session_record())),
+        ("forgotten", CommandOutcome::Forgotten),
+    ];
+    let finished = |item, verdict| FinishedItem { item, label: Arc::from("first"), result: item_result(verdict) };
+    let results = vec![finished(0, ItemVerdict::Completed), finished(1, ItemVerdict::Rejected(Arc::from("too long")))];
+    let ended = summary(JobPhase::Cancelled, Some(UnixMillis(1_700_000_000_250)));
+    let answers = vec![
+        ("unknown-job", QueryAnswer::UnknownJob),
+        ("job", QueryAnswer::Job(summary(JobPhase::Accepted, None))),
+        ("results", QueryAnswer::Results { results, next: Some(300) }),
+        ("results-end", QueryAnswer::Results { results: Vec::new(), next: None }),
+        ("jobs", QueryAnswer::Jobs(vec![(job_id(1), ended)])),
+        ("session", QueryAnswer::Session(Some(session_record()))),
+        ("no-session", QueryAnswer::Session(None)),
+    ];
+    let mut messages = named("outcome", outcomes, |outcome| answer(Ok(GroupAnswerBody::Outcome(outcome))));
+    messages.extend(named("query-answer", answers, |value| answer(Ok(GroupAnswerBody::Answer(value)))));
+    messages
+}
+
+fn jobs_answers() -> Vec<NamedMessage> {
+    let result = |item, state, text: &str| ListedResult { item, id: Arc::from("item-0"), state, text: Arc::from(text) };
+    let results = vec![result(1, ItemState::Completed, "an answer"), result(0, ItemState::GivenUp, "")];
+    let level = TenantLevel { tenant: tenant(), level: MilliRequests(-2_500), asked_per_s: MilliRequests(31_500) };
+    let values = vec![
+        ("accepted", JobsAnswer::Accepted),
+        ("over-quota", JobsAnswer::OverQuota { waiting: 1_000_000 }),
+        ("no-room", JobsAnswer::NoRoom),
+        ("key-taken", JobsAnswer::KeyTaken),
+        ("unknown-job", JobsAnswer::UnknownJob),
+        ("page", JobsAnswer::Page(ResultPage { total: 300, results, is_over: false })),
+        ("page-over", JobsAnswer::Page(ResultPage { total: 0, results: Vec::new(), is_over: true })),
+        ("body", JobsAnswer::Body(Arc::from(b"a body".as_slice()))),
+        ("unknown-item", JobsAnswer::UnknownItem),
+        ("ended", JobsAnswer::Ended),
+        ("loads", JobsAnswer::Loads(loads())),
+        ("quota", JobsAnswer::Quota(QuotaNews { tenants: vec![level], gateways: 20 })),
+        ("unsure", JobsAnswer::Unsure),
+    ];
+    named("jobs-answer", values, |value| answer(Ok(GroupAnswerBody::Jobs(value))))
+}
+
+fn changes_messages() -> Vec<NamedMessage> {
+    let item = |key: &str, state, revision| MetadataItem { key: Arc::from(key), state, revision: Revision(revision) };
+    let items = vec![
+        item("present", MetadataState::Present(Arc::from(b"a value".as_slice())), 300),
+        item("removed", MetadataState::Removed, 301),
+        item("lapsed", MetadataState::Lapsed, 0),
+    ];
+    let changes = |base| ChangesAnswer {
+        changes: ChangeSet { base, at: Revision(301), items: items.clone() },
+        age: Millis(40),
+        away: Millis(70_000),
+        held: Millis(900),
+    };
+    let asked = ChangesRequest { since: Revision(299), hold: Millis(1_000) };
+    let answers = vec![("since", changes(Some(Revision(299)))), ("all", changes(None))];
+    let mut messages = named("changes", vec![("ask", asked)], |value| request(GroupRequestBody::Changes(value)));
+    messages.extend(named("changes-answer", answers, |value| answer(Ok(GroupAnswerBody::Changes(value)))));
+    messages
+}
+
+fn refusals() -> Vec<NamedMessage> {
+    let values = vec![
+        ("busy", GroupRefusal::Busy),
+        ("other-leader", GroupRefusal::NotLeader { term: Term(3), leader: Some(NodeId(4)) }),
+        ("no-leader", GroupRefusal::NotLeader { term: Term(3), leader: None }),
+    ];
+    named("refusal", values, |refusal| answer(Err(refusal)))
+}
+
+fn configuration_messages() -> Vec<NamedMessage> {
+    let from = NodeId(6);
+    let manifest = Manifest {
+        revision: 3,
+        parts: vec![PartReference { name: "fleet.toml".to_owned(), digest: PartDigest(5) }],
+        applies: vec![(ApplyId(8), 3)],
+    };
+    let messages = vec![
+        ("offer", ConfigurationMessage::Offer { from, revision: 3 }),
+        ("manifest-request", ConfigurationMessage::ManifestRequest { from }),
+        ("manifest-answer", ConfigurationMessage::ManifestAnswer { from, manifest }),
+        ("parts-request", ConfigurationMessage::PartsRequest { from, digests: vec![PartDigest(5), PartDigest(6)] }),
+        ("part-answer", ConfigurationMessage::PartAnswer { digest: PartDigest(5), content: Arc::from("[fleet]") }),
+    ];
+    named("configuration", messages, PeerMessage::Configuration)
+}
+
+fn status() -> NodeStatus {
+    let group = GroupStatus {
+        group: 3,
+        leads: true,
+        term: 4,
+        commit: 300,
+        caught_up: true,
+        voters: vec!["node-1".to_owned(), "node-2".to_owned()],
+        learners: vec!["node-3".to_owned()],
+    };
+    NodeStatus {
+        node: "node-1".to_owned(),
+        zone: "zone-a".to_owned(),
+        caller_address: "127.0.0.1:7200".to_owned(),
+        stores: true,
+        ready: true,
+        stopping: false,
+        configuration_revision: 7,
+        configuration_digest: "0123456789abcdef".to_owned(),
+        members_present: 5,
+        online_requests: 6,
+        batch_streams: 8,
+        groups: vec![group],
+        counters: counters(),
+    }
+}
+
+fn counters() -> NodeCounters {
+    NodeCounters {
+        online_admitted: 101,
+        online_answered: 102,
+        online_refused: 103,
+        retries: 104,
+        pieces_dropped: 105,
+        batch_started: 106,
+        batch_completed: 107,
+        batch_results_dropped: 108,
+        batch_paused: 109,
+        messages_refused: 110,
+        key_value_failures: 111,
+    }
+}
+
+fn other_messages() -> Vec<NamedMessage> {
+    let engine = EngineName::new("logger-01");
+    let entry = |leader| DirectoryEntry {
+        group: GroupId(1),
+        term: Term(2),
+        membership_index: LogIndex(3),
+        members: vec![NodeId(4), NodeId(5)],
+        leader,
+    };
+    let (from, entries) = (NodeId(1), vec![entry(None), entry(Some(NodeId(5)))]);
+    let notice = CreditMessage::OnlineNotice { engine: engine.clone(), from, in_flight: 2 };
+    let grant = CreditMessage::Grant { engine: engine.clone(), limit: 4, lifetime: Millis(1_500) };
+    let messages = vec![
+        ("online-notice", PeerMessage::Credit(notice)),
+        ("ask", PeerMessage::Credit(CreditMessage::Ask { engine: engine.clone(), from, want: 5 })),
+        ("grant", PeerMessage::Credit(grant)),
+        ("engines-leaving", PeerMessage::EnginesLeaving(vec![LeavingFact { engine, incarnation: 2 }])),
+        ("directory-request", PeerMessage::DirectoryRequest { from }),
+        ("directory-answer", PeerMessage::DirectoryAnswer { group_count: 8, entries }),
+        ("status-request", PeerMessage::StatusRequest { from, id: 5 }),
+        ("status-answer", PeerMessage::StatusAnswer { id: 5, status: status() }),
+    ];
+    named("control", messages, |message| message)
+}
