--- /dev/null
+++ b/crates/gateway/tests/golden.rs
@@ -0,0 +1,125 @@
+//! What gateways and storing nodes exchange and keep in the metadata store, against golden files.
+
+#[path = "../../core/tests/support/golden.rs"]
+mod golden;
+
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use golden::{Row, check_rows, from_hex, to_hex};
+use stallmoor_core::identity::NodeId;
+use stallmoor_core::jobs::directory::StorageRecord;
+use stallmoor_core::jobs::members::EmptyingState;
+use stallmoor_core::jobs::pair::{PairRecord, PairState};
+use stallmoor_core::node::PeerMessage;
+use stallmoor_core::relay::item::{ItemState, MetadataItem, Revision};
+use stallmoor_core::relay::outage::RecordGrace;
+use stallmoor_core::replication::{GroupMembership, LogIndex};
+use stallmoor_core::time::Millis;
+use stallmoor_gateway::clock::NodeClock;
+use stallmoor_gateway::fleet_view::FleetView;
+use stallmoor_gateway::frames::{read_message, write_frame};
+use stallmoor_gateway::metadata::{BoxFuture, FleetUpdate, ItemsAt, MetadataStore, PutOutcome, ReadFailure};
+use stallmoor_gateway::registration::{PAIR_KEY, found, register};
+use tokio::sync::mpsc;
+
+#[tokio::test]
+async fn frames_between_nodes_are_as_ever() {
+    let message = PeerMessage::StatusRequest { from: NodeId(1), id: 5 };
+    let mut frame = Vec::new();
+    write_frame(&mut frame, &stallmoor_wire::encode(&message)).await.expect("memory takes all");
+    for row in check_rows("frames.txt", &[Row::new("status-request", &to_hex(&frame))]) {
+        let read = read_message(&mut &from_hex(&row.text)[..]).await.expect("a frame");
+        assert_eq!(read, message, "{}", row.name);
+    }
+}
+
+/// A store that keeps what is put.
+#[derive(Default)]
+struct Puts(Mutex<Vec<Row>>);
+
+impl Puts {
+    fn rows(&self) -> Vec<Row> {
+        self.0.lock().expect("not poisoned").clone()
+    }
+}
+
+impl MetadataStore for Puts {
+    fn put(&self, key: String, value: Vec<u8>, _expected: Revision) -> BoxFuture<'_, PutOutcome> {
+        let row = Row::new(&key, &String::from_utf8(value).expect("text"));
+        self.0.lock().expect("not poisoned").push(row);
+        Box::pin(async { PutOutcome::Written(Revision(1)) })
+    }
+
+    fn get(&self, _key: String) -> BoxFuture<'_, Option<MetadataItem>> {
+        Box::pin(async { None })
+    }
+
+    fn list(&self) -> BoxFuture<'_, Result<ItemsAt, ReadFailure>> {
+        Box::pin(async { Err(ReadFailure::TimedOut) })
+    }
+
+    fn changes(&self, _since: Revision, _wait: Millis) -> BoxFuture<'_, Result<ItemsAt, ReadFailure>> {
+        Box::pin(async { Err(ReadFailure::TimedOut) })
+    }
+
+    fn interpret(&self, _item: &MetadataItem, _grace: &RecordGrace) -> Option<FleetUpdate> {
+        None
+    }
+
+    fn report_emptying(&self, _machine: Arc<str>, _state: EmptyingState) -> BoxFuture<'_, bool> {
+        Box::pin(async { true })
+    }
+}
+
+fn storage_record(node: u64) -> StorageRecord {
+    StorageRecord {
+        name: Arc::from(format!("storage-{node}")),
+        node: NodeId(node),
+        address: SocketAddr::from(([192, 0, 2, node as u8], 7100)),
+        zone: Arc::from(format!("zone-{node}")),
+    }
+}
+
+/// Three storing nodes register, and the first of them founds the group.
+async fn register_and_found() -> Vec<Row> {
+    let store = Arc::new(Puts::default());
+    let view = Arc::new(FleetView::new(NodeClock::start(), Arc::from("zone-1"), 1));
+    for record in (1..=3).map(storage_record) {
+        register(store.clone(), record.clone()).await;
+        view.storage().upsert(record);
+    }
+    view.apply(&FleetUpdate::Listed);
+    let (founders, _told) = mpsc::unbounded_channel();
+    let founding = found(view, store.clone(), NodeId(1), 1, founders);
+    // The founder waits until the view tells what it wrote, which this one never does.
+    assert!(tokio::time::timeout(Duration::from_millis(100), founding).await.is_err());
+    store.rows()
+}
+
+fn pair_row() -> Row {
+    let voters = [NodeId(1), NodeId(2)].into();
+    let record = PairRecord { index: LogIndex(12), voters, state: PairState::Survived(NodeId(2)) };
+    Row::new(PAIR_KEY, &serde_json::to_string(&record).expect("it can be written"))
+}
+
+#[tokio::test(start_paused = true)]
+async fn keys_and_records_of_the_metadata_store_are_as_ever() {
+    let mut today = register_and_found().await;
+    today.push(pair_row());
+    let stored = check_rows("metadata-store.txt", &today);
+
+    let view = Arc::new(FleetView::new(NodeClock::start(), Arc::from("zone-1"), 1));
+    for row in &stored {
+        let state = ItemState::Present(Arc::from(row.text.as_bytes()));
+        let item = MetadataItem { key: Arc::from(&*row.name), state, revision: Revision(1) };
+        view.apply(&FleetUpdate::Item(item));
+    }
+    let records: Vec<StorageRecord> = view.storage().records().cloned().collect();
+    assert_eq!(records, (1..=3).map(storage_record).collect::<Vec<_>>());
+
+    let (founders, mut told) = mpsc::unbounded_channel();
+    found(view, Arc::new(Puts::default()), NodeId(1), 1, founders).await;
+    assert_eq!(told.recv().await, Some(GroupMembership::of_voters((1..=3).map(NodeId))));
+}
