--- /dev/null
+++ b/crates/gateway/tests/golden_measures.rs
@@ -0,0 +1,59 @@
+//! The figures as they are served today: names, types, labels and the label values of closed lists.
+
+#[path = "../../core/tests/golden/mod.rs"]
+mod golden;
+
+use stallmoor_core::gateway::attempt::AttemptEnd;
+use stallmoor_core::jobs::dispatch::RunEnd;
+use stallmoor_core::time::Millis;
+use stallmoor_gateway::measures::{self, ALL};
+
+/// Label values that are literals where the figure is recorded; that they are recorded is not tested here.
+const SUBMITTED: [&str; 7] = ["accepted", "over_quota", "no_room", "key_taken", "unknown", "unexpected", "no_leader"];
+const STORE_CALLS: [&str; 2] = ["list", "watch"];
+const REQUEST_ENDS: [&str; 3] = ["whole", "caller gone", "broken off"];
+
+fn record_everything() {
+    for end in REQUEST_ENDS {
+        measures::request_ended("route-a", end, Some(Millis(150)), Millis(400));
+    }
+    let attempts = [
+        AttemptEnd::NotConnected,
+        AttemptEnd::NotRun { other_instance: false },
+        AttemptEnd::NotRun { other_instance: true },
+        AttemptEnd::Failed { status: 500 },
+        AttemptEnd::Broken,
+        AttemptEnd::Silent,
+    ];
+    attempts.into_iter().for_each(|end| measures::attempt_failed(end.name()));
+    let runs =
+        [RunEnd::Completed, RunEnd::Impossible, RunEnd::Failed, RunEnd::BrokenOff, RunEnd::Paused, RunEnd::NotRun];
+    runs.iter().for_each(|end| measures::run_ended(end.name()));
+    SUBMITTED.into_iter().for_each(measures::submitted);
+    STORE_CALLS.into_iter().for_each(measures::store_call);
+    measures::rate_refused();
+    measures::view_age(Millis(1_500));
+    measures::configuration_in_force(7);
+    measures::leads(true);
+    measures::open_items(3);
+    measures::exhausted_tenants(2);
+}
+
+/// The exporter writes families and series in no order of its own.
+fn sorted(text: &str) -> String {
+    let mut lines: Vec<&str> = text.lines().filter(|line| !line.is_empty()).collect();
+    lines.sort_unstable();
+    lines.join("\n") + "\n"
+}
+
+#[test]
+fn the_figures_are_served_as_ever() {
+    measures::start();
+    record_everything();
+    let text = sorted(&measures::render());
+    for measure in ALL {
+        let line = format!("# TYPE {} {}", measure.name, measure.kind);
+        assert!(text.lines().any(|served| served == line), "{line} is not in\n{text}");
+    }
+    golden::compare(env!("CARGO_MANIFEST_DIR"), "measures.txt", &text);
+}
--- /dev/null
+++ b/crates/node/tests/golden_http.rs
@@ -0,0 +1,58 @@
+//! What a node serves on HTTP apart from answers, as it is today: its metrics, and how refusals are answered.
+
+#[path = "../../core/tests/golden/mod.rs"]
+mod golden;
+#[allow(dead_code)]
+mod support;
+
+use std::fmt::Write;
+
+use hyper::Method;
+use support::{Answered, MODEL, TENANT, fleet, unconfigured_fleet};
+
+/// The metrics with values left out.
+fn without_values(text: &str) -> String {
+    let name = |line: &str| match line.strip_prefix('#') {
+        Some(_) => line.to_owned(),
+        None => line.rsplit_once(' ').map_or(line, |(name, _)| name).to_owned(),
+    };
+    text.lines().map(|line| name(line) + "\n").collect()
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn metrics_have_the_names_and_types_that_they_ever_had() {
+    let fleet = fleet(1, 1).await;
+    let served = fleet.client.get(fleet.caller_address(0), "/metrics").await;
+    let kind = served.headers["content-type"].to_str().expect("text");
+    let text = String::from_utf8_lossy(&served.body).into_owned();
+    golden::compare(env!("CARGO_MANIFEST_DIR"), "metrics.txt", &format!("{kind}\n{}", without_values(&text)));
+}
+
+/// Status, the headers that are stallmoor's own or say when to come back, and the body.
+fn describe(told: &mut String, case: &str, answered: &Answered) {
+    writeln!(told, "# {case}\n{}", answered.status.as_u16()).expect("written to a string");
+    for name in ["content-type", "stallmoor-ran", "retry-after"] {
+        writeln!(told, "{name}: {:?}", answered.headers.get(name)).expect("written to a string");
+    }
+    writeln!(told, "{}\n", String::from_utf8_lossy(&answered.body)).expect("written to a string");
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn refusals_are_answered_as_ever() {
+    let (ready, bare) = (fleet(1, 1).await, unconfigured_fleet(1, 0).await);
+    let (to, to_bare) = (ready.caller_address(0), bare.caller_address(0));
+    let body = |model: &str| format!("{{\"model\": \"{model}\", \"prompt\": \"p\"}}");
+    let cases = [
+        ("no JSON", to, Method::POST, "/v1/completions", vec![("stallmoor-tenant", TENANT)], "{".to_owned()),
+        ("unknown path", to, Method::POST, "/v1/nothing", vec![], String::new()),
+        ("unknown model", to, Method::POST, "/v1/completions", vec![("stallmoor-tenant", TENANT)], body("none")),
+        ("unknown tenant", to, Method::POST, "/v1/completions", vec![("stallmoor-tenant", "nobody")], body(MODEL)),
+        ("unknown job", to, Method::GET, "/v1/batches/my-job", vec![], String::new()),
+        ("not configured", to_bare, Method::POST, "/v1/completions", vec![("stallmoor-tenant", TENANT)], body(MODEL)),
+    ];
+    let mut told = String::new();
+    for (case, to, method, path, headers, body) in cases {
+        describe(&mut told, case, &ready.client.send(method, to, path, &headers, body).await);
+    }
+    golden::compare(env!("CARGO_MANIFEST_DIR"), "refusals.txt", &told);
+}
