--- /dev/null
+++ b/crates/gateway/tests/golden_journal.rs
@@ -0,0 +1,76 @@
+//! The structured log as it is written today: each event's line, and the names of all fields.
+
+#[path = "../../core/tests/golden/mod.rs"]
+mod golden;
+
+use std::collections::BTreeSet;
+use std::fmt::Write;
+use std::path::Path;
+use std::sync::Mutex;
+
+use stallmoor_core::log_event::LogEvent;
+use stallmoor_gateway::journal::{Field, TARGET, record};
+
+static LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
+
+struct Gathering;
+
+impl log::Log for Gathering {
+    fn enabled(&self, _metadata: &log::Metadata<'_>) -> bool {
+        true
+    }
+
+    fn log(&self, record: &log::Record<'_>) {
+        if record.target() == TARGET {
+            let line = format!("{:5} {}", record.level(), record.args());
+            LINES.lock().expect("not poisoned").push(line);
+        }
+    }
+
+    fn flush(&self) {}
+}
+
+/// Pins number, name and level of each event as they stand in a line. The writer puts `{"at":..,"level":..,` before.
+#[test]
+fn each_event_is_written_as_ever() {
+    log::set_logger(&Gathering).expect("no other logger is set");
+    log::set_max_level(log::LevelFilter::Trace);
+    for event in LogEvent::ALL {
+        record(*event, &[]);
+    }
+    record(LogEvent::NodeStarted, &[Field::text("b", "t \"q\""), Field::number("a", 7_u64), Field::flag("c", true)]);
+    let lines = LINES.lock().expect("not poisoned").join("\n") + "\n";
+    golden::compare(env!("CARGO_MANIFEST_DIR"), "events.txt", &lines);
+}
+
+/// Every `Field::{text,number,flag}("name"` of this crate's sources, as `kind name`.
+///
+/// Limits: it sees no field whose name is not a literal right behind the parenthesis or on the next line, and it does
+/// not see which event a field belongs to. The test `golden_events` of the adapter runs a fleet for that.
+#[test]
+fn the_names_of_fields_are_as_ever() {
+    let mut found = BTreeSet::new();
+    scan(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut found);
+    let mut text = String::new();
+    for field in found {
+        writeln!(text, "{field}").expect("written to a string");
+    }
+    golden::compare(env!("CARGO_MANIFEST_DIR"), "fields.txt", &text);
+}
+
+fn scan(folder: &Path, found: &mut BTreeSet<String>) {
+    for entry in std::fs::read_dir(folder).expect("a folder") {
+        let path = entry.expect("an entry").path();
+        if path.is_dir() {
+            scan(&path, found);
+            continue;
+        }
+        let source = std::fs::read_to_string(&path).expect("a source");
+        for kind in ["text", "number", "flag"] {
+            for after in source.split(&format!("Field::{kind}(")).skip(1) {
+                let name = after.trim_start().strip_prefix('"').and_then(|rest| rest.split('"').next());
+                found.extend(name.map(|name| format!("{kind} {name}")));
+            }
+        }
+    }
+}
