--- a/crates/cli/src/batch_commands.rs
+++ b/crates/cli/src/batch_commands.rs
@@ -1,6 +1,5 @@
 //! `stallmoor batch submit`, `status`, `results` and `cancel`.
 
-use std::io::Write;
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -13,22 +12,23 @@
 use crate::arguments::{node_of, text, wants_json};
 use crate::client::{Header, NodeClient};
 use crate::outcome::{CommandError, FileSnafu};
+use crate::output::CommandOutput;
 
 /// How often `--wait` looks.
 const WAIT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Runs a batch command.
-pub async fn run(arguments: &ArgMatches) -> Result<(), CommandError> {
+pub async fn run(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     match arguments.subcommand() {
-        Some(("submit", arguments)) => submit(arguments).await,
-        Some(("status", arguments)) => status(arguments).await,
-        Some(("results", arguments)) => results(arguments).await,
-        Some(("cancel", arguments)) => cancel(arguments).await,
+        Some(("submit", arguments)) => submit(arguments, output).await,
+        Some(("status", arguments)) => status(arguments, output).await,
+        Some(("results", arguments)) => results(arguments, output).await,
+        Some(("cancel", arguments)) => cancel(arguments, output).await,
         _ => Ok(()),
     }
 }
 
-async fn submit(arguments: &ArgMatches) -> Result<(), CommandError> {
+async fn submit(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let path = arguments.get_one::<PathBuf>("file").cloned().unwrap_or_default();
     let content = std::fs::read(&path).context(FileSnafu { path })?;
     let client = NodeClient::new(node_of(arguments));
@@ -44,8 +44,7 @@
     if arguments.get_flag("wait") {
         job = wait(&client, &job).await?;
     }
-    print_job(arguments, &job);
-    Ok(())
+    print_job(arguments, &job, output)
 }
 
 async fn wait(client: &NodeClient, job: &Value) -> Result<Value, CommandError> {
@@ -64,55 +63,54 @@
     }
 }
 
-async fn status(arguments: &ArgMatches) -> Result<(), CommandError> {
+async fn status(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let id = text(arguments, "job").unwrap_or_default();
     let job = NodeClient::new(node_of(arguments)).get(&format!("/v1/batches/{id}")).await?;
-    print_job(arguments, &job);
-    Ok(())
+    print_job(arguments, &job, output)
 }
 
-async fn cancel(arguments: &ArgMatches) -> Result<(), CommandError> {
+async fn cancel(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let id = text(arguments, "job").unwrap_or_default();
     let client = NodeClient::new(node_of(arguments));
     let job = client.post(&format!("/v1/batches/{id}/cancel"), &[], Bytes::new()).await?;
-    print_job(arguments, &job);
-    Ok(())
+    print_job(arguments, &job, output)
 }
 
-async fn results(arguments: &ArgMatches) -> Result<(), CommandError> {
+async fn results(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let id = text(arguments, "job").unwrap_or_default();
     let client = NodeClient::new(node_of(arguments));
-    let target = arguments.get_one::<PathBuf>("to").cloned();
-    let mut output: Box<dyn Write> = match &target {
-        Some(path) => Box::new(std::fs::File::create(path).context(FileSnafu { path })?),
-        None => Box::new(std::io::stdout()),
-    };
-    let path = target.unwrap_or_else(|| PathBuf::from("standard output"));
+    match arguments.get_one::<PathBuf>("to") {
+        Some(path) => write_results(&client, id, &mut CommandOutput::file(path)?).await,
+        None => write_results(&client, id, output).await,
+    }
+}
+
+/// Writes the results page by page, as long as somebody reads them.
+async fn write_results(client: &NodeClient, id: &str, output: &mut CommandOutput) -> Result<(), CommandError> {
     let mut first = Some(0);
-    while let Some(from) = first {
+    while let Some(from) = first.filter(|_| output.has_reader()) {
         let page = client.get(&format!("/v1/batches/{id}/results?first={from}")).await?;
         for result in page["results"].as_array().into_iter().flatten() {
-            writeln!(output, "{result}").context(FileSnafu { path: path.clone() })?;
+            output.line(result)?;
         }
         first = page["next"].as_u64();
     }
     Ok(())
 }
 
-fn print_job(arguments: &ArgMatches, job: &Value) {
+fn print_job(arguments: &ArgMatches, job: &Value, output: &mut CommandOutput) -> Result<(), CommandError> {
     if wants_json(arguments) {
-        println!("{job}");
-        return;
+        return output.line(job);
     }
     let counts = &job["request_counts"];
-    println!(
+    output.line(format_args!(
         "{} {}: {} of {} items completed, {} failed",
         id_of(job),
         job["status"].as_str().unwrap_or_default(),
         counts["completed"],
         counts["total"],
         counts["failed"]
-    );
+    ))
 }
 
 fn id_of(job: &Value) -> &str {
--- a/crates/cli/src/configuration_commands.rs
+++ b/crates/cli/src/configuration_commands.rs
@@ -16,6 +16,7 @@
 use crate::arguments::{node_of, wants_json};
 use crate::client::NodeClient;
 use crate::outcome::{CommandError, FileSnafu};
+use crate::output::CommandOutput;
 
 /// How often `apply --wait` looks.
 const WAIT_INTERVAL: Duration = Duration::from_millis(200);
@@ -23,27 +24,26 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Checks a set of files.
-pub fn check(arguments: &ArgMatches) -> Result<(), CommandError> {
+pub fn check(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let files = read_folder(arguments)?;
     let fleet = match check_files(&files) {
         Ok(fleet) => fleet,
         Err(errors) => {
             if wants_json(arguments) {
-                println!("{}", json!({"ok": false, "errors": errors}));
+                output.line(json!({"ok": false, "errors": errors}))?;
             }
             return Err(CommandError::Invalid { errors });
         }
     };
     if wants_json(arguments) {
-        println!("{}", json!({"ok": true, "summary": summary(&fleet)}));
+        output.line(json!({"ok": true, "summary": summary(&fleet)}))
     } else {
-        println!("ok: {}", text_summary(&fleet));
+        output.line(format_args!("ok: {}", text_summary(&fleet)))
     }
-    Ok(())
 }
 
 /// Applies a set of files.
-pub async fn apply(arguments: &ArgMatches) -> Result<(), CommandError> {
+pub async fn apply(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let files = read_folder(arguments)?;
     check_files(&files).map_err(|errors| CommandError::Invalid { errors })?;
     let client = NodeClient::new(node_of(arguments));
@@ -61,13 +61,12 @@
         wait_in_force(&client, revision).await?;
     }
     if wants_json(arguments) {
-        println!("{answer}");
+        output.line(answer)
     } else if answer["changed"] == json!(true) {
-        println!("applied: revision {revision}");
+        output.line(format_args!("applied: revision {revision}"))
     } else {
-        println!("unchanged: revision {revision} is in force");
+        output.line(format_args!("unchanged: revision {revision} is in force"))
     }
-    Ok(())
 }
 
 async fn wait_in_force(client: &NodeClient, revision: u64) -> Result<(), CommandError> {
@@ -97,7 +96,7 @@
 }
 
 /// Compares a set of files with those in force.
-pub async fn diff(arguments: &ArgMatches) -> Result<(), CommandError> {
+pub async fn diff(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let files = read_folder(arguments)?;
     let answer = NodeClient::new(node_of(arguments)).get("/operator/configuration").await?;
     let revision = answer["revision"].as_u64().unwrap_or(0);
@@ -117,20 +116,23 @@
         changes.push(json!({"file": name, "change": "removed"}));
     }
     if wants_json(arguments) {
-        println!("{}", json!({"revision": revision, "changes": changes}));
+        output.line(json!({"revision": revision, "changes": changes}))?;
     } else {
-        print_changes(&changes);
+        print_changes(&changes, output)?;
     }
     if changes.is_empty() { Ok(()) } else { Err(CommandError::Differs { revision }) }
 }
 
-fn print_changes(changes: &[Value]) {
+fn print_changes(changes: &[Value], output: &mut CommandOutput) -> Result<(), CommandError> {
     for change in changes {
-        println!("{} {}", change["change"].as_str().unwrap_or_default(), change["file"].as_str().unwrap_or_default());
+        let kind = change["change"].as_str().unwrap_or_default();
+        let file = change["file"].as_str().unwrap_or_default();
+        output.line(format_args!("{kind} {file}"))?;
         for line in change["lines"].as_array().into_iter().flatten() {
-            println!("  {}", line.as_str().unwrap_or_default());
+            output.line(format_args!("  {}", line.as_str().unwrap_or_default()))?;
         }
     }
+    Ok(())
 }
 
 /// Lines that are in one text and not in the other, in order, marked with `-` and `+`.
--- a/crates/cli/src/fleet_commands.rs
+++ b/crates/cli/src/fleet_commands.rs
@@ -10,29 +10,29 @@
 use crate::client::NodeClient;
 use crate::log_story;
 use crate::outcome::CommandError;
+use crate::output::CommandOutput;
 
 /// Shows every node.
-pub async fn status(arguments: &ArgMatches) -> Result<(), CommandError> {
+pub async fn status(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let value = NodeClient::new(node_of(arguments)).get("/operator/status").await?;
     if wants_json(arguments) {
-        println!("{value}");
-        return Ok(());
+        return output.line(value);
     }
     let status: FleetStatus = serde_json::from_value(value).unwrap_or_default();
-    println!(
+    output.line(format_args!(
         "{:<21} {:<12} {:<21} {:>8} {:>6} {:>5} {:>7} {:>6}",
         "node", "zone", "callers", "revision", "ready", "leads", "online", "batch"
-    );
+    ))?;
     for node in &status.nodes {
-        print_node(node);
+        print_node(node, output)?;
     }
     for silent in &status.silent {
-        println!("{silent:<21} did not answer");
+        output.line(format_args!("{silent:<21} did not answer"))?;
     }
     Ok(())
 }
 
-fn print_node(node: &NodeStatus) {
+fn print_node(node: &NodeStatus, output: &mut CommandOutput) -> Result<(), CommandError> {
     let leads = node.groups.iter().filter(|group| group.leads).count();
     let ready = if node.stopping {
         "stops"
@@ -41,7 +41,7 @@
     } else {
         "no"
     };
-    println!(
+    output.line(format_args!(
         "{:<21} {:<12} {:<21} {:>8} {ready:>6} {leads:>5} {:>7} {:>6}",
         node.node,
         node.zone,
@@ -49,53 +49,54 @@
         node.configuration_revision,
         node.online_requests,
         node.batch_streams
-    );
+    ))
 }
 
 /// Shows the decisions for a request.
-pub async fn explain(arguments: &ArgMatches) -> Result<(), CommandError> {
+pub async fn explain(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let id = text(arguments, "id").unwrap_or_default();
     let logs: Vec<PathBuf> = arguments.get_many::<PathBuf>("log").into_iter().flatten().cloned().collect();
     if !logs.is_empty() {
-        return log_story::print(id, &logs);
+        return log_story::print(id, &logs, output);
     }
     let value = NodeClient::new(node_of(arguments)).get(&format!("/operator/explain/{id}")).await?;
     if wants_json(arguments) {
-        println!("{value}");
-        return Ok(());
+        return output.line(value);
     }
-    println!("{id}");
+    output.line(id)?;
     for step in value["steps"].as_array().into_iter().flatten() {
-        print_step(step);
+        print_step(step, output)?;
     }
     Ok(())
 }
 
-fn print_step(step: &Value) {
+fn print_step(step: &Value, output: &mut CommandOutput) -> Result<(), CommandError> {
     let after = step[0].as_u64().unwrap_or(0);
     match &step[1] {
-        Value::String(name) => println!("{after:>7} ms  {name}"),
+        Value::String(name) => output.line(format_args!("{after:>7} ms  {name}"))?,
         Value::Object(fields) => {
             for (name, detail) in fields {
-                println!("{after:>7} ms  {name}");
-                print_fields(detail);
+                output.line(format_args!("{after:>7} ms  {name}"))?;
+                print_fields(detail, output)?;
             }
         }
         _ => {}
     }
+    Ok(())
 }
 
-fn print_fields(detail: &Value) {
+fn print_fields(detail: &Value, output: &mut CommandOutput) -> Result<(), CommandError> {
     for (field, value) in detail.as_object().into_iter().flatten() {
         match value {
             Value::Array(items) => {
-                println!("            {field}:");
+                output.line(format_args!("            {field}:"))?;
                 for item in items {
-                    println!("              {}", item.as_str().unwrap_or_default());
+                    output.line(format_args!("              {}", item.as_str().unwrap_or_default()))?;
                 }
             }
-            Value::String(text) => println!("            {field}: {text}"),
-            other => println!("            {field}: {other}"),
+            Value::String(text) => output.line(format_args!("            {field}: {text}"))?,
+            other => output.line(format_args!("            {field}: {other}"))?,
         }
     }
+    Ok(())
 }
--- a/crates/cli/src/log_story.rs
+++ b/crates/cli/src/log_story.rs
@@ -7,6 +7,7 @@
 use stallmoor_core::log_event::LogEvent;
 
 use crate::outcome::{CommandError, FileSnafu};
+use crate::output::CommandOutput;
 
 /// Fields that the head of a line tells already.
 const HEAD_FIELDS: [&str; 4] = ["at", "level", "event", "name"];
@@ -25,8 +26,8 @@
 ///
 /// # Errors
 ///
-/// A file can't be read, or no line is about `id`.
-pub fn print(id: &str, files: &[PathBuf]) -> Result<(), CommandError> {
+/// A file can't be read, no line is about `id`, or the lines can't be written.
+pub fn print(id: &str, files: &[PathBuf], output: &mut CommandOutput) -> Result<(), CommandError> {
     let mut lines = Vec::new();
     for file in files {
         let content = std::fs::read(file).context(FileSnafu { path: file.clone() })?;
@@ -39,7 +40,7 @@
     lines.sort_by_key(|line| line.at);
     let first = lines[0].at;
     for line in &lines {
-        println!("{}", describe(line, first));
+        output.line(describe(line, first))?;
     }
     Ok(())
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -9,6 +9,7 @@
 //! | `fleet_commands`, `log_story` | `status`, `explain` |
 //! | `batch_commands` | `batch submit`, `status`, `results`, `cancel` |
 //! | `client` | HTTP to a node |
+//! | `output`, `outcome` | what a command prints, its exit code |
 //! | `logging` | where log lines go |
 
 mod arguments;
@@ -20,6 +21,7 @@
 mod logging;
 mod node_command;
 mod outcome;
+mod output;
 mod serving_commands;
 
 use std::process::ExitCode;
@@ -27,6 +29,7 @@
 use clap::ArgMatches;
 
 use crate::outcome::CommandError;
+use crate::output::CommandOutput;
 
 fn main() -> ExitCode {
     let matches = arguments::command().get_matches();
@@ -38,30 +41,31 @@
     let runtime = match builder.enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("stallmoor: can't start: {error}");
+            output::complain(format_args!("can't start: {error}"));
             return ExitCode::FAILURE;
         }
     };
     match runtime.block_on(run(&matches)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("stallmoor: {error}");
+            output::complain(&error);
             ExitCode::from(error.exit_code())
         }
     }
 }
 
 async fn run(matches: &ArgMatches) -> Result<(), CommandError> {
+    let output = &mut CommandOutput::standard();
     match matches.subcommand() {
-        Some(("node", arguments)) => node_command::run(arguments).await,
+        Some(("node", arguments)) => node_command::run(arguments, output).await,
         Some(("gateway", arguments)) => serving_commands::gateway(arguments).await,
         Some(("storage", arguments)) => serving_commands::storage(arguments).await,
-        Some(("check", arguments)) => configuration_commands::check(arguments),
-        Some(("apply", arguments)) => configuration_commands::apply(arguments).await,
-        Some(("diff", arguments)) => configuration_commands::diff(arguments).await,
-        Some(("status", arguments)) => fleet_commands::status(arguments).await,
-        Some(("explain", arguments)) => fleet_commands::explain(arguments).await,
-        Some(("batch", arguments)) => batch_commands::run(arguments).await,
+        Some(("check", arguments)) => configuration_commands::check(arguments, output),
+        Some(("apply", arguments)) => configuration_commands::apply(arguments, output).await,
+        Some(("diff", arguments)) => configuration_commands::diff(arguments, output).await,
+        Some(("status", arguments)) => fleet_commands::status(arguments, output).await,
+        Some(("explain", arguments)) => fleet_commands::explain(arguments, output).await,
+        Some(("batch", arguments)) => batch_commands::run(arguments, output).await,
         _ => Ok(()),
     }
 }
--- a/crates/cli/src/node_command.rs
+++ b/crates/cli/src/node_command.rs
@@ -12,15 +12,16 @@
 use crate::arguments::text;
 use crate::logging;
 use crate::outcome::{CommandError, FileSnafu, StartSnafu};
+use crate::output::CommandOutput;
 
 /// Runs a node until it is told to stop.
-pub async fn run(arguments: &ArgMatches) -> Result<(), CommandError> {
+pub async fn run(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let settings = read_settings(arguments)?;
     let log_path = settings.log_file.clone().unwrap_or_default();
     logging::set_up(settings.log_level, settings.log_file.as_deref()).context(FileSnafu { path: log_path })?;
     let adopt = arguments.get_flag("adopt-data-folder");
     let mut node = stallmoor_node::start(&settings, adopt).await.context(StartSnafu)?;
-    println!("callers {} peers {}", node.caller_address, node.peer_address);
+    output.line(format_args!("callers {} peers {}", node.caller_address, node.peer_address))?;
     let mut terminate = signal(SignalKind::terminate()).context(FileSnafu { path: PathBuf::new() })?;
     let mut interrupt = signal(SignalKind::interrupt()).context(FileSnafu { path: PathBuf::new() })?;
     tokio::select! {
