--- a/crates/core/src/configuration/fleet.rs
+++ b/crates/core/src/configuration/fleet.rs
@@ -113,9 +113,4 @@
         let model = self.models.get(model)?;
         self.services.get(&model.service)
     }
-
-    /// Engines of a service, in order of name.
-    pub fn engines_of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Engine> {
-        self.engines.values().filter(move |engine| &*engine.service == service)
-    }
 }
--- a/crates/core/src/configuration/reader.rs
+++ b/crates/core/src/configuration/reader.rs
@@ -163,12 +163,6 @@
         self.parse_address(field, &text)
     }
 
-    /// An IP address with port that may be absent.
-    pub fn optional_address(&mut self, field: &str) -> Option<Located<SocketAddr>> {
-        let text = self.optional_text(field)?;
-        self.parse_address(field, &text)
-    }
-
     /// A list of IP addresses with port; absent means empty.
     pub fn addresses(&mut self, field: &str) -> Vec<Located<SocketAddr>> {
         let texts = self.texts(field);
@@ -191,17 +185,18 @@
 
     /// A whole number within `range`; absent means `default`.
     pub fn integer(&mut self, field: &str, range: RangeInclusive<u64>, default: u64) -> u64 {
-        self.optional_integer(field, range).unwrap_or(default)
-    }
-
-    /// A whole number within `range` that must be there.
-    pub fn required_integer(&mut self, field: &str, range: RangeInclusive<u64>) -> Option<u64> {
-        if !self.table.contains_key(field) {
-            self.read.insert(field.to_owned());
-            self.report(field, "missing");
-            return None;
+        let Some(value) = self.take(field) else { return default };
+        let parsed = match value.get_ref() {
+            DeValue::Integer(integer) => u64::from_str_radix(integer.as_str(), integer.radix()).ok(),
+            _ => None,
+        };
+        match parsed {
+            Some(number) if range.contains(&number) => number,
+            _ => {
+                self.report(field, format!("must be a whole number from {} to {}", range.start(), range.end()));
+                default
+            }
         }
-        self.optional_integer(field, range)
     }
 
     /// A number within `range`; absent means `default`.
@@ -274,21 +269,6 @@
         self.table.get(field)
     }
 
-    fn optional_integer(&mut self, field: &str, range: RangeInclusive<u64>) -> Option<u64> {
-        let value = self.take(field)?;
-        let parsed = match value.get_ref() {
-            DeValue::Integer(integer) => u64::from_str_radix(integer.as_str(), integer.radix()).ok(),
-            _ => None,
-        };
-        match parsed {
-            Some(number) if range.contains(&number) => Some(number),
-            _ => {
-                self.report(field, format!("must be a whole number from {} to {}", range.start(), range.end()));
-                None
-            }
-        }
-    }
-
     fn parse_address(&mut self, field: &str, text: &Located<String>) -> Option<Located<SocketAddr>> {
         match text.value.parse() {
             Ok(address) => Some(self.locate(field, address)),
--- a/crates/core/src/routing/engine_table.rs
+++ b/crates/core/src/routing/engine_table.rs
@@ -103,14 +103,6 @@
             _ => self.own_online,
         }
     }
-
-    /// Batch sequences last reported.
-    pub fn reported_batch(&self, now: Timestamp) -> u32 {
-        match &self.report {
-            Some((at, report)) if now.since(*at) < REPORT_LIFETIME => report.batch(),
-            _ => 0,
-        }
-    }
 }
 
 impl EngineTable {
--- a/crates/core/src/routing/load.rs
+++ b/crates/core/src/routing/load.rs
@@ -26,9 +26,4 @@
     pub fn online(&self) -> u32 {
         self.running_online + self.queued_online
     }
-
-    /// Batch sequences that run or wait.
-    pub fn batch(&self) -> u32 {
-        self.running_batch + self.queued_batch
-    }
 }
