--- a/crates/core/src/gateway/configuration.rs
+++ b/crates/core/src/gateway/configuration.rs
@@ -55,8 +55,6 @@
     pub objective: Millis,
     /// The longest pause between events that counts as in time, if the route has one.
     pub gap_target: Option<Millis>,
-    /// Its rank; 0 is the most urgent.
-    pub priority: u32,
     /// Most workers that one request may run on.
     pub max_attempts: u32,
     /// Where its requests go.
--- a/crates/core/src/gateway/tenant.rs
+++ b/crates/core/src/gateway/tenant.rs
@@ -82,8 +82,6 @@
 pub struct Tenant {
     /// Its name.
     pub name: TenantName,
-    /// Its rank, which goes before the route's; 0 is the most urgent.
-    pub priority: Option<u32>,
     /// How much it may ask; `None` for no limit.
     pub limit: Option<RateLimit>,
 }
--- a/crates/core/tests/gateway_rules.rs
+++ b/crates/core/tests/gateway_rules.rs
@@ -67,7 +67,6 @@
         timeout: Millis(5_000),
         objective: Millis(200),
         gap_target: Some(Millis(250)),
-        priority: 0,
         max_attempts: 2,
         targets: vec![RouteTarget { service: Arc::from(SERVICE), weight: 1 }],
         due: Millis(0),
--- a/crates/core/tests/tenant_rules.rs
+++ b/crates/core/tests/tenant_rules.rs
@@ -11,7 +11,7 @@
 mod support;
 
 fn entry(name: &str, keys: &[&str]) -> TenantEntry {
-    let tenant = Tenant { name: TenantName::new(name), priority: None, limit: None };
+    let tenant = Tenant { name: TenantName::new(name), limit: None };
     TenantEntry { tenant, keys: keys.iter().map(|key| ApiKey::new(key)).collect() }
 }
 
