--- a/crates/core/src/gateway/configuration.rs
+++ b/crates/core/src/gateway/configuration.rs
@@ -89,15 +89,13 @@
     pub head_bytes: usize,
     /// Most bytes in a request's body.
     pub body_bytes: usize,
-    /// Longest time for a request's head to arrive.
-    pub head_timeout: Millis,
-    /// Longest rest of a connection between requests.
+    /// Longest rest of a connection between requests, the time for the next request's head included.
     pub idle_timeout: Millis,
 }
 
 impl Default for CallerBounds {
     fn default() -> Self {
-        Self { head_bytes: 16 << 10, body_bytes: 4 << 20, head_timeout: Millis(3_000), idle_timeout: Millis(15_000) }
+        Self { head_bytes: 16 << 10, body_bytes: 4 << 20, idle_timeout: Millis(15_000) }
     }
 }
 
