--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -134,7 +134,7 @@
     fn answer_facts(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
 
     /// The head of the answer to the caller, from the worker's.
-    fn answer_headers(&self, status: StatusCode, headers: &HeaderMap) -> HeaderMap;
+    fn answer_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// The body that answers a read of results.
     fn result_page(&self, first: u32, page: &ResultPage) -> Bytes;
--- a/crates/gateway/src/online/mod.rs
+++ b/crates/gateway/src/online/mod.rs
@@ -302,7 +302,7 @@
         self.log_end(answer.status.as_str());
         let mut response = Response::new(AnswerBody::whole(body));
         *response.status_mut() = answer.status;
-        *response.headers_mut() = self.client.dialect.answer_headers(answer.status, &answer.headers);
+        *response.headers_mut() = self.client.dialect.answer_headers(&answer.headers);
         response
     }
 }
--- a/crates/gateway/src/online/stream.rs
+++ b/crates/gateway/src/online/stream.rs
@@ -36,7 +36,7 @@
         let (sender, body) = AnswerBody::pieces();
         let mut response = Response::new(body);
         *response.status_mut() = answer.status;
-        *response.headers_mut() = self.client.dialect.answer_headers(answer.status, &answer.headers);
+        *response.headers_mut() = self.client.dialect.answer_headers(&answer.headers);
         response.headers_mut().remove(CONTENT_LENGTH);
         tokio::spawn(async move { self.pass_on(answer, &sender).await });
         response
