--- a/crates/core/src/gateway/configuration.rs
+++ b/crates/core/src/gateway/configuration.rs
@@ -55,8 +55,6 @@
     pub objective: Millis,
     /// The longest pause between events that counts as in time, if the route has one.
     pub gap_target: Option<Millis>,
-    /// Its rank; 0 is the most urgent.
-    pub priority: u32,
     /// Most workers that one request may run on.
     pub max_attempts: u32,
     /// Where its requests go.
@@ -91,15 +89,13 @@
     pub head_bytes: usize,
     /// Most bytes in a request's body.
     pub body_bytes: usize,
-    /// Longest time for a request's head to arrive.
-    pub head_timeout: Millis,
-    /// Longest rest of a connection between requests.
+    /// Longest rest of a connection between requests, the time for the next request's head included.
     pub idle_timeout: Millis,
 }
 
 impl Default for CallerBounds {
     fn default() -> Self {
-        Self { head_bytes: 16 << 10, body_bytes: 4 << 20, head_timeout: Millis(3_000), idle_timeout: Millis(15_000) }
+        Self { head_bytes: 16 << 10, body_bytes: 4 << 20, idle_timeout: Millis(15_000) }
     }
 }
 
