--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -8,7 +8,6 @@
 //! | [`fleet_client`] | a client of a running fleet |
 //! | [`load`] | open-loop load against a running fleet |
 //! | [`overhead`] | what a node adds to a request, against a bare pass-through |
-//! | [`recovery`] | how long the fleet takes to recover, on a virtual clock |
 //! | [`simulation`] | many nodes on a virtual clock under failure, checked against an oracle |
 
 pub mod capacity;
@@ -18,5 +17,4 @@
 pub mod fleet_client;
 pub mod load;
 pub mod overhead;
-pub mod recovery;
 pub mod simulation;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -5,7 +5,6 @@
 mod experiment_command;
 mod load_command;
 mod overhead_command;
-mod recovery_command;
 mod simulate_command;
 
 use std::process::ExitCode;
@@ -20,7 +19,6 @@
         .subcommand(capacity_command::command())
         .subcommand(chaos_command::command())
         .subcommand(experiment_command::command())
-        .subcommand(recovery_command::command())
         .subcommand(overhead_command::command())
         .subcommand(load_command::command());
     match command.get_matches().subcommand() {
@@ -28,7 +26,6 @@
         Some(("capacity", arguments)) => capacity_command::run(arguments),
         Some(("load", arguments)) => load_command::run(arguments),
         Some(("overhead", arguments)) => overhead_command::run(arguments),
-        Some(("recovery", arguments)) => recovery_command::run(arguments),
         Some(("experiment", arguments)) => experiment_command::run(arguments),
         Some(("chaos", arguments)) => chaos_command::run(arguments),
         _ => ExitCode::from(2),
