--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -2,7 +2,6 @@
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`capacity`] | what each role costs, measured at several sizes |
 //! | [`chaos`] | load and checks against a running fleet that somebody breaks |
 //! | [`experiment`] | the shared-fleet experiment on a virtual clock |
 //! | [`fleet_client`] | a client of a running fleet |
@@ -10,7 +9,6 @@
 //! | [`overhead`] | what a node adds to a request, against a bare pass-through |
 //! | [`simulation`] | many nodes on a virtual clock under failure, checked against an oracle |
 
-pub mod capacity;
 pub mod chaos;
 mod event_queue;
 pub mod experiment;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,6 +1,5 @@
 //! `stallmoor-bench`: simulation, experiments and load.
 
-mod capacity_command;
 mod chaos_command;
 mod experiment_command;
 mod load_command;
@@ -16,14 +15,12 @@
         .about("Simulation, experiments and load")
         .subcommand_required(true)
         .subcommand(simulate_command::command())
-        .subcommand(capacity_command::command())
         .subcommand(chaos_command::command())
         .subcommand(experiment_command::command())
         .subcommand(overhead_command::command())
         .subcommand(load_command::command());
     match command.get_matches().subcommand() {
         Some(("simulate", arguments)) => simulate_command::run(arguments),
-        Some(("capacity", arguments)) => capacity_command::run(arguments),
         Some(("load", arguments)) => load_command::run(arguments),
         Some(("overhead", arguments)) => overhead_command::run(arguments),
         Some(("experiment", arguments)) => experiment_command::run(arguments),
