--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -6,7 +6,6 @@
 //! | [`experiment`] | the shared-fleet experiment on a virtual clock |
 //! | [`fleet_client`] | a client of a running fleet |
 //! | [`load`] | open-loop load against a running fleet |
-//! | [`overhead`] | what a node adds to a request, against a bare pass-through |
 //! | [`simulation`] | many nodes on a virtual clock under failure, checked against an oracle |
 
 pub mod chaos;
@@ -14,5 +13,4 @@
 pub mod experiment;
 pub mod fleet_client;
 pub mod load;
-pub mod overhead;
 pub mod simulation;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -3,7 +3,6 @@
 mod chaos_command;
 mod experiment_command;
 mod load_command;
-mod overhead_command;
 mod simulate_command;
 
 use std::process::ExitCode;
@@ -17,12 +16,10 @@
         .subcommand(simulate_command::command())
         .subcommand(chaos_command::command())
         .subcommand(experiment_command::command())
-        .subcommand(overhead_command::command())
         .subcommand(load_command::command());
     match command.get_matches().subcommand() {
         Some(("simulate", arguments)) => simulate_command::run(arguments),
         Some(("load", arguments)) => load_command::run(arguments),
-        Some(("overhead", arguments)) => overhead_command::run(arguments),
         Some(("experiment", arguments)) => experiment_command::run(arguments),
         Some(("chaos", arguments)) => chaos_command::run(arguments),
         _ => ExitCode::from(2),
