--- a/crates/bench/src/experiment/measure.rs
+++ b/crates/bench/src/experiment/measure.rs
@@ -1,7 +1,5 @@
 //! What is counted, and the report.
 
-use std::collections::BTreeMap;
-
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
@@ -16,9 +14,9 @@
     pub p99: f64,
 }
 
-/// What one policy came to.
+/// What one run came to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct PolicyReport {
+pub struct RunReport {
     /// Batch items completed a second.
     pub batch_items_per_s: f64,
     /// Slot time that batch used, as a share of what online left free while batch was waiting.
@@ -27,7 +25,7 @@
     pub ttft_ms: Percentiles,
     /// Between tokens.
     pub itl_ms: Percentiles,
-    /// The worse of the two p99 over `online-only`'s.
+    /// The worse of the two p99 over that of the run without batch.
     pub harm_p99: f64,
     /// Online requests that came to an engine whose slots were all taken, some by batch.
     pub online_behind_batch: u64,
@@ -45,15 +43,17 @@
     pub load_error: f64,
 }
 
-/// What all policies came to.
+/// What both runs came to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ExperimentReport {
     /// Whose fleet.
     pub profile: String,
     /// The seed.
     pub seed: u64,
-    /// By policy.
-    pub policies: BTreeMap<String, PolicyReport>,
+    /// Without batch: the floor.
+    pub online_only: RunReport,
+    /// With batch.
+    pub with_batch: RunReport,
 }
 
 /// What is counted in one run.
@@ -115,13 +115,13 @@
 
 impl Measured {
     /// The report, against the run without batch.
-    pub fn report(&self, floor: &Measured) -> PolicyReport {
+    pub fn report(&self, floor: &Measured) -> RunReport {
         let (ttft_ms, itl_ms) = (Percentiles::of(&self.first_token), Percentiles::of(&self.between));
         let (floor_ttft, floor_itl) = (Percentiles::of(&floor.first_token), Percentiles::of(&floor.between));
         let ratio = |own: f64, floor: f64| if floor > 0.0 { own / floor } else { 1.0 };
         let seconds = (self.load_us as f64 / 1_000_000.0).max(1e-9);
         let (error, samples) = self.load_error;
-        PolicyReport {
+        RunReport {
             batch_items_per_s: self.items as f64 / seconds,
             idle_share: self.batch_slot_us as f64 / (self.idle_slot_us.max(1)) as f64,
             ttft_ms,
--- a/crates/bench/src/experiment/workload.rs
+++ b/crates/bench/src/experiment/workload.rs
@@ -1,4 +1,4 @@
-//! Arrivals, drawn once and used by every policy.
+//! Arrivals, drawn once and used by both runs.
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -56,6 +56,11 @@
         let jobs = draw_jobs(profile, end_us, &mut random);
         Self { online, jobs, end_us }
     }
+
+    /// The same online requests, and no job.
+    pub fn without_jobs(&self) -> Self {
+        Self { jobs: Vec::new(), ..self.clone() }
+    }
 }
 
 fn draw_online(profile: Profile, end_us: u64, random: &mut Xoshiro256PlusPlus) -> Vec<OnlineArrival> {
--- a/crates/bench/src/experiment/world.rs
+++ b/crates/bench/src/experiment/world.rs
@@ -16,20 +16,15 @@
 use stallmoor_core::partition::NewItem;
 use stallmoor_core::routing::{BlockHash, CacheEvent, CacheEventBatch, LoadReport};
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
-use stallmoor_emulator::{
-    CacheChange, EngineEmulator, EngineOutput, EngineRefusal, SequenceClass, SequenceRequest, answer_length,
-};
+use stallmoor_emulator::{CacheChange, EngineEmulator, EngineOutput, EngineRefusal, SequenceClass, SequenceRequest};
 
 use super::ExperimentOptions;
 use super::measure::Measured;
-use super::policy::{Feeder, FeederItem, Policy};
 use super::profile::Profile;
 use super::workload::{WARM_UP_US, Workload};
 use crate::event_queue::EventQueue;
 
 const TICK_US: u64 = 25_000;
-/// Time between two looks of the feeder at the engines, in microseconds.
-const FEED_US: u64 = 20_000;
 /// Time between two samples of the load that nodes go by, in microseconds.
 const SAMPLE_US: u64 = 50_000;
 const CIVIL_START_MS: u64 = 1_700_000_000_000;
@@ -60,7 +55,6 @@
     Online(usize),
     Job(usize),
     Apply,
-    Feed,
     Sample,
 }
 
@@ -80,8 +74,8 @@
 /// A stream as the world sees it.
 struct StreamOwner {
     engine: usize,
-    /// The node that asked, or `None` for the feeder.
-    node: Option<usize>,
+    /// The node that asked.
+    node: usize,
     class: RequestClass,
     tokens: u32,
     deadline_us: u64,
@@ -95,9 +89,8 @@
     last_us: Option<u64>,
 }
 
-/// One run of one policy.
+/// One run.
 pub struct World<'a> {
-    policy: Policy,
     profile: Profile,
     headroom: f64,
     workload: &'a Workload,
@@ -113,7 +106,6 @@
     calls: BTreeMap<CallerId, CallPurpose>,
     next_caller: u64,
     probes: Vec<OnlineProbe>,
-    feeder: Feeder,
     /// Batch items submitted and not complete.
     backlog: u64,
     /// Batch items at engines.
@@ -127,10 +119,9 @@
 
 impl<'a> World<'a> {
     /// A world before its start.
-    pub fn new(options: &ExperimentOptions, policy: Policy, workload: &'a Workload) -> Self {
+    pub fn new(options: &ExperimentOptions, workload: &'a Workload) -> Self {
         let profile = options.profile;
         let mut world = Self {
-            policy,
             profile,
             headroom: options.headroom.unwrap_or(profile.headroom()),
             workload,
@@ -146,7 +137,6 @@
             calls: BTreeMap::new(),
             next_caller: 1,
             probes: vec![OnlineProbe::default(); workload.online.len()],
-            feeder: Feeder::default(),
             backlog: 0,
             batch_in_hand: 0,
             batch_waits: false,
@@ -197,13 +187,8 @@
         for place in 0..self.workload.online.len() {
             self.schedule(self.workload.online[place].at_us, WorldEvent::Online(place));
         }
-        if self.policy != Policy::OnlineOnly {
-            for place in 0..self.workload.jobs.len() {
-                self.schedule(self.workload.jobs[place].at_us, WorldEvent::Job(place));
-            }
-        }
-        if self.policy.uses_feeder() {
-            self.schedule(WARM_UP_US, WorldEvent::Feed);
+        for place in 0..self.workload.jobs.len() {
+            self.schedule(self.workload.jobs[place].at_us, WorldEvent::Job(place));
         }
         self.schedule(WARM_UP_US, WorldEvent::Sample);
     }
@@ -251,10 +236,6 @@
             WorldEvent::Online(place) => self.send_online(place),
             WorldEvent::Job(place) => self.submit_job(place),
             WorldEvent::Apply => self.apply_configuration(),
-            WorldEvent::Feed => {
-                self.feed_engines();
-                self.schedule(FEED_US, WorldEvent::Feed);
-            }
             WorldEvent::Sample => {
                 self.sample_load();
                 self.schedule(SAMPLE_US, WorldEvent::Sample);
@@ -339,7 +320,7 @@
             self.headroom
         );
         let mut machines = String::new();
-        for (place, engine) in self.engines.iter().enumerate().take(self.policy.online_engines(self.engines.len())) {
+        for (place, engine) in self.engines.iter().enumerate() {
             machines.push_str(&format!(
                 "[[machine]]\nname = \"engine-{place}\"\naddress = \"{}\"\nzone = \"zone-{}\"\nservice = \"service\"\nslots = {}\n",
                 engine.address,
@@ -399,11 +380,6 @@
         for prompt in &arrival.prompts {
             self.deadlines.insert(prompt.clone(), deadline_us);
         }
-        if self.policy.uses_feeder() {
-            let items = arrival.prompts.iter().map(|prompt| FeederItem { prompt: prompt.clone(), deadline_us });
-            self.feeder.waiting.extend(items);
-            return;
-        }
         let items = arrival.prompts.iter().enumerate();
         let items = items
             .map(|(item, prompt)| NewItem { label: Arc::from(item.to_string()), prompt: Arc::from(prompt.as_str()) });
@@ -451,7 +427,7 @@
         let Some(engine) = self.engine_addresses.get(&request.address).copied() else { return };
         let owner = StreamOwner {
             engine,
-            node: Some(node),
+            node,
             class: request.class,
             tokens: 0,
             deadline_us: self.deadlines.get(&*request.prompt).copied().unwrap_or(u64::MAX),
@@ -550,10 +526,9 @@
     fn on_token(&mut self, engine: usize, attempt: AttemptId, place: u32, text: String) {
         let Some(stream) = self.streams.get_mut(&attempt) else { return };
         stream.tokens += 1;
-        if let Some(node) = stream.node {
-            let event = StreamEvent::Piece { attempt, first: place, tokens: 1, text };
-            self.send_to_node(engine, node, attempt, event);
-        }
+        let node = stream.node;
+        let event = StreamEvent::Piece { attempt, first: place, tokens: 1, text };
+        self.send_to_node(engine, node, attempt, event);
     }
 
     fn on_end(&mut self, engine: usize, attempt: AttemptId, length: u32) {
@@ -561,9 +536,7 @@
         if stream.class == RequestClass::Batch {
             self.on_item_done(&stream);
         }
-        if let Some(node) = stream.node {
-            self.send_to_node(engine, node, attempt, StreamEvent::End { attempt, length });
-        }
+        self.send_to_node(engine, stream.node, attempt, StreamEvent::End { attempt, length });
     }
 
     fn on_item_done(&mut self, stream: &StreamOwner) {
@@ -572,8 +545,6 @@
             self.measured.wasted_tokens += u64::from(stream.tokens);
             return;
         }
-        let resumed = answer_length(MODEL, &stream.prompt, BATCH_TOKENS).saturating_sub(stream.tokens);
-        debug_assert!(resumed <= BATCH_TOKENS);
         self.backlog = self.backlog.saturating_sub(1);
         self.note_backlog();
         self.measured.items += 1;
@@ -647,54 +618,6 @@
             }
         }
     }
-
-    // The feeder of the other policies.
-
-    fn feed_engines(&mut self) {
-        let engines = self.policy.batch_engines(self.engines.len());
-        let settings = self.profile.engine();
-        for engine in engines {
-            let load = self.engines[engine].emulator.load();
-            let in_hand = load.running_online + load.running_batch + load.queued_online + load.queued_batch;
-            let most = match self.policy {
-                // Blind and priority-only fill the queue as well; a partition of its own needs only its slots.
-                Policy::Partitioned => settings.slots,
-                _ => settings.slots + settings.queue / 4,
-            };
-            for _ in in_hand..most {
-                let Some(item) = self.feeder.waiting.pop_front() else { return };
-                self.feed_item(engine, item);
-            }
-        }
-    }
-
-    fn feed_item(&mut self, engine: usize, item: FeederItem) {
-        let attempt = AttemptId(self.random.random());
-        let sequence = SequenceRequest {
-            attempt: attempt.0,
-            class: SequenceClass::Batch,
-            priority: self.policy.batch_priority(),
-            model: MODEL.to_owned(),
-            prompt: item.prompt.clone(),
-            max_tokens: BATCH_TOKENS,
-            from_token: 0,
-        };
-        self.count_slot_time(engine);
-        if self.engines[engine].emulator.submit(sequence, self.now_us).is_err() {
-            self.feeder.waiting.push_front(item);
-            return;
-        }
-        let owner = StreamOwner {
-            engine,
-            node: None,
-            class: RequestClass::Batch,
-            tokens: 0,
-            deadline_us: item.deadline_us,
-            prompt: item.prompt,
-        };
-        self.add_stream(attempt, owner);
-        self.arm(engine);
-    }
 }
 
 fn class_of(class: RequestClass) -> SequenceClass {
--- a/crates/bench/src/experiment_command.rs
+++ b/crates/bench/src/experiment_command.rs
@@ -1,21 +1,19 @@
 //! `stallmoor-bench experiment`.
 
-use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::builder::PossibleValuesParser;
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use stallmoor_bench::experiment::{self, ExperimentOptions, ExperimentReport, Policy, Profile, plot_report};
+use stallmoor_bench::experiment::{self, ExperimentOptions, ExperimentReport, Profile};
 
 /// The subcommand.
 pub fn command() -> Command {
     let number = |name: &'static str, help: &'static str, default: &'static str| {
         Arg::new(name).long(name).value_name("N").help(help).value_parser(value_parser!(u64)).default_value(default)
     };
-    let policies: Vec<&str> = Policy::ALL.iter().map(|policy| policy.name()).collect();
     let shared_fleet = Command::new("shared-fleet")
-        .about("Batch throughput against harm to the online tail, policies side by side on the same arrivals")
-        .after_help("Example: stallmoor-bench experiment shared-fleet --profile vidyapath --seed 3 --plot frontier.svg")
+        .about("Batch throughput against harm to the online tail, with and without batch on the same arrivals")
+        .after_help("Example: stallmoor-bench experiment shared-fleet --profile vidyapath --seed 3 --headroom 0.2")
         .arg(
             Arg::new("profile")
                 .long("profile")
@@ -27,14 +25,6 @@
         .arg(number("seed", "Decides the arrivals", "1"))
         .arg(number("seeds", "Runs this many seeds from the first on, and prints each", "1"))
         .arg(number("seconds", "Seconds of load", "60"))
-        .arg(
-            Arg::new("policy")
-                .long("policy")
-                .value_name("POLICY")
-                .action(ArgAction::Append)
-                .value_parser(PossibleValuesParser::new(policies))
-                .help("Only these policies, and online-only; may be repeated"),
-        )
         .arg(
             Arg::new("headroom")
                 .long("headroom")
@@ -42,14 +32,7 @@
                 .value_parser(value_parser!(f64))
                 .help("The share of slots that batch leaves free, instead of the profile's"),
         )
-        .arg(Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print JSON and nothing else"))
-        .arg(
-            Arg::new("plot")
-                .long("plot")
-                .value_name("FILE")
-                .value_parser(value_parser!(PathBuf))
-                .help("Draw the last report as SVG"),
-        );
+        .arg(Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print JSON and nothing else"));
     Command::new("experiment")
         .about("Experiments on a virtual clock")
         .subcommand_required(true)
@@ -62,15 +45,12 @@
     let number = |name: &str| arguments.get_one::<u64>(name).copied().unwrap_or(1);
     let name = arguments.get_one::<String>("profile").map_or("", String::as_str);
     let Some(profile) = Profile::parse(name) else { return ExitCode::from(2) };
-    let chosen: Vec<Policy> =
-        arguments.get_many::<String>("policy").into_iter().flatten().filter_map(|name| Policy::parse(name)).collect();
     let first = number("seed");
     for seed in first..first + number("seeds") {
         let options = ExperimentOptions {
             profile,
             seed,
             seconds: number("seconds"),
-            policies: if chosen.is_empty() { Policy::ALL.to_vec() } else { chosen.clone() },
             headroom: arguments.get_one::<f64>("headroom").copied(),
         };
         let report = experiment::run(&options);
@@ -79,12 +59,6 @@
         } else {
             print_report(&report);
         }
-        if let Some(path) = arguments.get_one::<PathBuf>("plot")
-            && let Err(error) = plot_report(&report, path)
-        {
-            eprintln!("{error}");
-            return ExitCode::FAILURE;
-        }
     }
     ExitCode::SUCCESS
 }
@@ -93,7 +67,7 @@
     println!("{} seed {}", report.profile, report.seed);
     println!(
         "{:<14} {:>8} {:>6} {:>24} {:>24} {:>6} {:>7} {:>6} {:>7} {:>7} {:>7} {:>6}",
-        "policy",
+        "run",
         "items/s",
         "idle",
         "ttft p50/p95/p99 ms",
@@ -106,21 +80,21 @@
         "refused",
         "error"
     );
-    for (name, policy) in &report.policies {
+    for (name, run) in [("online-only", &report.online_only), ("with batch", &report.with_batch)] {
         let triple = |value: experiment::Percentiles| format!("{:.1}/{:.1}/{:.1}", value.p50, value.p95, value.p99);
         println!(
             "{name:<14} {:>8.1} {:>6.3} {:>24} {:>24} {:>6.3} {:>7} {:>6} {:>7} {:>7} {:>7} {:>6.2}",
-            policy.batch_items_per_s,
-            policy.idle_share,
-            triple(policy.ttft_ms),
-            triple(policy.itl_ms),
-            policy.harm_p99,
-            policy.online_behind_batch,
-            policy.items_late,
-            policy.wasted_tokens,
-            policy.online_answered,
-            policy.online_refused,
-            policy.load_error
+            run.batch_items_per_s,
+            run.idle_share,
+            triple(run.ttft_ms),
+            triple(run.itl_ms),
+            run.harm_p99,
+            run.online_behind_batch,
+            run.items_late,
+            run.wasted_tokens,
+            run.online_answered,
+            run.online_refused,
+            run.load_error
         );
     }
 }
