--- a/crates/bench/src/experiment/world.rs
+++ b/crates/bench/src/experiment/world.rs
@@ -6,15 +6,16 @@
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stallmoor_core::configuration::{ApplyId, Bundle};
 use stallmoor_core::identity::{AttemptId, CallerId, EngineName, NodeId};
+use stallmoor_core::node::configuration::{ApplyId, Bundle};
+use stallmoor_core::node::online::OnlineCall;
+use stallmoor_core::node::partition::NewItem;
+use stallmoor_core::node::routing::{BlockHash, CacheEvent, CacheEventBatch, LoadReport};
 use stallmoor_core::node::{
     BatchCall, CallerAnswer, CallerCall, Clock, Effect, EngineRequest, Event, JobSubmission, KeyValueOperation,
-    KeyValueOutcome, Node, NodeSettings, OperatorCall, PeerMessage, PersistedNode, RequestClass, StreamEvent,
+    KeyValueOutcome, Node, NodeSettings, OperatorCall, PersistedNode, RequestClass, StreamEvent,
 };
-use stallmoor_core::online::OnlineCall;
-use stallmoor_core::partition::NewItem;
-use stallmoor_core::routing::{BlockHash, CacheEvent, CacheEventBatch, LoadReport};
+use stallmoor_core::peer_message::PeerMessage;
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
 use stallmoor_emulator::{CacheChange, EngineEmulator, EngineOutput, EngineRefusal, SequenceClass, SequenceRequest};
 
--- a/crates/bench/src/simulation/callers.rs
+++ b/crates/bench/src/simulation/callers.rs
@@ -5,8 +5,8 @@
 use rand::Rng;
 use stallmoor_core::error::{ErrorKind, Ran};
 use stallmoor_core::identity::CallerId;
+use stallmoor_core::node::online::OnlineCall;
 use stallmoor_core::node::{CallerAnswer, CallerCall};
-use stallmoor_core::online::OnlineCall;
 use stallmoor_core::time::Millis;
 use stallmoor_emulator::answer_text;
 
--- a/crates/bench/src/simulation/engines.rs
+++ b/crates/bench/src/simulation/engines.rs
@@ -4,10 +4,10 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use rand::Rng;
-use stallmoor_core::control::ModelOrder;
 use stallmoor_core::identity::{AttemptId, EngineName};
+use stallmoor_core::node::control::ModelOrder;
+use stallmoor_core::node::routing::LoadReport;
 use stallmoor_core::node::{EngineOrder, EngineRequest, Event, MachineReport, OrderOutcome, RequestClass, StreamEvent};
-use stallmoor_core::routing::LoadReport;
 use stallmoor_emulator::{answer_length, answer_token};
 
 use super::oracle;
--- a/crates/bench/src/simulation/jobs.rs
+++ b/crates/bench/src/simulation/jobs.rs
@@ -6,8 +6,8 @@
 use rand::Rng;
 use stallmoor_core::error::ErrorKind;
 use stallmoor_core::identity::{AttemptId, JobId};
+use stallmoor_core::node::partition::{FinishedItem, JobPhase, JobSummary, NewItem};
 use stallmoor_core::node::{BatchCall, CallerAnswer, CallerCall, JobSubmission};
-use stallmoor_core::partition::{FinishedItem, JobPhase, JobSummary, NewItem};
 use stallmoor_core::time::Millis;
 use stallmoor_emulator::answer_text;
 
--- a/crates/bench/src/simulation/operators.rs
+++ b/crates/bench/src/simulation/operators.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use rand::Rng;
-use stallmoor_core::configuration::{ApplyId, Bundle, Manifest};
 use stallmoor_core::error::ErrorKind;
+use stallmoor_core::node::configuration::{ApplyId, Bundle, Manifest};
 use stallmoor_core::node::{CallerAnswer, CallerCall, OperatorCall};
 
 use super::callers::{MODEL, TENANT};
--- a/crates/bench/src/simulation/world.rs
+++ b/crates/bench/src/simulation/world.rs
@@ -7,8 +7,9 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stallmoor_core::identity::{AttemptId, CallerId, NodeId};
 use stallmoor_core::node::{
-    CallerAnswer, CallerCall, Clock, Effect, Event, Node, NodeSettings, PeerMessage, PersistedNode, StreamEvent,
+    CallerAnswer, CallerCall, Clock, Effect, Event, Node, NodeSettings, PersistedNode, StreamEvent,
 };
+use stallmoor_core::peer_message::PeerMessage;
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
 
 use super::callers::CallerModel;
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, Request, StatusCode};
 use serde_json::Value;
 use stallmoor_clients::HttpCaller;
-use stallmoor_core::configuration::ConfigurationError;
+use stallmoor_core::node::configuration::ConfigurationError;
 
 use crate::outcome::CommandError;
 
--- a/crates/cli/src/configuration_commands.rs
+++ b/crates/cli/src/configuration_commands.rs
@@ -11,7 +11,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde_json::{Value, json};
 use snafu::ResultExt;
-use stallmoor_core::configuration::{FleetConfiguration, SourceFile, check_files};
+use stallmoor_core::node::configuration::{FleetConfiguration, SourceFile, check_files};
 
 use crate::arguments::{node_of, wants_json};
 use crate::client::NodeClient;
--- a/crates/cli/src/node_command.rs
+++ b/crates/cli/src/node_command.rs
@@ -5,7 +5,7 @@
 
 use clap::ArgMatches;
 use snafu::ResultExt;
-use stallmoor_core::configuration::SourceFile;
+use stallmoor_core::node::configuration::SourceFile;
 use stallmoor_node::{NodeFileSettings, parse_settings};
 use tokio::signal::unix::{SignalKind, signal};
 
--- a/crates/cli/src/outcome.rs
+++ b/crates/cli/src/outcome.rs
@@ -3,9 +3,9 @@
 use std::path::PathBuf;
 
 use snafu::Snafu;
-use stallmoor_core::configuration::ConfigurationError;
+use stallmoor_core::node::configuration::ConfigurationError;
 use stallmoor_gateway::process::ProcessError;
-use stallmoor_gateway::settings::SettingsError;
+use stallmoor_gateway::process::settings::SettingsError;
 use stallmoor_node::NodeError;
 
 /// Why a command failed. The exit codes are documented in the help of the program.
--- a/crates/cli/src/serving_commands.rs
+++ b/crates/cli/src/serving_commands.rs
@@ -5,9 +5,10 @@
 use clap::ArgMatches;
 use snafu::ResultExt;
 use stallmoor_adapter::Platform;
-use stallmoor_gateway::settings::ServingSettings;
-use stallmoor_gateway::signals::ProcessSignals;
-use stallmoor_gateway::{log_writer, process};
+use stallmoor_gateway::observe::log_writer;
+use stallmoor_gateway::process;
+use stallmoor_gateway::process::settings::ServingSettings;
+use stallmoor_gateway::process::signals::ProcessSignals;
 
 use crate::outcome::{CommandError, FileSnafu, ServingSnafu, SettingsSnafu};
 
--- a/crates/clients/src/engine.rs
+++ b/crates/clients/src/engine.rs
@@ -13,10 +13,10 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use serde::{Deserialize, Serialize};
-use stallmoor_core::control::ModelOrder;
 use stallmoor_core::identity::AttemptId;
+use stallmoor_core::node::control::ModelOrder;
+use stallmoor_core::node::routing::{BlockHash, CacheEvent, CacheEventBatch, LoadReport};
 use stallmoor_core::node::{EngineOrder, EngineRequest, OrderOutcome, RequestClass, StreamEvent};
-use stallmoor_core::routing::{BlockHash, CacheEvent, CacheEventBatch, LoadReport};
 
 use crate::http::{HttpCaller, HttpError};
 use crate::{BoxFuture, EnginePoll, Engines, StreamSink};
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -12,10 +12,10 @@
 use std::net::SocketAddr;
 use std::pin::Pin;
 
+use stallmoor_core::node::routing::{CacheEventBatch, LoadReport};
 use stallmoor_core::node::{
     EngineOrder, EngineRequest, KeyValueOperation, KeyValueOutcome, MachineReport, OrderOutcome, StreamEvent,
 };
-use stallmoor_core::routing::{CacheEventBatch, LoadReport};
 
 pub use engine::HttpEngines;
 pub use http::{HttpCaller, HttpError};
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,37 +4,24 @@
 //! There are no sockets, clocks, threads or hidden randomness in this crate, so that the simulation
 //! and the running node drive exactly the same code, and a run is a function of its seed.
 //!
-//! | module | owns |
-//! |---|---|
-//! | [`configuration`] | the operators' files: parsing, checking, and which revision is in force |
-//! | [`membership`] | which nodes are alive, after SWIM |
-//! | [`replication`] | the replicated log of one group, after Raft |
-//! | [`partition`] | the state each group replicates: jobs, items, results, marks, sessions |
-//! | [`routing`] | engines, their load, and which one serves a request |
-//! | [`scheduling`] | batch credits and the dispatch of batch items |
-//! | [`online`] | the life of one online request, from admission to its last piece |
-//! | [`control`] | founding and repair of replica groups |
-//! | [`gateway`] | routes, workers and attempts of requests that pass through unchanged |
-//! | [`jobs`] | batch jobs whose items pass through unchanged: their replicated table and their dispatch |
-//! | [`quota`] | limits on what a tenant may ask over all gateways |
-//! | [`relay`] | passing the metadata store's changes on between nodes |
-//! | [`node`] | the composition of all of the above into one node |
+//! Two products share the crate. `stallmoor gateway` and `stallmoor storage` run before workers on the users'
+//! platform; `stallmoor node` is the product's own fleet.
+//!
+//! | module | serves | owns |
+//! |---|---|---|
+//! | [`serving`] | gateways and storing nodes | requests and batch jobs that pass through unchanged |
+//! | [`node`] | `stallmoor node` | the operators' files, engines, partitions, and one node composed of them |
+//! | [`replication`] | both | the replicated log of one group, after Raft, and the repair of its membership |
+//! | [`peer_message`] | both | messages between nodes |
+//! | [`identity`], [`time`], [`hashing`] | both | identities, points in time and spans, hashes |
+//! | [`error`], [`log_event`] | both | the closed list of refusals, the numbered log events |
 
-pub mod configuration;
-pub mod control;
 pub mod error;
-pub mod gateway;
 pub mod hashing;
 pub mod identity;
-pub mod jobs;
 pub mod log_event;
-pub mod membership;
 pub mod node;
-pub mod online;
-pub mod partition;
-pub mod quota;
-pub mod relay;
+pub mod peer_message;
 pub mod replication;
-pub mod routing;
-pub mod scheduling;
+pub mod serving;
 pub mod time;
--- a/crates/core/src/node/batch_flow.rs
+++ b/crates/core/src/node/batch_flow.rs
@@ -6,13 +6,13 @@
 use super::event::StreamEvent;
 use super::group_client::{GroupReply, Purpose};
 use super::machine::Node;
-use super::peer_message::{CreditMessage, PeerMessage};
-use crate::configuration::FleetConfiguration;
 use crate::hashing::{hash_bytes, hash_parts, rendezvous};
 use crate::identity::{AttemptId, EngineName, JobId};
 use crate::log_event::LogEvent;
-use crate::partition::{Command, CommandOutcome, CompletedItem, ItemResult, ItemVerdict};
-use crate::scheduling::{BatchDispatcher, EngineLimit, JobRank, StreamEnd};
+use crate::node::configuration::FleetConfiguration;
+use crate::node::partition::{Command, CommandOutcome, CompletedItem, ItemResult, ItemVerdict};
+use crate::node::scheduling::{BatchDispatcher, EngineLimit, JobRank, StreamEnd};
+use crate::peer_message::{CreditMessage, PeerMessage};
 use crate::time::{Millis, Timestamp, UnixMillis};
 
 /// Time between two asks for room.
@@ -207,7 +207,9 @@
             let is_running = self.groups.get(job.group).is_some_and(|hosted| {
                 let held = hosted.state.job(job);
                 hosted.replica.is_leader()
-                    && held.is_some_and(|held| held.phase == crate::partition::JobPhase::Accepted && !held.has_ended())
+                    && held.is_some_and(|held| {
+                        held.phase == crate::node::partition::JobPhase::Accepted && !held.has_ended()
+                    })
             });
             if is_running {
                 continue;
--- a/crates/core/src/node/callers.rs
+++ b/crates/core/src/node/callers.rs
@@ -4,9 +4,9 @@
 
 use super::event::{CallerAnswer, ModelSummary};
 use super::machine::Node;
-use crate::configuration::Bundle;
 use crate::error::ErrorKind;
 use crate::identity::CallerId;
+use crate::node::configuration::Bundle;
 
 impl Node {
     pub(super) fn answer_models(&mut self, caller: CallerId) {
--- a/crates/core/src/node/configuration_flow.rs
+++ b/crates/core/src/node/configuration_flow.rs
@@ -9,16 +9,16 @@
 use super::event::{CallerAnswer, KeyValueOutcome};
 use super::key_value_flow::KeyValuePurpose;
 use super::machine::Node;
-use super::peer_message::{ConfigurationMessage, PeerMessage};
-use crate::configuration::apply::ApplyAnswer;
-use crate::configuration::bundle::PartContents;
-use crate::configuration::replica::OfferOutcome;
-use crate::configuration::{
-    ApplyId, ApplyOutcome, ApplyStep, Bundle, ConfigurationApply, InForce, Manifest, PartDigest,
-};
 use crate::error::{ErrorKind, Refusal};
 use crate::identity::{CallerId, NodeId};
 use crate::log_event::LogEvent;
+use crate::node::configuration::apply::ApplyAnswer;
+use crate::node::configuration::bundle::PartContents;
+use crate::node::configuration::replica::OfferOutcome;
+use crate::node::configuration::{
+    ApplyId, ApplyOutcome, ApplyStep, Bundle, ConfigurationApply, InForce, Manifest, PartDigest,
+};
+use crate::peer_message::{ConfigurationMessage, PeerMessage};
 use crate::time::{Millis, Timestamp};
 
 /// Where the manifest is kept in the key-value service.
--- a/crates/core/src/control/founding.rs
+++ b/crates/core/src/node/control/founding.rs
@@ -4,12 +4,11 @@
 //! their own membership in their logs, so that no later step needs the service.
 
 use std::collections::BTreeSet;
-use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-use crate::hashing::{hash_parts, rendezvous};
 use crate::identity::{GroupId, NodeId};
+use crate::replication::{StoreCandidate, rank_candidates};
 
 /// Where the founding record is kept in the key-value service.
 pub const GROUPS_KEY: &str = "groups";
@@ -23,15 +22,6 @@
     pub groups: Vec<BTreeSet<NodeId>>,
 }
 
-/// A node that could hold a replica.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StoreCandidate {
-    /// The node.
-    pub node: NodeId,
-    /// Its zone.
-    pub zone: Arc<str>,
-}
-
 /// Chooses the members of every group: by rendezvous hashing, in different zones as far as there are.
 pub fn plan_groups(candidates: &[StoreCandidate], group_count: u32) -> GroupsRecord {
     let groups = (0..group_count).map(|group| choose_members(candidates, GroupId(group))).collect();
@@ -54,9 +44,3 @@
     }
     members
 }
-
-/// Candidates for a group in the order of rendezvous hashing.
-pub(super) fn rank_candidates(candidates: &[StoreCandidate], group: GroupId) -> Vec<&StoreCandidate> {
-    let key = hash_parts(&[b"group", &group.0.to_le_bytes()]);
-    rendezvous(key, candidates.iter(), |candidate| candidate.node.0, candidates.len())
-}
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/node/control/mod.rs
@@ -1,13 +1,11 @@
-//! Founding, finding and repairing replica groups; the control lease, and the placement of models.
+//! Founding and finding replica groups; the control lease, and the placement of models.
 
 mod directory;
 mod founding;
 mod lease;
 mod placement;
-mod repair;
 
 pub use directory::{DirectoryEntry, GroupDirectory};
-pub use founding::{GROUPS_KEY, GroupsRecord, REPLICAS_PER_GROUP, StoreCandidate, plan_groups};
+pub use founding::{GROUPS_KEY, GroupsRecord, REPLICAS_PER_GROUP, plan_groups};
 pub use lease::{ControlLease, LEASE_DURATION, LEASE_KEY, LEASE_MARGIN, LeaseAnswer, LeaseRecord, LeaseStep};
 pub use placement::{EnginePlacement, ModelOrder, plan_placement};
-pub use repair::{REPAIR_DELAY, RepairInput, RepairStep, ReplicaHealth, plan_repair};
--- a/crates/core/src/control/placement.rs
+++ b/crates/core/src/node/control/placement.rs
@@ -5,8 +5,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::configuration::FleetConfiguration;
 use crate::identity::EngineName;
+use crate::node::configuration::FleetConfiguration;
 
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/core/src/node/control_flow.rs
+++ b/crates/core/src/node/control_flow.rs
@@ -6,11 +6,11 @@
 use super::event::{KeyValueOutcome, OrderOutcome};
 use super::key_value_flow::KeyValuePurpose;
 use super::machine::Node;
-use crate::control::{
-    ControlLease, EnginePlacement, LEASE_KEY, LeaseAnswer, LeaseRecord, LeaseStep, ModelOrder, plan_placement,
-};
 use crate::identity::EngineName;
 use crate::log_event::LogEvent;
+use crate::node::control::{
+    ControlLease, EnginePlacement, LEASE_KEY, LeaseAnswer, LeaseRecord, LeaseStep, ModelOrder, plan_placement,
+};
 use crate::time::{Millis, Timestamp};
 
 /// How many nodes stand ready to take the lease.
--- a/crates/core/src/node/effect.rs
+++ b/crates/core/src/node/effect.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 
 use super::event::{CallerAnswer, KeyValueCall};
-use super::peer_message::PeerMessage;
-use crate::configuration::InForce;
-use crate::control::ModelOrder;
 use crate::identity::{AttemptId, CallerId, EngineName, GroupId};
 use crate::log_event::LogEvent;
+use crate::node::configuration::InForce;
+use crate::node::control::ModelOrder;
+use crate::peer_message::PeerMessage;
 use crate::replication::LogWrite;
 
 /// Something to do.
--- a/crates/core/src/node/engines_flow.rs
+++ b/crates/core/src/node/engines_flow.rs
@@ -5,11 +5,11 @@
 use super::effect::Effect;
 use super::event::MachineReport;
 use super::machine::Node;
-use super::peer_message::PeerMessage;
 use crate::hashing::{hash_bytes, hash_parts, rendezvous};
 use crate::identity::{EngineName, NodeId};
 use crate::log_event::LogEvent;
-use crate::routing::{CacheEventBatch, LeavingFact, LoadReport, PrefixIndex};
+use crate::node::routing::{CacheEventBatch, LeavingFact, LoadReport, PrefixIndex};
+use crate::peer_message::PeerMessage;
 use crate::time::{Millis, Timestamp};
 
 /// Up to this many engines every node polls many of them.
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -5,14 +5,14 @@
 use serde::{Deserialize, Serialize};
 
 use super::effect::Effect;
-use super::peer_message::PeerMessage;
 use super::status::{FleetStatus, NodeStatus};
-use crate::configuration::{ApplyId, Bundle, ConfigurationError};
 use crate::error::Refusal;
 use crate::identity::{AttemptId, CallerId, EngineName, GroupId, JobId};
-use crate::online::{Explanation, OnlineCall};
-use crate::partition::{FinishedItem, JobSummary, NewItem};
-use crate::routing::{CacheEventBatch, LoadReport};
+use crate::node::configuration::{ApplyId, Bundle, ConfigurationError};
+use crate::node::online::{Explanation, OnlineCall};
+use crate::node::partition::{FinishedItem, JobSummary, NewItem};
+use crate::node::routing::{CacheEventBatch, LoadReport};
+use crate::peer_message::PeerMessage;
 use crate::time::{Millis, Timestamp, UnixMillis};
 
 /// The time at an event.
--- a/crates/core/src/node/founding_flow.rs
+++ b/crates/core/src/node/founding_flow.rs
@@ -6,11 +6,11 @@
 use super::event::KeyValueOutcome;
 use super::key_value_flow::KeyValuePurpose;
 use super::machine::Node;
-use super::peer_message::PeerMessage;
-use crate::control::{DirectoryEntry, GROUPS_KEY, GroupsRecord, StoreCandidate, plan_groups};
 use crate::identity::{GroupId, NodeId};
 use crate::log_event::LogEvent;
-use crate::replication::{GroupMembership, LogIndex, Term};
+use crate::node::control::{DirectoryEntry, GROUPS_KEY, GroupsRecord, plan_groups};
+use crate::peer_message::PeerMessage;
+use crate::replication::{GroupMembership, LogIndex, StoreCandidate, Term};
 use crate::time::{Millis, Timestamp};
 
 /// Time between two tries to learn of the groups.
--- a/crates/core/src/node/group_client.rs
+++ b/crates/core/src/node/group_client.rs
@@ -9,9 +9,9 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 use super::machine::Node;
-use super::peer_message::{GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody, PeerMessage};
 use crate::identity::{CallerId, GroupId, JobId, NodeId};
-use crate::partition::{Command, CommandOutcome, Query, QueryAnswer, RequestKey, SessionKey};
+use crate::node::partition::{Command, CommandOutcome, Query, QueryAnswer, RequestKey, SessionKey};
+use crate::peer_message::{GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody, PeerMessage};
 use crate::time::{Millis, Timestamp};
 
 /// How long one try waits for its answer.
@@ -233,7 +233,7 @@
 }
 
 /// The leader, if one is known; else the members in turn.
-fn choose_target(entry: Option<&crate::control::DirectoryEntry>, tries: u32) -> Option<NodeId> {
+fn choose_target(entry: Option<&crate::node::control::DirectoryEntry>, tries: u32) -> Option<NodeId> {
     let entry = entry?;
     if let Some(leader) = entry.leader {
         return Some(leader);
--- a/crates/core/src/node/groups.rs
+++ b/crates/core/src/node/groups.rs
@@ -8,18 +8,17 @@
 
 use super::effect::Effect;
 use super::machine::Node;
-use super::peer_message::{GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody, PeerMessage};
 use super::settings::NodeSettings;
 use super::status::GroupStatus;
-use crate::control::{
-    DirectoryEntry, REPAIR_DELAY, REPLICAS_PER_GROUP, RepairInput, ReplicaHealth, StoreCandidate, plan_repair,
-};
 use crate::identity::{GroupId, JobId, NodeId};
 use crate::log_event::LogEvent;
-use crate::partition::{Command, CommandOutcome, JobPhase, PartitionState};
+use crate::node::control::{DirectoryEntry, REPLICAS_PER_GROUP};
+use crate::node::partition::{Command, CommandOutcome, JobPhase, PartitionState};
+use crate::peer_message::{GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody, PeerMessage};
 use crate::replication::{
-    EntryPayload, GroupMembership, LogIndex, MembershipChange, PersistedReplica, ProposalError, Replica, ReplicaEffect,
-    ReplicaSettings, ReplicationMessage, Snapshot, Term,
+    EntryPayload, GroupMembership, LogIndex, MembershipChange, PersistedReplica, ProposalError, REPAIR_DELAY,
+    RepairInput, Replica, ReplicaEffect, ReplicaHealth, ReplicaSettings, ReplicationMessage, Snapshot, StoreCandidate,
+    Term, plan_repair,
 };
 use crate::time::{Millis, Timestamp};
 
@@ -318,7 +317,7 @@
                 Some((LogEvent::JobCancelled, *job))
             }
             (Command::CompleteItems { job, results, .. }, CommandOutcome::ItemsCompleted { dropped }) => {
-                let is_complete = state.job(*job).is_some_and(crate::partition::Job::is_complete);
+                let is_complete = state.job(*job).is_some_and(crate::node::partition::Job::is_complete);
                 if is_complete && (*dropped as usize) < results.len() {
                     return Some((LogEvent::JobCompleted, *job));
                 }
--- a/crates/core/src/node/key_value_flow.rs
+++ b/crates/core/src/node/key_value_flow.rs
@@ -5,10 +5,10 @@
 use super::effect::{Effect, KeyValueOperation};
 use super::event::{KeyValueCall, KeyValueOutcome};
 use super::machine::Node;
-use crate::configuration::PartDigest;
-use crate::control::GroupsRecord;
 use crate::identity::CallerId;
 use crate::log_event::LogEvent;
+use crate::node::configuration::PartDigest;
+use crate::node::control::GroupsRecord;
 use crate::time::{Millis, Timestamp};
 
 /// Tokens that only a change of configuration may use.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! One node: the composition of all state machines.
+//! The decisions of `stallmoor node`: the state machines of each matter, and one node composed of them.
 //!
 //! [`Node::handle`] takes an event and the time and returns effects. The running node feeds it from
 //! sockets and clocks; the simulation feeds it from a seeded queue. A driver carries out effects in
@@ -6,6 +6,18 @@
 //!
 //! | module | owns |
 //! |---|---|
+//! | [`configuration`] | the operators' files: parsing, checking, and which revision is in force |
+//! | [`membership`] | which nodes are alive, after SWIM |
+//! | [`partition`] | the state each group replicates: jobs, items, results, marks, sessions |
+//! | [`routing`] | engines, their load, and which one serves a request |
+//! | [`scheduling`] | batch credits and the dispatch of batch items |
+//! | [`online`] | the life of one online request, from admission to its last piece |
+//! | [`control`] | founding of replica groups, the control lease, placement of models |
+//!
+//! The composition:
+//!
+//! | module | owns |
+//! |---|---|
 //! | `callers` | what callers and operators ask, and the answers |
 //! | `online_flow` | an online request from admission to its last piece |
 //! | `online_records` | marks of not-repeatable requests, and session records |
@@ -22,6 +34,14 @@
 //! | `steward_flow` | dividing an engine between batch holders |
 //! | `stopping` | the planned stop |
 
+pub mod configuration;
+pub mod control;
+pub mod membership;
+pub mod online;
+pub mod partition;
+pub mod routing;
+pub mod scheduling;
+
 mod batch_flow;
 mod callers;
 mod configuration_flow;
@@ -37,7 +57,6 @@
 mod machine;
 mod online_flow;
 mod online_records;
-mod peer_message;
 mod settings;
 mod status;
 mod steward_flow;
@@ -50,9 +69,5 @@
     ModelSummary, OperatorCall, OrderOutcome, StreamEvent,
 };
 pub use machine::{Node, PersistedNode};
-pub use peer_message::{
-    ConfigurationMessage, CreditMessage, GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody,
-    PeerMessage,
-};
 pub use settings::NodeSettings;
 pub use status::{FleetStatus, GroupStatus, NodeCounters, NodeStatus};
--- a/crates/core/src/online/explanation.rs
+++ b/crates/core/src/node/online/explanation.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::identity::EngineName;
-use crate::routing::Candidate;
+use crate::node::routing::Candidate;
 
 /// Most explanations kept on a node.
 const CAPACITY: usize = 4_096;
--- a/crates/core/src/online/request.rs
+++ b/crates/core/src/node/online/request.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use crate::identity::{AttemptId, EngineName};
-use crate::partition::{SessionKey, SessionRecord};
-use crate::routing::BlockHash;
+use crate::node::partition::{SessionKey, SessionRecord};
+use crate::node::routing::BlockHash;
 use crate::time::{Millis, Timestamp};
 
 /// What a caller asks.
--- a/crates/core/src/online/session_cache.rs
+++ b/crates/core/src/node/online/session_cache.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::partition::{SessionKey, SessionRecord};
+use crate::node::partition::{SessionKey, SessionRecord};
 
 /// Most records kept.
 const CAPACITY: usize = 8_192;
--- a/crates/core/src/node/online_flow.rs
+++ b/crates/core/src/node/online_flow.rs
@@ -10,17 +10,17 @@
 use super::effect::{Effect, EngineRequest, RequestClass};
 use super::event::{CallerAnswer, StreamEvent};
 use super::machine::Node;
-use crate::configuration::fleet::Service;
 use crate::error::{ErrorKind, Ran, Refusal};
 use crate::hashing::hash_parts;
 use crate::identity::{AttemptId, CallerId, EngineName};
 use crate::log_event::LogEvent;
-use crate::online::{
+use crate::node::configuration::fleet::Service;
+use crate::node::online::{
     DecisionStep, Delivery, ExplanationStore, OnlineCall, OnlinePhase, OnlineRequest, PieceOutcome, RetryBudget,
     SessionCache,
 };
-use crate::partition::{RequestKey, Settlement};
-use crate::routing::{OnlineDemand, RoutingRefusal, Selection, prompt_blocks, select_online};
+use crate::node::partition::{RequestKey, Settlement};
+use crate::node::routing::{OnlineDemand, RoutingRefusal, Selection, prompt_blocks, select_online};
 use crate::time::{Millis, Timestamp};
 
 /// An engine that sends nothing for this long counts as lost.
--- a/crates/core/src/node/online_records.rs
+++ b/crates/core/src/node/online_records.rs
@@ -6,8 +6,8 @@
 use crate::error::{ErrorKind, Refusal};
 use crate::hashing::group_of;
 use crate::identity::{CallerId, EngineName};
-use crate::online::{DecisionStep, OnlinePhase, OnlineRequest};
-use crate::partition::{Command, CommandOutcome, Query, QueryAnswer, SessionKey, SessionRecord, Settlement};
+use crate::node::online::{DecisionStep, OnlinePhase, OnlineRequest};
+use crate::node::partition::{Command, CommandOutcome, Query, QueryAnswer, SessionKey, SessionRecord, Settlement};
 use crate::time::Millis;
 
 /// How long the mark of a not-repeatable request may take.
--- a/crates/core/src/routing/engine_table.rs
+++ b/crates/core/src/node/routing/engine_table.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use super::load::LoadReport;
-use crate::configuration::fleet::{Engine, FleetConfiguration};
 use crate::identity::EngineName;
+use crate::node::configuration::fleet::{Engine, FleetConfiguration};
 use crate::time::{Millis, Timestamp};
 
 /// Failures in a row before an engine is passed over.
--- a/crates/core/src/routing/selector.rs
+++ b/crates/core/src/node/routing/selector.rs
@@ -8,9 +8,9 @@
 
 use super::engine_table::{EngineState, EngineTable};
 use super::prefix_index::{BlockHash, PrefixIndex};
-use crate::configuration::fleet::Service;
 use crate::hashing::{hash_bytes, rendezvous};
 use crate::identity::EngineName;
+use crate::node::configuration::fleet::Service;
 use crate::time::Timestamp;
 
 /// How many candidates rendezvous hashing gives for an affinity.
--- a/crates/core/src/node/settings.rs
+++ b/crates/core/src/node/settings.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::identity::NodeId;
-use crate::membership::MembershipSettings;
+use crate::node::membership::MembershipSettings;
 use crate::replication::ReplicaSettings;
 use crate::time::Millis;
 
--- a/crates/core/src/node/steward_flow.rs
+++ b/crates/core/src/node/steward_flow.rs
@@ -1,9 +1,9 @@
 //! Being the steward of engines: dividing what online leaves free.
 
 use super::machine::Node;
-use super::peer_message::{CreditMessage, PeerMessage};
 use crate::identity::{EngineName, NodeId};
-use crate::scheduling::{GRANT_LIFETIME, StewardSettings};
+use crate::node::scheduling::{GRANT_LIFETIME, StewardSettings};
+use crate::peer_message::{CreditMessage, PeerMessage};
 use crate::time::Millis;
 
 /// Online notices are repeated this often while there is anything to tell.
--- a/crates/core/src/node/upload.rs
+++ b/crates/core/src/node/upload.rs
@@ -10,7 +10,7 @@
 use crate::error::{ErrorKind, Ran, Refusal};
 use crate::hashing::{group_of, hash_parts};
 use crate::identity::{CallerId, JobId};
-use crate::partition::{Command, CommandOutcome, JobPhase, JobSpecification, NewItem, Query, QueryAnswer};
+use crate::node::partition::{Command, CommandOutcome, JobPhase, JobSpecification, NewItem, Query, QueryAnswer};
 use crate::time::{Millis, UnixMillis};
 
 /// Most bytes of bodies in one command.
--- a/crates/core/src/node/peer_message.rs
+++ b/crates/core/src/peer_message.rs
@@ -4,16 +4,16 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::status::NodeStatus;
-use crate::configuration::{Manifest, PartDigest};
-use crate::control::DirectoryEntry;
 use crate::identity::{EngineName, GroupId, NodeId};
-use crate::jobs::request::{JobsAnswer, JobsRequest};
-use crate::membership::MembershipMessage;
-use crate::partition::{Command, CommandOutcome, Query, QueryAnswer};
-use crate::relay::message::{ChangesAnswer, ChangesRequest};
+use crate::node::NodeStatus;
+use crate::node::configuration::{Manifest, PartDigest};
+use crate::node::control::DirectoryEntry;
+use crate::node::membership::MembershipMessage;
+use crate::node::partition::{Command, CommandOutcome, Query, QueryAnswer};
+use crate::node::routing::LeavingFact;
 use crate::replication::{ReplicationMessage, Term};
-use crate::routing::LeavingFact;
+use crate::serving::jobs::request::{JobsAnswer, JobsRequest};
+use crate::serving::relay::message::{ChangesAnswer, ChangesRequest};
 use crate::time::Millis;
 
 /// A message between nodes. Any of them may be lost, doubled or late.
--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -18,10 +18,13 @@
 mod membership;
 mod message;
 mod progress;
+mod repair;
 mod replica;
 
 pub use log::{Entry, EntryPayload, HardState, LogIndex, LogWrite, PersistedReplica, ReplicatedLog, Snapshot, Term};
 pub use membership::{GroupMembership, MembershipChange};
 pub use message::{MessageKind, ReplicationMessage};
 pub use progress::Progress;
+pub(crate) use repair::rank_candidates;
+pub use repair::{REPAIR_DELAY, RepairInput, RepairStep, ReplicaHealth, StoreCandidate, plan_repair};
 pub use replica::{ProposalError, Replica, ReplicaEffect, ReplicaSettings, Role};
--- a/crates/core/src/control/repair.rs
+++ b/crates/core/src/replication/repair.rs
@@ -4,15 +4,25 @@
 //! removed, so that the group never counts fewer copies than it has.
 
 use std::collections::BTreeSet;
+use std::sync::Arc;
 
-use super::founding::{StoreCandidate, rank_candidates};
+use super::membership::{GroupMembership, MembershipChange};
+use crate::hashing::{hash_parts, rendezvous};
 use crate::identity::{GroupId, NodeId};
-use crate::replication::{GroupMembership, MembershipChange};
 use crate::time::Millis;
 
 /// How long a member is gone before it is replaced.
 pub const REPAIR_DELAY: Millis = Millis(10_000);
 
+/// A node that could hold a replica.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StoreCandidate {
+    /// The node.
+    pub node: NodeId,
+    /// Its zone.
+    pub zone: Arc<str>,
+}
+
 /// What the leader knows of one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaHealth {
@@ -108,3 +118,9 @@
     let in_new_zone = spares.iter().find(|spare| !zones.contains(&*spare.zone));
     in_new_zone.or_else(|| spares.first()).map(|spare| spare.node)
 }
+
+/// Candidates for a group in the order of rendezvous hashing.
+pub(crate) fn rank_candidates(candidates: &[StoreCandidate], group: GroupId) -> Vec<&StoreCandidate> {
+    let key = hash_parts(&[b"group", &group.0.to_le_bytes()]);
+    rendezvous(key, candidates.iter(), |candidate| candidate.node.0, candidates.len())
+}
--- a/crates/core/src/gateway/configuration.rs
+++ b/crates/core/src/serving/configuration/mod.rs
@@ -1,10 +1,12 @@
 //! The configuration that a gateway goes by: routes, services and limits.
 
+pub mod tenant;
+
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::tenant::{ApiKey, CallerIdentity, Tenant, TenantName, TenantTable, UnknownKey};
 use crate::time::Millis;
+use tenant::{ApiKey, CallerIdentity, Tenant, TenantName, TenantTable, UnknownKey};
 
 /// Whether and how a request may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/core/src/jobs/command.rs
+++ b/crates/core/src/serving/jobs/command.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::tenant::{CallerIdentity, TenantName};
+use crate::serving::configuration::tenant::{CallerIdentity, TenantName};
 use crate::time::{Millis, UnixMillis};
 
 /// Names a job: the id that its submitter gave.
--- a/crates/core/src/jobs/load_share.rs
+++ b/crates/core/src/serving/jobs/load_share.rs
@@ -11,8 +11,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::gateway::workers::{LoadNews, WorkerCount, WorkerId, WorkerNews};
 use crate::identity::NodeId;
+use crate::serving::workers::{LoadNews, WorkerCount, WorkerId, WorkerNews};
 use crate::time::{Millis, Timestamp};
 
 /// What a node told is believed for this long.
--- a/crates/core/src/jobs/members.rs
+++ b/crates/core/src/serving/jobs/members.rs
@@ -8,9 +8,10 @@
 
 use super::directory::StorageDirectory;
 use super::pair::{PairRecord, PairView, StoredPair};
-use crate::control::{RepairInput, ReplicaHealth, StoreCandidate, plan_repair};
 use crate::identity::NodeId;
-use crate::replication::{GroupMembership, MembershipChange, Replica};
+use crate::replication::{
+    GroupMembership, MembershipChange, RepairInput, Replica, ReplicaHealth, StoreCandidate, plan_repair,
+};
 use crate::time::{Millis, Timestamp};
 
 /// A member that has not answered for this long is replaced where there is a spare.
--- a/crates/core/src/jobs/request.rs
+++ b/crates/core/src/serving/jobs/request.rs
@@ -6,9 +6,9 @@
 
 use super::command::{JobKey, Submission};
 use super::table::ResultPage;
-use crate::gateway::tenant::CallerIdentity;
-use crate::gateway::workers::LoadNews;
-use crate::quota::message::{QuotaNews, QuotaReport};
+use crate::serving::configuration::tenant::CallerIdentity;
+use crate::serving::quota::message::{QuotaNews, QuotaReport};
+use crate::serving::workers::LoadNews;
 use crate::time::Millis;
 
 /// A request to the leader.
--- a/crates/core/src/jobs/table.rs
+++ b/crates/core/src/serving/jobs/table.rs
@@ -9,7 +9,7 @@
     ItemKey, ItemProgress, ItemState, JobCommand, JobItem, JobKey, JobOutcome, LoggedOutput, PartialOutput, QueueKey,
     Submission,
 };
-use crate::gateway::tenant::CallerIdentity;
+use crate::serving::configuration::tenant::CallerIdentity;
 use crate::time::UnixMillis;
 
 /// A result. Its position in its job never changes.
--- /dev/null
+++ b/crates/core/src/serving/mod.rs
@@ -0,0 +1,19 @@
+//! Decisions of gateways and storing nodes, whose requests and batch items pass through unchanged.
+//!
+//! | module | owns |
+//! |---|---|
+//! | [`configuration`] | routes, services, tenants and limits as the operator wrote them |
+//! | [`request`] | what the decisions need to know of a request |
+//! | [`workers`] | the workers: their load, which of them serves a request or an item, which are ejected |
+//! | [`online`] | the attempts of an online request, and the events of its answer |
+//! | [`jobs`] | batch jobs: their replicated table, the dispatch of items, who holds the table |
+//! | [`quota`] | tenants' limits over all gateways |
+//! | [`relay`] | the metadata store's changes, passed on between nodes |
+
+pub mod configuration;
+pub mod jobs;
+pub mod online;
+pub mod quota;
+pub mod relay;
+pub mod request;
+pub mod workers;
--- a/crates/core/src/gateway/attempt.rs
+++ b/crates/core/src/serving/online/attempt.rs
@@ -3,7 +3,7 @@
 //! One place decides whether a request may have run. Only a connection that never came up, a worker's
 //! own word, or a write of which no byte left count as "not run".
 
-use super::configuration::RouteKind;
+use crate::serving::configuration::RouteKind;
 
 /// How an attempt ended before anything of it was passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/core/src/quota/bucket.rs
+++ b/crates/core/src/serving/quota/bucket.rs
@@ -1,6 +1,6 @@
 //! A token bucket: it fills at a rate up to a capacity, and each request takes one token.
 
-use crate::gateway::tenant::RateLimit;
+use crate::serving::configuration::tenant::RateLimit;
 use crate::time::{Millis, Timestamp};
 
 /// A limit, or a gateway's part of one, as numbers to reckon with.
--- a/crates/core/src/quota/coordinator.rs
+++ b/crates/core/src/serving/quota/coordinator.rs
@@ -6,8 +6,8 @@
 use super::bucket::{BucketLimit, TokenBucket};
 use super::message::{QuotaNews, QuotaReport, TenantLevel, TenantUse};
 use super::{LATEST, LEASE};
-use crate::gateway::tenant::{MilliRequests, RateLimit, TenantName};
 use crate::identity::NodeId;
+use crate::serving::configuration::tenant::{MilliRequests, RateLimit, TenantName};
 use crate::time::{Millis, Timestamp};
 
 /// A gateway that did not report for so long goes on with its part of the limits. Longer than the longest time between
--- a/crates/core/src/quota/limiter.rs
+++ b/crates/core/src/serving/quota/limiter.rs
@@ -6,7 +6,7 @@
 use super::bucket::{BucketLimit, TokenBucket};
 use super::message::{QuotaNews, QuotaReport, TenantUse};
 use super::{LATEST, LEASE};
-use crate::gateway::tenant::{MilliRequests, RateLimit, TenantName};
+use crate::serving::configuration::tenant::{MilliRequests, RateLimit, TenantName};
 use crate::time::{Millis, Timestamp};
 
 /// What the leader told is gone by for this many intervals between reports, and for [`LEAST_FRESH`] at the least.
--- a/crates/core/src/quota/message.rs
+++ b/crates/core/src/serving/quota/message.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::tenant::{MilliRequests, TenantName};
+use crate::serving::configuration::tenant::{MilliRequests, TenantName};
 use crate::time::Millis;
 
 /// Reports that the leader bears in a second.
--- a/crates/core/src/relay/choice.rs
+++ b/crates/core/src/serving/relay/choice.rs
@@ -5,7 +5,7 @@
 
 use crate::hashing::{hash_bytes, rendezvous_weight};
 use crate::identity::NodeId;
-use crate::jobs::directory::StorageDirectory;
+use crate::serving::jobs::directory::StorageDirectory;
 use crate::time::{Millis, Timestamp};
 
 /// How many relays a node tries. One is enough while it lives; of three in a row that are cut off from the store,
--- a/crates/core/src/gateway/choice.rs
+++ b/crates/core/src/serving/workers/choice.rs
@@ -5,11 +5,11 @@
 use rand::Rng;
 
 use super::cost::{cost_slope, estimate_cost, load_cost};
-use super::request::PrefixLink;
-use super::unseen_load::level_after;
+use super::load_in_transit::level_after;
+use super::table::WorkerTable;
 use super::worker::{Presence, SHARED_LIFETIME, Standing, WorkerEntry, WorkerId};
-use super::workers::WorkerTable;
 use crate::hashing::{hash_bytes, rendezvous_weight};
+use crate::serving::request::PrefixLink;
 use crate::time::{Millis, Timestamp};
 
 /// Batch leaves so many slots of a service free as online requests are placed in this time: they come before a pause of
--- a/crates/core/src/gateway/cost.rs
+++ b/crates/core/src/serving/workers/cost.rs
@@ -1,7 +1,7 @@
 //! What it costs to send a request to a worker: the estimated time to its first event.
 
 use super::choice::WorkerAsk;
-use super::unseen_load::CostSlope;
+use super::load_in_transit::CostSlope;
 use super::worker::WorkerEntry;
 use crate::time::{Millis, Timestamp};
 
--- a/crates/core/src/gateway/prefix_cache.rs
+++ b/crates/core/src/serving/workers/prefix_cache.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::request::PrefixLink;
+use crate::serving::request::PrefixLink;
 use crate::time::Timestamp;
 
 /// The share of a worker's memory that cached parts are thought to have, in percent.
--- a/crates/core/src/gateway/workers.rs
+++ b/crates/core/src/serving/workers/table.rs
@@ -3,14 +3,15 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::request::PrefixLink;
+use super::choice::Choice;
 use super::service_times::ServiceTimes;
-use super::worker::{LoadReport, Presence, SharedLoad, WorkerEntry};
+use super::worker::{
+    LoadNews, LoadReport, Presence, SharedLoad, WorkerCount, WorkerEntry, WorkerId, WorkerLoad, WorkerNews,
+    WorkerRecord,
+};
+use crate::serving::request::PrefixLink;
 use crate::time::{Millis, Timestamp};
 
-pub use super::choice::{Choice, WorkerAsk};
-pub use super::worker::{LoadNews, Standing, WorkerCount, WorkerId, WorkerLoad, WorkerNews, WorkerRecord};
-
 /// How long a worker that failed once is passed over; doubles with each failure in a row.
 const FIRST_PASS_OVER: Millis = Millis(300);
 /// How long a worker that could not be reached is passed over at first.
--- a/crates/core/tests/configuration_store.rs
+++ b/crates/core/tests/configuration_store.rs
@@ -9,8 +9,8 @@
 use proptest::prelude::*;
 use proptest::strategy::BoxedStrategy;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
-use stallmoor_core::configuration::apply::ApplyAnswer;
-use stallmoor_core::configuration::{
+use stallmoor_core::node::configuration::apply::ApplyAnswer;
+use stallmoor_core::node::configuration::{
     ApplyId, ApplyOutcome, ApplyStep, Bundle, ConfigurationApply, ConfigurationReplica, Manifest,
 };
 use stallmoor_core::time::Timestamp;
--- a/crates/core/tests/gateway_rules.rs
+++ b/crates/core/tests/gateway_rules.rs
@@ -7,16 +7,16 @@
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stallmoor_core::gateway::attempt::{AttemptEnd, AttemptLedger};
-use stallmoor_core::gateway::configuration::{
+use stallmoor_core::serving::configuration::{
     CallerBounds, GatewayConfiguration, Route, RouteKind, RouteTarget, Service,
 };
-use stallmoor_core::gateway::event_stream::{EventSplitter, WholeEvent};
-use stallmoor_core::gateway::move_budget::MoveBudget;
-use stallmoor_core::gateway::request::{PrefixLink, PromptPart, chain_prefix};
-use stallmoor_core::gateway::service_times::ServiceTimes;
-use stallmoor_core::gateway::unseen_load::{CostSlope, level_after};
-use stallmoor_core::gateway::workers::{
+use stallmoor_core::serving::online::attempt::{AttemptEnd, AttemptLedger};
+use stallmoor_core::serving::online::event_stream::{EventSplitter, WholeEvent};
+use stallmoor_core::serving::online::move_budget::MoveBudget;
+use stallmoor_core::serving::request::{PrefixLink, PromptPart, chain_prefix};
+use stallmoor_core::serving::workers::load_in_transit::{CostSlope, level_after};
+use stallmoor_core::serving::workers::service_times::ServiceTimes;
+use stallmoor_core::serving::workers::{
     LoadNews, Standing, WorkerAsk, WorkerChange, WorkerCount, WorkerId, WorkerLoad, WorkerNews, WorkerRecord,
     WorkerTable,
 };
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -15,19 +15,19 @@
 use golden_values::{job_commands, job_tables, partition_commands, partition_states};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use stallmoor_core::configuration::{ApplyId, Bundle, Manifest, PartDigest, PartReference};
-use stallmoor_core::control::{GroupsRecord, LeaseRecord};
 use stallmoor_core::identity::{CallerId, NodeId};
-use stallmoor_core::jobs::command::JobCommand;
-use stallmoor_core::jobs::directory::StorageRecord;
-use stallmoor_core::jobs::pair::{PairRecord, PairState};
-use stallmoor_core::jobs::table::JobTable;
+use stallmoor_core::node::configuration::{ApplyId, Bundle, Manifest, PartDigest, PartReference};
+use stallmoor_core::node::control::{GroupsRecord, LeaseRecord};
+use stallmoor_core::node::partition::{Command, PartitionState};
 use stallmoor_core::node::{
     CallerCall, Clock, Effect, Event, KeyValueOperation, KeyValueOutcome, Node, NodeSettings, OperatorCall,
     PersistedNode,
 };
-use stallmoor_core::partition::{Command, PartitionState};
 use stallmoor_core::replication::LogIndex;
+use stallmoor_core::serving::jobs::command::JobCommand;
+use stallmoor_core::serving::jobs::directory::StorageRecord;
+use stallmoor_core::serving::jobs::pair::{PairRecord, PairState};
+use stallmoor_core::serving::jobs::table::JobTable;
 use stallmoor_core::time::{Timestamp, UnixMillis};
 
 #[test]
--- a/crates/core/tests/job_table.rs
+++ b/crates/core/tests/job_table.rs
@@ -10,7 +10,7 @@
 use proptest::strategy::BoxedStrategy;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use stallmoor_core::identity::{AttemptId, EngineName, GroupId, JobId};
-use stallmoor_core::partition::{
+use stallmoor_core::node::partition::{
     Command, CommandOutcome, CompletedItem, ItemResult, ItemVerdict, JobPhase, JobSpecification, NewItem,
     PartitionState, Query, QueryAnswer,
 };
--- a/crates/core/tests/jobs_node.rs
+++ b/crates/core/tests/jobs_node.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::jobs::command::{JobItem, JobKey, Submission};
-use stallmoor_core::jobs::node::{JobsChange, JobsEffect, JobsNode, NotProposed, Waiter};
-use stallmoor_core::jobs::request::JobsAnswer;
 use stallmoor_core::replication::{GroupMembership, PersistedReplica, ReplicaSettings};
+use stallmoor_core::serving::jobs::command::{JobItem, JobKey, Submission};
+use stallmoor_core::serving::jobs::node::{JobsChange, JobsEffect, JobsNode, NotProposed, Waiter};
+use stallmoor_core::serving::jobs::request::JobsAnswer;
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
 
 const SELF: NodeId = NodeId(1);
--- a/crates/core/tests/jobs_rules.rs
+++ b/crates/core/tests/jobs_rules.rs
@@ -4,18 +4,18 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use stallmoor_core::gateway::tenant::{CallerIdentity, TenantName};
-use stallmoor_core::gateway::workers::{LoadNews, WorkerCount, WorkerId, WorkerNews};
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::jobs::command::{
+use stallmoor_core::replication::{GroupMembership, LogIndex};
+use stallmoor_core::serving::configuration::tenant::{CallerIdentity, TenantName};
+use stallmoor_core::serving::jobs::command::{
     ItemKey, ItemProgress, ItemState, JobCommand, JobItem, JobKey, JobOutcome, LoggedOutput, PartialOutput, QueueKey,
     Submission,
 };
-use stallmoor_core::jobs::dispatch::{Dispatcher, RunEnd, RunningItem};
-use stallmoor_core::jobs::load_share::LoadShare;
-use stallmoor_core::jobs::pair::{PairRecord, PairState, PairView, StoredPair};
-use stallmoor_core::jobs::table::JobTable;
-use stallmoor_core::replication::{GroupMembership, LogIndex};
+use stallmoor_core::serving::jobs::dispatch::{Dispatcher, RunEnd, RunningItem};
+use stallmoor_core::serving::jobs::load_share::LoadShare;
+use stallmoor_core::serving::jobs::pair::{PairRecord, PairState, PairView, StoredPair};
+use stallmoor_core::serving::jobs::table::JobTable;
+use stallmoor_core::serving::workers::{LoadNews, WorkerCount, WorkerId, WorkerNews};
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
 
 mod support;
--- a/crates/core/tests/jobs_simulation.rs
+++ b/crates/core/tests/jobs_simulation.rs
@@ -8,16 +8,18 @@
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::jobs::command::{ItemKey, ItemState, JobCommand, JobItem, JobKey, LoggedOutput, Submission};
-use stallmoor_core::jobs::directory::{StorageDirectory, StorageRecord};
-use stallmoor_core::jobs::members::{EmptyingState, Members, MembersAction};
-use stallmoor_core::jobs::node::{JobsChange, JobsEffect, JobsNode, Waiter};
-use stallmoor_core::jobs::pair::{PairRecord, StoredPair};
-use stallmoor_core::jobs::request::JobsAnswer;
-use stallmoor_core::jobs::table::ListedResult;
 use stallmoor_core::replication::{
     GroupMembership, LogIndex, MessageKind, PersistedReplica, ReplicaSettings, ReplicationMessage,
 };
+use stallmoor_core::serving::jobs::command::{
+    ItemKey, ItemState, JobCommand, JobItem, JobKey, LoggedOutput, Submission,
+};
+use stallmoor_core::serving::jobs::directory::{StorageDirectory, StorageRecord};
+use stallmoor_core::serving::jobs::members::{EmptyingState, Members, MembersAction};
+use stallmoor_core::serving::jobs::node::{JobsChange, JobsEffect, JobsNode, Waiter};
+use stallmoor_core::serving::jobs::pair::{PairRecord, StoredPair};
+use stallmoor_core::serving::jobs::request::JobsAnswer;
+use stallmoor_core::serving::jobs::table::ListedResult;
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
 
 /// The clock's step, in milliseconds.
--- a/crates/core/tests/load_gathering.rs
+++ b/crates/core/tests/load_gathering.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use stallmoor_core::gateway::workers::{LoadNews, WorkerId, WorkerNews};
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::jobs::load_share::LoadShare;
+use stallmoor_core::serving::jobs::load_share::LoadShare;
+use stallmoor_core::serving::workers::{LoadNews, WorkerId, WorkerNews};
 use stallmoor_core::time::{Millis, Timestamp};
 
 mod support;
--- a/crates/core/tests/marks_and_sessions.rs
+++ b/crates/core/tests/marks_and_sessions.rs
@@ -10,7 +10,7 @@
 use proptest::strategy::BoxedStrategy;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use stallmoor_core::identity::{AttemptId, EngineName};
-use stallmoor_core::partition::{
+use stallmoor_core::node::partition::{
     Command, CommandOutcome, PartitionState, RequestKey, SessionKey, SessionRecord, Settlement,
 };
 use stallmoor_core::time::UnixMillis;
--- a/crates/core/tests/quota_simulation.rs
+++ b/crates/core/tests/quota_simulation.rs
@@ -6,12 +6,12 @@
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stallmoor_core::gateway::tenant::{MilliRequests, RateLimit, TenantName};
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::quota::bucket::{BucketLimit, TokenBucket};
-use stallmoor_core::quota::coordinator::RateCoordinator;
-use stallmoor_core::quota::limiter::{Admission, RateLimiter, TenantAsk};
-use stallmoor_core::quota::message::{QuotaNews, QuotaReport};
+use stallmoor_core::serving::configuration::tenant::{MilliRequests, RateLimit, TenantName};
+use stallmoor_core::serving::quota::bucket::{BucketLimit, TokenBucket};
+use stallmoor_core::serving::quota::coordinator::RateCoordinator;
+use stallmoor_core::serving::quota::limiter::{Admission, RateLimiter, TenantAsk};
+use stallmoor_core::serving::quota::message::{QuotaNews, QuotaReport};
 use stallmoor_core::time::{Millis, Timestamp};
 
 mod support;
--- a/crates/core/tests/record_grace.rs
+++ b/crates/core/tests/record_grace.rs
@@ -3,12 +3,12 @@
 
 use proptest::prelude::*;
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::relay::bounds::WatchBounds;
-use stallmoor_core::relay::item::Revision;
-use stallmoor_core::relay::message::{ChangeSet, ChangesAnswer};
-use stallmoor_core::relay::mirror::MissingKeys;
-use stallmoor_core::relay::outage::FailedCall;
-use stallmoor_core::relay::policy::{Role, Step, ViewState, WatchPolicy};
+use stallmoor_core::serving::relay::bounds::WatchBounds;
+use stallmoor_core::serving::relay::item::Revision;
+use stallmoor_core::serving::relay::message::{ChangeSet, ChangesAnswer};
+use stallmoor_core::serving::relay::mirror::MissingKeys;
+use stallmoor_core::serving::relay::outage::FailedCall;
+use stallmoor_core::serving::relay::policy::{Role, Step, ViewState, WatchPolicy};
 use stallmoor_core::time::{Millis, Timestamp};
 
 const BOUNDS: WatchBounds = WatchBounds { change: Millis(2_000), contact: Millis(3_000), heartbeat: Millis(1_200) };
--- a/crates/core/tests/relay_mirror.rs
+++ b/crates/core/tests/relay_mirror.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use stallmoor_core::relay::item::{ItemState, MetadataItem, Revision};
-use stallmoor_core::relay::mirror::{Mirror, MissingKeys};
+use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::mirror::{Mirror, MissingKeys};
 use stallmoor_core::time::{Millis, Timestamp};
 
 mod support;
--- a/crates/core/tests/relay_simulation.rs
+++ b/crates/core/tests/relay_simulation.rs
@@ -10,14 +10,14 @@
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stallmoor_core::gateway::workers::{WorkerAsk, WorkerId, WorkerRecord, WorkerTable};
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::relay::bounds::WatchBounds;
-use stallmoor_core::relay::item::{ItemState, MetadataItem, Revision};
-use stallmoor_core::relay::message::ChangesAnswer;
-use stallmoor_core::relay::mirror::{Mirror, MissingKeys};
-use stallmoor_core::relay::outage::{FailedCall, RecordGrace};
-use stallmoor_core::relay::policy::{Role, Step, ViewState, WatchPolicy};
+use stallmoor_core::serving::relay::bounds::WatchBounds;
+use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::message::ChangesAnswer;
+use stallmoor_core::serving::relay::mirror::{Mirror, MissingKeys};
+use stallmoor_core::serving::relay::outage::{FailedCall, RecordGrace};
+use stallmoor_core::serving::relay::policy::{Role, Step, ViewState, WatchPolicy};
+use stallmoor_core::serving::workers::{WorkerAsk, WorkerId, WorkerRecord, WorkerTable};
 use stallmoor_core::time::{Millis, Timestamp};
 
 const BOUNDS: WatchBounds = WatchBounds { change: Millis(2_000), contact: Millis(3_000), heartbeat: Millis(1_200) };
--- a/crates/core/tests/replication_rules.rs
+++ b/crates/core/tests/replication_rules.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use stallmoor_core::configuration::apply::ApplyAnswer;
-use stallmoor_core::configuration::{ApplyId, ApplyStep, Bundle, ConfigurationApply, Manifest};
 use stallmoor_core::identity::{GroupId, NodeId};
+use stallmoor_core::node::configuration::apply::ApplyAnswer;
+use stallmoor_core::node::configuration::{ApplyId, ApplyStep, Bundle, ConfigurationApply, Manifest};
 use stallmoor_core::replication::{
     Entry, EntryPayload, GroupMembership, HardState, LogIndex, MembershipChange, MessageKind, PersistedReplica,
     ProposalError, Replica, ReplicaEffect, ReplicaSettings, ReplicationMessage, Term,
--- a/crates/core/tests/support/golden_values.rs
+++ b/crates/core/tests/support/golden_values.rs
@@ -5,16 +5,16 @@
 
 use std::sync::Arc;
 
-use stallmoor_core::gateway::tenant::{CallerIdentity, TenantName};
 use stallmoor_core::identity::{AttemptId, EngineName, GroupId, JobId};
-use stallmoor_core::jobs::command::{
-    ItemHeader, ItemKey, ItemProgress, ItemState, JobCommand, JobItem, JobKey, LoggedOutput, Submission,
-};
-use stallmoor_core::jobs::table::JobTable;
-use stallmoor_core::partition::{
+use stallmoor_core::node::partition::{
     Command, CompletedItem, ItemResult, ItemVerdict, JobSpecification, NewItem, PartitionState, RequestKey, SessionKey,
     SessionRecord, Settlement,
 };
+use stallmoor_core::serving::configuration::tenant::{CallerIdentity, TenantName};
+use stallmoor_core::serving::jobs::command::{
+    ItemHeader, ItemKey, ItemProgress, ItemState, JobCommand, JobItem, JobKey, LoggedOutput, Submission,
+};
+use stallmoor_core::serving::jobs::table::JobTable;
 use stallmoor_core::time::{Millis, UnixMillis};
 
 /// A tenant.
--- a/crates/core/tests/tenant_rules.rs
+++ b/crates/core/tests/tenant_rules.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
-use stallmoor_core::gateway::configuration::{CallerBounds, GatewayConfiguration};
-use stallmoor_core::gateway::tenant::{
+use stallmoor_core::serving::configuration::tenant::{
     ApiKey, CallerIdentity, Tenant, TenantEntry, TenantError, TenantName, TenantTable, UnknownKey,
 };
+use stallmoor_core::serving::configuration::{CallerBounds, GatewayConfiguration};
 
 mod support;
 
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/adapter/dialect.rs
@@ -6,12 +6,12 @@
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode, Uri};
-use stallmoor_core::gateway::configuration::Route;
-use stallmoor_core::gateway::request::RequestFacts;
-use stallmoor_core::gateway::tenant::{ApiKey, CallerIdentity, TenantName};
-use stallmoor_core::gateway::workers::{WorkerId, WorkerLoad};
-use stallmoor_core::jobs::command::{JobItem, JobKey, Submission};
-use stallmoor_core::jobs::table::ResultPage;
+use stallmoor_core::serving::configuration::Route;
+use stallmoor_core::serving::configuration::tenant::{ApiKey, CallerIdentity, TenantName};
+use stallmoor_core::serving::jobs::command::{JobItem, JobKey, Submission};
+use stallmoor_core::serving::jobs::table::ResultPage;
+use stallmoor_core::serving::request::RequestFacts;
+use stallmoor_core::serving::workers::{WorkerId, WorkerLoad};
 use stallmoor_core::time::{Millis, UnixMillis};
 
 /// A request that can't be read.
--- a/crates/gateway/src/metadata.rs
+++ b/crates/gateway/src/adapter/metadata.rs
@@ -4,11 +4,11 @@
 use std::pin::Pin;
 use std::sync::Arc;
 
-use stallmoor_core::gateway::configuration::GatewayConfiguration;
-use stallmoor_core::gateway::workers::{WorkerId, WorkerRecord};
-use stallmoor_core::jobs::members::EmptyingState;
-use stallmoor_core::relay::item::{ItemState, MetadataItem, Revision};
-use stallmoor_core::relay::outage::RecordGrace;
+use stallmoor_core::serving::configuration::GatewayConfiguration;
+use stallmoor_core::serving::jobs::members::EmptyingState;
+use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::outage::RecordGrace;
+use stallmoor_core::serving::workers::{WorkerId, WorkerRecord};
 use stallmoor_core::time::{Millis, Timestamp};
 
 /// Something that the store told.
--- a/crates/gateway/src/job_calls.rs
+++ b/crates/gateway/src/batch/job_calls.rs
@@ -6,21 +6,21 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Response, StatusCode};
 use stallmoor_core::error::{ErrorKind, Ran, Refusal};
-use stallmoor_core::gateway::configuration::Route;
-use stallmoor_core::gateway::request::RequestFacts;
-use stallmoor_core::gateway::tenant::CallerIdentity;
-use stallmoor_core::jobs::command::{JobKey, Submission};
-use stallmoor_core::jobs::request::{JobsAnswer, JobsRequest};
 use stallmoor_core::log_event::LogEvent;
+use stallmoor_core::serving::configuration::Route;
+use stallmoor_core::serving::configuration::tenant::CallerIdentity;
+use stallmoor_core::serving::jobs::command::{JobKey, Submission};
+use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
+use stallmoor_core::serving::request::RequestFacts;
 use stallmoor_core::time::{Millis, Timestamp};
 
-use crate::answer_body::AnswerBody;
-use crate::dialect::{Dialect, JobCall};
-use crate::fleet_view::FleetView;
-use crate::jobs_client::{JobsClient, NoLeader};
-use crate::journal::{Field, record};
-use crate::measures;
-use crate::refusal;
+use crate::adapter::dialect::{Dialect, JobCall};
+use crate::fleet::fleet_view::FleetView;
+use crate::http::answer_body::AnswerBody;
+use crate::http::refusal;
+use crate::leader::client::{JobsClient, NoLeader};
+use crate::observe::journal::{Field, record};
+use crate::observe::measures;
 
 /// How long a submission is tried where the caller gives no deadline.
 const SUBMIT_WITHIN: Millis = Millis(2_500);
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/callers/server.rs
@@ -1,4 +1,4 @@
-//! The listener for callers and the one for readiness.
+//! The listener for callers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -10,28 +10,27 @@
 use hyper::header::{CONNECTION, HOST, HeaderMap, HeaderValue};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use hyper::{Request, Response, StatusCode};
+use hyper::{Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use stallmoor_core::error::{ErrorKind, Refusal};
-use stallmoor_core::gateway::configuration::{CallerBounds, Route, RouteKind};
-use stallmoor_core::gateway::request::RequestFacts;
-use stallmoor_core::gateway::tenant::CallerIdentity;
 use stallmoor_core::log_event::LogEvent;
+use stallmoor_core::serving::configuration::tenant::CallerIdentity;
+use stallmoor_core::serving::configuration::{CallerBounds, Route, RouteKind};
+use stallmoor_core::serving::request::RequestFacts;
 use stallmoor_core::time::Timestamp;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use crate::answer_body::AnswerBody;
-use crate::attempt::WorkerClient;
-use crate::dialect::{BadRequest, JobCall};
-use crate::job_calls::{JobCalls, JobSubmission};
-use crate::journal::{Field, record};
+use crate::adapter::dialect::{BadRequest, JobCall};
+use crate::batch::job_calls::{JobCalls, JobSubmission};
+use crate::http::answer_body::AnswerBody;
+use crate::http::plain_listener::ACCEPT_WAIT;
+use crate::http::refusal;
+use crate::leader::rate_limits::RateLimits;
+use crate::observe::journal::{Field, record};
 use crate::online::{self, OnlineRequest};
-use crate::rate_limits::RateLimits;
-use crate::refusal;
+use crate::workers::attempt::WorkerClient;
 
-/// The wait after a failed accept: the process is out of descriptors.
-const ACCEPT_WAIT: Duration = Duration::from_millis(20);
 /// How long a node that has just started lets a request wait for its first view of the fleet. A refusal after
 /// that comes soon enough to be tried elsewhere.
 const START_PATIENCE: Duration = Duration::from_millis(60);
@@ -225,36 +224,3 @@
         Err(_) => Err(Refusal::new(ErrorKind::MalformedRequest, "the body broke off")),
     }
 }
-
-/// Answers whether the node takes requests.
-pub async fn serve_readiness(listener: TcpListener, is_ready: impl Fn() -> bool + Clone + Send + 'static) {
-    serve_plain(listener, move |_request: &Request<Incoming>| {
-        let mut response = Response::new(AnswerBody::whole(Bytes::new()));
-        *response.status_mut() = if is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        response
-    })
-    .await;
-}
-
-/// Serves answers that need no waiting, until the process ends.
-pub async fn serve_plain<A>(listener: TcpListener, answer: A)
-where
-    A: Fn(&Request<Incoming>) -> Response<AnswerBody> + Clone + Send + 'static,
-{
-    loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_WAIT).await;
-            continue;
-        };
-        let answer = answer.clone();
-        let service = service_fn(move |request: Request<Incoming>| {
-            let response = answer(&request);
-            async move { Ok::<_, Infallible>(response) }
-        });
-        tokio::spawn(async move {
-            let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // A question that breaks off is asked again.
-            let _ = connection.await;
-        });
-    }
-}
--- a/crates/gateway/src/fleet_view.rs
+++ b/crates/gateway/src/fleet/fleet_view.rs
@@ -6,19 +6,19 @@
 
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stallmoor_core::gateway::configuration::{GatewayConfiguration, Route};
-use stallmoor_core::gateway::move_budget::MoveBudget;
-use stallmoor_core::gateway::workers::{WorkerChange, WorkerId, WorkerTable};
-use stallmoor_core::jobs::directory::{StorageDirectory, StorageRecord};
 use stallmoor_core::log_event::LogEvent;
-use stallmoor_core::relay::item::MetadataItem;
+use stallmoor_core::serving::configuration::{GatewayConfiguration, Route};
+use stallmoor_core::serving::jobs::directory::{StorageDirectory, StorageRecord};
+use stallmoor_core::serving::online::move_budget::MoveBudget;
+use stallmoor_core::serving::relay::item::MetadataItem;
+use stallmoor_core::serving::workers::{WorkerChange, WorkerId, WorkerTable};
 use stallmoor_core::time::Timestamp;
 use tokio::sync::watch;
 
+use crate::adapter::metadata::FleetUpdate;
 use crate::clock::NodeClock;
-use crate::journal::{Field, record};
-use crate::measures;
-use crate::metadata::FleetUpdate;
+use crate::observe::journal::{Field, record};
+use crate::observe::measures;
 
 /// The product's keys of storing nodes begin so.
 pub const STORAGE_KEYS: &str = "stallmoor/storage/";
--- a/crates/gateway/src/metadata_view.rs
+++ b/crates/gateway/src/fleet/metadata_view.rs
@@ -3,12 +3,12 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use stallmoor_core::node::GroupRefusal;
-use stallmoor_core::relay::bounds::WatchBounds;
-use stallmoor_core::relay::item::{MetadataItem, Revision};
-use stallmoor_core::relay::message::{ChangesAnswer, ChangesRequest};
-use stallmoor_core::relay::mirror::{Mirror, MissingKeys};
-use stallmoor_core::relay::policy::ViewState;
+use stallmoor_core::peer_message::GroupRefusal;
+use stallmoor_core::serving::relay::bounds::WatchBounds;
+use stallmoor_core::serving::relay::item::{MetadataItem, Revision};
+use stallmoor_core::serving::relay::message::{ChangesAnswer, ChangesRequest};
+use stallmoor_core::serving::relay::mirror::{Mirror, MissingKeys};
+use stallmoor_core::serving::relay::policy::ViewState;
 use stallmoor_core::time::{Millis, Timestamp};
 use tokio::sync::{Notify, watch};
 
--- a/crates/gateway/src/metadata_watch.rs
+++ b/crates/gateway/src/fleet/metadata_watch.rs
@@ -6,22 +6,22 @@
 use rand::Rng;
 use stallmoor_core::identity::NodeId;
 use stallmoor_core::log_event::LogEvent;
-use stallmoor_core::relay::bounds::WatchBounds;
-use stallmoor_core::relay::choice::rank_relays;
-use stallmoor_core::relay::item::{MetadataItem, Revision};
-use stallmoor_core::relay::message::{ChangesAnswer, ChangesRequest};
-use stallmoor_core::relay::mirror::MissingKeys;
-use stallmoor_core::relay::outage::{FailedCall, RecordGrace};
-use stallmoor_core::relay::policy::{Role, Step, WatchPolicy};
+use stallmoor_core::serving::relay::bounds::WatchBounds;
+use stallmoor_core::serving::relay::choice::rank_relays;
+use stallmoor_core::serving::relay::item::{MetadataItem, Revision};
+use stallmoor_core::serving::relay::message::{ChangesAnswer, ChangesRequest};
+use stallmoor_core::serving::relay::mirror::MissingKeys;
+use stallmoor_core::serving::relay::outage::{FailedCall, RecordGrace};
+use stallmoor_core::serving::relay::policy::{Role, Step, WatchPolicy};
 use stallmoor_core::time::{Millis, Timestamp};
 use tokio::sync::mpsc::UnboundedSender;
 
-use crate::fleet_view::FleetView;
-use crate::journal::{Field, record};
-use crate::measures;
-use crate::metadata::{FleetUpdate, ItemsAt, MetadataStore, ReadFailure};
-use crate::metadata_view::MetadataView;
-use crate::peer_link::PeerLinks;
+use crate::adapter::metadata::{FleetUpdate, ItemsAt, MetadataStore, ReadFailure};
+use crate::fleet::fleet_view::FleetView;
+use crate::fleet::metadata_view::MetadataView;
+use crate::observe::journal::{Field, record};
+use crate::observe::measures;
+use crate::peers::peer_link::PeerLinks;
 
 /// Follows the store's changes.
 pub struct MetadataWatch {
--- /dev/null
+++ b/crates/gateway/src/http/plain_listener.rs
@@ -0,0 +1,50 @@
+//! Listeners whose answers need no waiting: readiness, metrics.
+
+use std::convert::Infallible;
+use std::time::Duration;
+
+use bytes::Bytes;
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use tokio::net::TcpListener;
+
+use super::answer_body::AnswerBody;
+
+/// The wait after a failed accept: the process is out of descriptors.
+pub(crate) const ACCEPT_WAIT: Duration = Duration::from_millis(20);
+
+/// Answers whether the node takes requests.
+pub async fn serve_readiness(listener: TcpListener, is_ready: impl Fn() -> bool + Clone + Send + 'static) {
+    serve_plain(listener, move |_request: &Request<Incoming>| {
+        let mut response = Response::new(AnswerBody::whole(Bytes::new()));
+        *response.status_mut() = if is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        response
+    })
+    .await;
+}
+
+/// Serves answers that need no waiting, until the process ends.
+pub async fn serve_plain<A>(listener: TcpListener, answer: A)
+where
+    A: Fn(&Request<Incoming>) -> Response<AnswerBody> + Clone + Send + 'static,
+{
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            tokio::time::sleep(ACCEPT_WAIT).await;
+            continue;
+        };
+        let answer = answer.clone();
+        let service = service_fn(move |request: Request<Incoming>| {
+            let response = answer(&request);
+            async move { Ok::<_, Infallible>(response) }
+        });
+        tokio::spawn(async move {
+            let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+            // A question that breaks off is asked again.
+            let _ = connection.await;
+        });
+    }
+}
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/http/refusal.rs
@@ -4,7 +4,7 @@
 use hyper::{Response, StatusCode};
 use stallmoor_core::error::{ErrorKind, Refusal};
 
-use crate::answer_body::AnswerBody;
+use crate::http::answer_body::AnswerBody;
 
 /// The answer for a refusal. One that promises that the request did not run says when to come back.
 pub fn answer(refusal: &Refusal) -> Response<AnswerBody> {
--- a/crates/gateway/src/jobs_client.rs
+++ b/crates/gateway/src/leader/client.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::jobs::request::{JobsAnswer, JobsRequest};
-use stallmoor_core::node::GroupRefusal;
+use stallmoor_core::peer_message::GroupRefusal;
+use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
 use stallmoor_core::time::{Millis, Timestamp};
 
-use crate::fleet_view::FleetView;
-use crate::peer_link::{LinkFailure, PeerLinks};
+use crate::fleet::fleet_view::FleetView;
+use crate::peers::peer_link::{LinkFailure, PeerLinks};
 
 /// How long one node's answer is waited for, beyond what the request itself asks to wait.
 const TRY_TIMEOUT: Duration = Duration::from_millis(900);
--- a/crates/gateway/src/load_sharing.rs
+++ b/crates/gateway/src/leader/load_exchange.rs
@@ -4,15 +4,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stallmoor_core::gateway::workers::LoadNews;
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::jobs::request::{JobsAnswer, JobsRequest};
-use stallmoor_core::relay::choice::{RelayChoice, rank_relays};
+use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
+use stallmoor_core::serving::relay::choice::{RelayChoice, rank_relays};
+use stallmoor_core::serving::workers::LoadNews;
 use stallmoor_core::time::{Millis, Timestamp};
 
-use crate::fleet_view::FleetView;
-use crate::job_calls::JobCalls;
-use crate::peer_link::PeerLinks;
+use crate::batch::job_calls::JobCalls;
+use crate::fleet::fleet_view::FleetView;
+use crate::peers::peer_link::PeerLinks;
 
 /// How long an answer is waited for.
 const PATIENCE: Millis = Millis(250);
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/leader/rate_limits.rs
@@ -5,16 +5,16 @@
 
 use rand::Rng;
 use stallmoor_core::error::{ErrorKind, Refusal};
-use stallmoor_core::gateway::tenant::{CallerIdentity, RateLimit, TenantName};
-use stallmoor_core::jobs::request::{JobsAnswer, JobsRequest};
-use stallmoor_core::quota::limiter::{Admission, OverLimit, RateLimiter, TenantAsk};
-use stallmoor_core::quota::message::QuotaReport;
+use stallmoor_core::serving::configuration::tenant::{CallerIdentity, RateLimit, TenantName};
+use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
+use stallmoor_core::serving::quota::limiter::{Admission, OverLimit, RateLimiter, TenantAsk};
+use stallmoor_core::serving::quota::message::QuotaReport;
 use stallmoor_core::time::{Millis, Timestamp};
 use tokio::sync::{Notify, watch};
 
-use crate::fleet_view::FleetView;
-use crate::job_calls::JobCalls;
-use crate::measures;
+use crate::batch::job_calls::JobCalls;
+use crate::fleet::fleet_view::FleetView;
+use crate::observe::measures;
 
 /// How long a request waits for the leader's first word of its tenant: a few ways between zones.
 const FIRST_WORD: Duration = Duration::from_millis(60);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,59 +1,39 @@
-//! Processes that serve requests and batch jobs passing through unchanged.
+//! The programs `stallmoor gateway` and `stallmoor storage`: serving requests and batch jobs that pass through
+//! unchanged, on the platform of the users.
 //!
-//! A gateway takes callers' requests and passes them to workers; a storing node keeps batch jobs and,
-//! while it leads, runs their items. All decisions are in [`stallmoor_core::gateway`] and
-//! [`stallmoor_core::jobs`]; this crate has the sockets, clocks and disks. The wire of callers,
-//! workers and the metadata store is spelled by an adapter ([`adapter::PlatformAdapter`]).
+//! A gateway takes callers' requests and passes them to workers; a storing node keeps batch jobs and, while it leads,
+//! runs their items. Decisions are in [`stallmoor_core::serving`]; this crate has the sockets, clocks and disks. How
+//! callers, workers and the metadata store spell things is known to an adapter alone ([`adapter`]).
 //!
-//! | module | owns |
+//! A room relies only on those above it:
+//!
+//! | room | owns |
 //! |---|---|
-//! | [`process`] | a process put together, its stop and its reload |
-//! | [`settings`] | the settings file |
-//! | [`signals`] | the signals that a process gets |
-//! | [`adapter`], [`dialect`], [`metadata`] | what an adapter brings |
-//! | [`metadata_view`], [`metadata_watch`] | this node's view of the metadata store, and keeping it up to date |
-//! | [`fleet_view`] | what this node believes of the fleet |
-//! | [`server`] | the listeners for callers and for readiness |
-//! | [`online`] | a request from admission to the last byte of its answer |
-//! | [`attempt`], [`connections`] | one attempt at one worker, and kept connections |
-//! | [`job_calls`], [`jobs_client`] | callers' calls about batch jobs, and the way to the leader |
-//! | [`storage_service`], [`storage_server`], [`item_run`], [`disk_writer`] | a storing node at work |
-//! | [`load_sharing`] | exchanging loads with the leader |
-//! | [`registration`] | a storing node's record, and the founding of the group |
-//! | [`peer_link`], [`frames`] | messages between nodes |
-//! | [`headers`] | which headers are passed on |
-//! | [`measures`] | counters, gauges and histograms |
-//! | [`journal`], [`log_writer`] | structured log lines, and where they go |
+//! | [`http`] | answers, refusals and plain listeners |
+//! | [`observe`] | log lines and metrics |
+//! | [`sockets`], [`clock`] | how sockets are set up; the two clocks of a node |
+//! | [`adapter`] | what an adapter to a platform brings |
+//! | [`peers`] | messages between nodes |
+//! | [`fleet`] | what this node knows of the fleet |
+//! | [`leader`] | what a node exchanges with the leader of the job table |
+//! | [`workers`] | talking to workers |
+//! | [`online`] | a request from its admission to the last byte of its answer |
+//! | [`batch`] | callers' calls about batch jobs |
+//! | [`callers`] | the callers' listener |
+//! | [`storage`] | a storing node at work |
+//! | [`process`] | a process put together: settings, signals, start, stop, reload |
 
 pub mod adapter;
-pub mod answer_body;
-pub mod attempt;
+pub mod batch;
+pub mod callers;
 pub mod clock;
-pub mod connections;
-pub mod dialect;
-pub mod disk_budget;
-pub mod disk_writer;
-pub mod fleet_view;
-pub mod frames;
-pub mod headers;
-pub mod item_run;
-pub mod job_calls;
-pub mod jobs_client;
-pub mod journal;
-pub mod load_sharing;
-pub mod log_writer;
-pub mod measures;
-pub mod metadata;
-pub mod metadata_view;
-pub mod metadata_watch;
+pub mod fleet;
+pub mod http;
+pub mod leader;
+pub mod observe;
 pub mod online;
-pub mod peer_link;
+pub mod peers;
 pub mod process;
-pub mod rate_limits;
-pub mod refusal;
-pub mod registration;
-pub mod server;
-pub mod settings;
-pub mod signals;
-pub mod storage_server;
-pub mod storage_service;
+pub mod sockets;
+pub mod storage;
+pub mod workers;
--- a/crates/gateway/src/log_writer.rs
+++ b/crates/gateway/src/observe/log_writer.rs
@@ -8,7 +8,7 @@
 
 use log::LevelFilter;
 
-use crate::journal::TARGET;
+use crate::observe::journal::TARGET;
 
 /// Lines that may wait; further ones are dropped and counted.
 const LINES: usize = 4_096;
--- a/crates/gateway/src/measures.rs
+++ b/crates/gateway/src/observe/measures.rs
@@ -10,8 +10,8 @@
 use stallmoor_core::time::Millis;
 use tokio::net::TcpListener;
 
-use crate::answer_body::AnswerBody;
-use crate::server::serve_plain;
+use crate::http::answer_body::AnswerBody;
+use crate::http::plain_listener::serve_plain;
 
 /// The path that answers with the figures.
 const PATH: &str = "/metrics";
--- a/crates/gateway/src/online/mod.rs
+++ b/crates/gateway/src/online/mod.rs
@@ -17,17 +17,17 @@
 use hyper::{Method, Response, Uri};
 use rand::Rng;
 use stallmoor_core::error::{ErrorKind, Ran, Refusal};
-use stallmoor_core::gateway::attempt::{AttemptEnd, AttemptLedger};
-use stallmoor_core::gateway::configuration::{Route, RouteKind};
-use stallmoor_core::gateway::request::RequestFacts;
-use stallmoor_core::gateway::tenant::CallerIdentity;
-use stallmoor_core::gateway::workers::{Choice, WorkerAsk, WorkerId};
+use stallmoor_core::serving::configuration::tenant::CallerIdentity;
+use stallmoor_core::serving::configuration::{Route, RouteKind};
+use stallmoor_core::serving::online::attempt::{AttemptEnd, AttemptLedger};
+use stallmoor_core::serving::request::RequestFacts;
+use stallmoor_core::serving::workers::{Choice, WorkerAsk, WorkerId};
 use stallmoor_core::time::{Millis, Timestamp};
 
-use crate::answer_body::{Aborted, AnswerBody};
-use crate::attempt::{Attempt, OpenAnswer, WorkerClient};
-use crate::dialect::AttemptTerms;
-use crate::refusal;
+use crate::adapter::dialect::AttemptTerms;
+use crate::http::answer_body::{Aborted, AnswerBody};
+use crate::http::refusal;
+use crate::workers::attempt::{Attempt, OpenAnswer, WorkerClient};
 
 /// The share of the objective for which a first attempt is waited for before another worker is tried.
 const FIRST_PATIENCE_PERCENT: u64 = 50;
--- a/crates/gateway/src/online/records.rs
+++ b/crates/gateway/src/online/records.rs
@@ -1,13 +1,13 @@
 //! What a request leaves in the log and in the figures.
 
 use stallmoor_core::error::Refusal;
-use stallmoor_core::gateway::attempt::AttemptEnd;
-use stallmoor_core::gateway::workers::WorkerId;
 use stallmoor_core::log_event::LogEvent;
+use stallmoor_core::serving::online::attempt::AttemptEnd;
+use stallmoor_core::serving::workers::WorkerId;
 
 use super::Passage;
-use crate::journal::{Field, record};
-use crate::measures;
+use crate::observe::journal::{Field, record};
+use crate::observe::measures;
 
 impl Passage {
     pub(super) fn log_attempt(&self, worker: &WorkerId, end: AttemptEnd) {
--- a/crates/gateway/src/online/stream.rs
+++ b/crates/gateway/src/online/stream.rs
@@ -6,13 +6,13 @@
 use http_body_util::BodyExt;
 use hyper::Response;
 use hyper::header::CONTENT_LENGTH;
-use stallmoor_core::gateway::attempt::AttemptEnd;
-use stallmoor_core::gateway::event_stream::{EventSplitter, WholeEvent};
+use stallmoor_core::serving::online::attempt::AttemptEnd;
+use stallmoor_core::serving::online::event_stream::{EventSplitter, WholeEvent};
 use stallmoor_core::time::{Millis, Timestamp};
 
 use super::{LEAST_REMAINING, Passage};
-use crate::answer_body::{Aborted, AnswerBody, PieceSender};
-use crate::attempt::OpenAnswer;
+use crate::http::answer_body::{Aborted, AnswerBody, PieceSender};
+use crate::workers::attempt::OpenAnswer;
 
 /// The share of the longest pause that is in time after which another worker goes on.
 const GAP_PATIENCE_PERCENT: u64 = 60;
--- a/crates/gateway/src/frames.rs
+++ b/crates/gateway/src/peers/frames.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use stallmoor_core::node::PeerMessage;
+use stallmoor_core::peer_message::PeerMessage;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 /// Writes a frame.
--- a/crates/gateway/src/peer_link.rs
+++ b/crates/gateway/src/peers/peer_link.rs
@@ -6,15 +6,17 @@
 use std::time::Duration;
 
 use stallmoor_core::identity::{GroupId, NodeId};
-use stallmoor_core::jobs::request::{JobsAnswer, JobsRequest};
-use stallmoor_core::node::{GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody, PeerMessage};
-use stallmoor_core::relay::message::{ChangesAnswer, ChangesRequest};
+use stallmoor_core::peer_message::{
+    GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody, PeerMessage,
+};
 use stallmoor_core::replication::MessageKind;
+use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
+use stallmoor_core::serving::relay::message::{ChangesAnswer, ChangesRequest};
 use tokio::io::{AsyncWriteExt, BufReader, BufWriter};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::connections::connect_tuned;
-use crate::frames::{read_message, write_frame};
+use crate::peers::frames::{read_message, write_frame};
+use crate::sockets::connect_tuned;
 
 /// Most messages that wait for one peer; what doesn't fit is dropped.
 const QUEUE: usize = 1_024;
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -1,4 +1,12 @@
 //! A gateway or a storing node as a process: its parts put together, its stop and its reload.
+//!
+//! | module | owns |
+//! |---|---|
+//! | [`settings`] | the settings file |
+//! | [`signals`] | the signals that a process gets |
+
+pub mod settings;
+pub mod signals;
 
 use std::path::Path;
 use std::sync::Arc;
@@ -8,37 +16,38 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use snafu::{ResultExt, Snafu};
 use stallmoor_core::identity::{GroupId, NodeId};
-use stallmoor_core::jobs::directory::StorageRecord;
-use stallmoor_core::jobs::node::JobsNode;
-use stallmoor_core::jobs::table::JobTable;
 use stallmoor_core::log_event::LogEvent;
 use stallmoor_core::replication::ReplicaSettings;
+use stallmoor_core::serving::jobs::directory::StorageRecord;
+use stallmoor_core::serving::jobs::node::JobsNode;
+use stallmoor_core::serving::jobs::table::JobTable;
 use stallmoor_storage::{FolderOwner, ReplicaFolder, StorageError};
-use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{mpsc, watch};
 
 use crate::adapter::PlatformAdapter;
-use crate::attempt::WorkerClient;
+use crate::adapter::metadata::FleetUpdate;
+use crate::batch::job_calls::JobCalls;
+use crate::callers::server::{CallerServer, StopPhase};
 use crate::clock::NodeClock;
-use crate::connections::ConnectionPool;
-use crate::disk_budget::DiskBudget;
-use crate::disk_writer::DiskWriter;
-use crate::fleet_view::FleetView;
-use crate::job_calls::JobCalls;
-use crate::jobs_client::JobsClient;
-use crate::journal::{Field, record};
-use crate::load_sharing::share_loads;
-use crate::measures;
-use crate::metadata::FleetUpdate;
-use crate::metadata_view::MetadataView;
-use crate::metadata_watch::MetadataWatch;
-use crate::rate_limits::{RateLimits, share_limits};
-use crate::registration;
-use crate::server::{CallerServer, StopPhase, serve_readiness};
-use crate::settings::ServingSettings;
-use crate::signals::{ProcessSignals, SignalRequest};
-use crate::storage_server::accept_peers;
-use crate::storage_service::{StorageInputs, StorageParts, StorageService};
+use crate::fleet::fleet_view::FleetView;
+use crate::fleet::metadata_view::MetadataView;
+use crate::fleet::metadata_watch::MetadataWatch;
+use crate::http::plain_listener::serve_readiness;
+use crate::leader::client::JobsClient;
+use crate::leader::load_exchange::share_loads;
+use crate::leader::rate_limits::{RateLimits, share_limits};
+use crate::observe::journal::{Field, record};
+use crate::observe::measures;
+use crate::process::settings::ServingSettings;
+use crate::process::signals::{ProcessSignals, SignalRequest};
+use crate::sockets::listen;
+use crate::storage::disk_budget::DiskBudget;
+use crate::storage::disk_writer::DiskWriter;
+use crate::storage::peer_listener::accept_peers;
+use crate::storage::registration;
+use crate::storage::service::{StorageInputs, StorageParts, StorageService};
+use crate::workers::attempt::WorkerClient;
+use crate::workers::connections::ConnectionPool;
 
 /// For how long a leaving gateway still takes new connections: its callers are told within two
 /// questions a second apart.
@@ -47,8 +56,6 @@
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
 /// How long a storing node hands its leadership over before it stops all the same.
 const HAND_OVER: Duration = Duration::from_millis(1_500);
-/// Connections that wait to be accepted.
-const BACKLOG: u32 = 1_024;
 /// The group that holds the job table.
 const JOBS_GROUP: GroupId = GroupId(0);
 /// Messages of peers that wait.
@@ -118,7 +125,7 @@
 fn start_measures(settings: &ServingSettings) -> Result<(), ProcessError> {
     if let Some(address) = settings.metrics_address() {
         measures::start();
-        tokio::spawn(measures::serve(listen(address)?));
+        tokio::spawn(measures::serve(listen(address).context(SystemSnafu { what: "listening" })?));
     }
     Ok(())
 }
@@ -188,8 +195,8 @@
     let (alive, mut all_closed) = mpsc::channel(1);
     let server =
         Arc::new(CallerServer { workers: common.workers.clone(), jobs, limits, stop: stopping.clone(), alive });
-    let caller_listener = listen(callers)?;
-    let readiness_listener = listen(readiness)?;
+    let caller_listener = listen(callers).context(SystemSnafu { what: "listening" })?;
+    let readiness_listener = listen(readiness).context(SystemSnafu { what: "listening" })?;
     let accepting = tokio::spawn(server.run(caller_listener));
     let view = common.view.clone();
     let is_ready = move || *stopping.borrow() == StopPhase::Serving && view.configuration().is_some();
@@ -245,7 +252,11 @@
     let (results, writes) = mpsc::unbounded_channel();
     let disk = DiskWriter::start(log, JOBS_GROUP, results).context(SystemSnafu { what: "the disk's thread" })?;
     let (peer_events, peers) = mpsc::channel(PEER_EVENTS);
-    tokio::spawn(accept_peers(listen(settings.peer_address())?, peer_events, common.metadata.clone()));
+    tokio::spawn(accept_peers(
+        listen(settings.peer_address()).context(SystemSnafu { what: "listening" })?,
+        peer_events,
+        common.metadata.clone(),
+    ));
     let (further, service_updates) = mpsc::unbounded_channel();
     watch_metadata(id, &common, settings, adapter, Some(further));
     let own = StorageRecord {
@@ -291,16 +302,6 @@
     Ok(())
 }
 
-fn listen(address: std::net::SocketAddr) -> Result<TcpListener, ProcessError> {
-    let bind = || {
-        let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-        socket.set_reuseaddr(true)?;
-        socket.bind(address)?;
-        socket.listen(BACKLOG)
-    };
-    bind().context(SystemSnafu { what: "listening" })
-}
-
 async fn close_stale(workers: Arc<WorkerClient>) {
     let mut ticks = tokio::time::interval(Duration::from_millis(500));
     loop {
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/process/settings.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu};
-use stallmoor_core::relay::bounds::WatchBounds;
+use stallmoor_core::serving::relay::bounds::WatchBounds;
 use stallmoor_core::time::Millis;
 
 /// Why settings can't be used.
--- /dev/null
+++ b/crates/gateway/src/sockets.rs
@@ -0,0 +1,48 @@
+//! How the sockets of a node are set up.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+
+/// How long sent bytes may stay unacknowledged before the connection counts as dead.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// A connection without traffic is probed after this long.
+const PROBE_AFTER: Duration = Duration::from_secs(1);
+/// Connections that wait to be accepted.
+const BACKLOG: u32 = 1_024;
+
+/// A connection that finds out by itself that its peer is silent.
+///
+/// # Errors
+///
+/// The peer can't be reached.
+pub async fn connect_tuned(address: SocketAddr) -> std::io::Result<TcpStream> {
+    let socket = new_socket(address)?;
+    tune(&socket)?;
+    socket.connect(address).await
+}
+
+/// A listener whose address may be taken again right after the process ends.
+///
+/// # Errors
+///
+/// The address is in use, or not this machine's.
+pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
+    let socket = new_socket(address)?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(BACKLOG)
+}
+
+fn new_socket(address: SocketAddr) -> std::io::Result<TcpSocket> {
+    if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }
+}
+
+fn tune(socket: &TcpSocket) -> std::io::Result<()> {
+    socket.set_nodelay(true)?;
+    let reference = socket2::SockRef::from(socket);
+    reference.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
+    let probes = socket2::TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_AFTER).with_retries(2);
+    reference.set_tcp_keepalive(&probes)
+}
--- a/crates/gateway/src/item_run.rs
+++ b/crates/gateway/src/storage/item_run.rs
@@ -5,17 +5,17 @@
 
 use http_body_util::BodyExt;
 use hyper::{Method, StatusCode, Uri};
-use stallmoor_core::gateway::attempt::AttemptEnd;
-use stallmoor_core::gateway::event_stream::EventSplitter;
-use stallmoor_core::gateway::tenant::CallerIdentity;
-use stallmoor_core::gateway::workers::Choice;
-use stallmoor_core::jobs::command::{JobItem, PartialOutput};
-use stallmoor_core::jobs::dispatch::RunEnd;
+use stallmoor_core::serving::configuration::tenant::CallerIdentity;
+use stallmoor_core::serving::jobs::command::{JobItem, PartialOutput};
+use stallmoor_core::serving::jobs::dispatch::RunEnd;
+use stallmoor_core::serving::online::attempt::AttemptEnd;
+use stallmoor_core::serving::online::event_stream::EventSplitter;
+use stallmoor_core::serving::workers::Choice;
 
 use tokio::sync::Notify;
 
-use crate::attempt::{Attempt, InFlight, OpenAnswer, WorkerClient};
-use crate::dialect::AttemptTerms;
+use crate::adapter::dialect::AttemptTerms;
+use crate::workers::attempt::{Attempt, InFlight, OpenAnswer, WorkerClient};
 
 /// How long the first event is waited for.
 const FIRST_EVENT_PATIENCE: Duration = Duration::from_millis(2_500);
--- a/crates/gateway/src/storage_server.rs
+++ b/crates/gateway/src/storage/peer_listener.rs
@@ -4,17 +4,19 @@
 use std::time::Duration;
 
 use stallmoor_core::identity::{GroupId, NodeId};
-use stallmoor_core::jobs::request::{JobsAnswer, JobsRequest};
 use stallmoor_core::log_event::LogEvent;
-use stallmoor_core::node::{GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody, PeerMessage};
+use stallmoor_core::peer_message::{
+    GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody, PeerMessage,
+};
 use stallmoor_core::replication::ReplicationMessage;
+use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
 use tokio::io::{AsyncWriteExt, BufReader, BufWriter};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::frames::{read_message, write_frame};
-use crate::journal::{Field, record};
-use crate::metadata_view::MetadataView;
+use crate::fleet::metadata_view::MetadataView;
+use crate::observe::journal::{Field, record};
+use crate::peers::frames::{read_message, write_frame};
 
 /// The wait after a failed accept.
 const ACCEPT_WAIT: Duration = Duration::from_millis(20);
--- a/crates/gateway/src/registration.rs
+++ b/crates/gateway/src/storage/registration.rs
@@ -6,17 +6,17 @@
 
 use serde::{Deserialize, Serialize};
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::jobs::directory::StorageRecord;
-use stallmoor_core::jobs::members::voters_bearing;
 use stallmoor_core::log_event::LogEvent;
-use stallmoor_core::relay::item::Revision;
 use stallmoor_core::replication::GroupMembership;
+use stallmoor_core::serving::jobs::directory::StorageRecord;
+use stallmoor_core::serving::jobs::members::voters_bearing;
+use stallmoor_core::serving::relay::item::Revision;
 use stallmoor_core::time::Millis;
 use tokio::sync::mpsc::UnboundedSender;
 
-use crate::fleet_view::{FOUNDING_KEY, FleetView, STORAGE_KEYS};
-use crate::journal::{Field, record};
-use crate::metadata::{MetadataStore, PutOutcome};
+use crate::adapter::metadata::{MetadataStore, PutOutcome};
+use crate::fleet::fleet_view::{FOUNDING_KEY, FleetView, STORAGE_KEYS};
+use crate::observe::journal::{Field, record};
 
 /// The key of the record of a group of two.
 pub const PAIR_KEY: &str = "stallmoor/jobs/pair";
--- a/crates/gateway/src/storage_service/gathering.rs
+++ b/crates/gateway/src/storage/service/gathering.rs
@@ -1,7 +1,7 @@
 //! Gathering the loads of a zone's gateways where there are many: telling the leader their sums.
 
-use stallmoor_core::gateway::workers::LoadNews;
-use stallmoor_core::jobs::request::{JobsAnswer, JobsRequest};
+use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
+use stallmoor_core::serving::workers::LoadNews;
 use stallmoor_core::time::{Millis, Timestamp};
 
 use super::StorageService;
--- a/crates/gateway/src/storage_service/membership.rs
+++ b/crates/gateway/src/storage/service/membership.rs
@@ -3,15 +3,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stallmoor_core::jobs::members::{EmptyingState, MembersAction};
-use stallmoor_core::jobs::pair::{PairRecord, StoredPair};
 use stallmoor_core::log_event::LogEvent;
-use stallmoor_core::relay::item::{MetadataItem, Revision};
+use stallmoor_core::serving::jobs::members::{EmptyingState, MembersAction};
+use stallmoor_core::serving::jobs::pair::{PairRecord, StoredPair};
+use stallmoor_core::serving::relay::item::{MetadataItem, Revision};
 
 use super::StorageService;
-use crate::journal::{Field, record};
-use crate::metadata::PutOutcome;
-use crate::registration::PAIR_KEY;
+use crate::adapter::metadata::PutOutcome;
+use crate::observe::journal::{Field, record};
+use crate::storage::registration::PAIR_KEY;
 
 /// The wait before an emptying is reported again.
 const EMPTYING_RETRY: Duration = Duration::from_millis(250);
--- a/crates/gateway/src/storage_service/requests.rs
+++ b/crates/gateway/src/storage/service/requests.rs
@@ -1,16 +1,16 @@
 //! What other nodes ask of the leader.
 
-use stallmoor_core::gateway::tenant::{CallerIdentity, TenantName};
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::jobs::command::{JobCommand, JobKey, Submission};
-use stallmoor_core::jobs::node::{JobsEffect, NotProposed, Waiter};
-use stallmoor_core::jobs::request::{JobsAnswer, JobsRequest};
-use stallmoor_core::node::GroupRefusal;
-use stallmoor_core::quota::message::{QuotaNews, QuotaReport};
+use stallmoor_core::peer_message::GroupRefusal;
+use stallmoor_core::serving::configuration::tenant::{CallerIdentity, TenantName};
+use stallmoor_core::serving::jobs::command::{JobCommand, JobKey, Submission};
+use stallmoor_core::serving::jobs::node::{JobsEffect, NotProposed, Waiter};
+use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
+use stallmoor_core::serving::quota::message::{QuotaNews, QuotaReport};
 use stallmoor_core::time::Timestamp;
 
 use super::StorageService;
-use crate::storage_server::Reply;
+use crate::storage::peer_listener::Reply;
 
 /// Most bytes of text in one page of results.
 const PAGE_BYTES: usize = 900_000;
--- a/crates/gateway/src/storage_service/running.rs
+++ b/crates/gateway/src/storage/service/running.rs
@@ -2,20 +2,22 @@
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-use stallmoor_core::gateway::configuration::{GatewayConfiguration, Route};
-use stallmoor_core::gateway::tenant::CallerIdentity;
-use stallmoor_core::gateway::workers::{WorkerAsk, WorkerId};
-use stallmoor_core::jobs::command::{ItemKey, ItemProgress, JobCommand, JobItem, JobKey, PartialOutput, Submission};
-use stallmoor_core::jobs::dispatch::{RunEnd, RunningItem};
 use stallmoor_core::log_event::LogEvent;
+use stallmoor_core::serving::configuration::tenant::CallerIdentity;
+use stallmoor_core::serving::configuration::{GatewayConfiguration, Route};
+use stallmoor_core::serving::jobs::command::{
+    ItemKey, ItemProgress, JobCommand, JobItem, JobKey, PartialOutput, Submission,
+};
+use stallmoor_core::serving::jobs::dispatch::{RunEnd, RunningItem};
+use stallmoor_core::serving::workers::{WorkerAsk, WorkerId};
 use stallmoor_core::time::{Millis, Timestamp};
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
 use super::StorageService;
-use crate::item_run::ItemRun;
-use crate::journal::{Field, record};
-use crate::measures;
+use crate::observe::journal::{Field, record};
+use crate::observe::measures;
+use crate::storage::item_run::ItemRun;
 
 /// The time between two rounds of logging what running items have put out.
 const PROGRESS_INTERVAL: Millis = Millis(1_000);
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/workers/attempt.rs
@@ -8,14 +8,14 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 use hyper::{Method, Request, StatusCode, Uri};
-use stallmoor_core::gateway::attempt::AttemptEnd;
-use stallmoor_core::gateway::request::PrefixLink;
-use stallmoor_core::gateway::workers::{Choice, WorkerId};
+use stallmoor_core::serving::online::attempt::AttemptEnd;
+use stallmoor_core::serving::request::PrefixLink;
+use stallmoor_core::serving::workers::{Choice, WorkerId};
 use stallmoor_core::time::Timestamp;
 
-use crate::connections::{ConnectionPool, NoConnection, SendFailure, WorkerConnection};
-use crate::dialect::{AnswerFacts, Dialect};
-use crate::fleet_view::FleetView;
+use crate::adapter::dialect::{AnswerFacts, Dialect};
+use crate::fleet::fleet_view::FleetView;
+use crate::workers::connections::{ConnectionPool, NoConnection, SendFailure, WorkerConnection};
 
 /// How long the rest of a refusal may take before its connection is given up.
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(50);
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/workers/connections.rs
@@ -11,15 +11,12 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use tokio::net::{TcpSocket, TcpStream};
 use tokio::task::AbortHandle;
 
+use crate::sockets::connect_tuned;
+
 /// How long a connection attempt may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long sent bytes may stay unacknowledged before the connection counts as dead.
-const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// A connection without traffic is probed after this long.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
 /// Idle connections are reused for this long where the worker does not say.
 const USUAL_IDLE: Duration = Duration::from_secs(4);
 /// The share of the worker's own idle time for which a connection is reused, in percent.
@@ -226,22 +223,3 @@
     });
     Ok((sender, task.abort_handle()))
 }
-
-/// A connection that finds out by itself that its peer is silent.
-///
-/// # Errors
-///
-/// The peer can't be reached.
-pub async fn connect_tuned(address: SocketAddr) -> std::io::Result<TcpStream> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    tune(&socket)?;
-    socket.connect(address).await
-}
-
-fn tune(socket: &TcpSocket) -> std::io::Result<()> {
-    socket.set_nodelay(true)?;
-    let reference = socket2::SockRef::from(socket);
-    reference.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
-    let probes = socket2::TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_AFTER).with_retries(2);
-    reference.set_tcp_keepalive(&probes)
-}
--- /dev/null
+++ b/crates/gateway/src/workers/mod.rs
@@ -0,0 +1,9 @@
+//! Talking to workers, for online requests and batch items alike.
+//!
+//! | module | owns |
+//! |---|---|
+//! | [`attempt`] | one attempt at one worker: from a connection to the head of the answer |
+//! | [`connections`] | kept connections, and how many a worker may have from this node |
+
+pub mod attempt;
+pub mod connections;
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -9,19 +9,19 @@
 
 use golden::{Row, check_rows, from_hex, to_hex};
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::jobs::directory::StorageRecord;
-use stallmoor_core::jobs::members::EmptyingState;
-use stallmoor_core::jobs::pair::{PairRecord, PairState};
-use stallmoor_core::node::PeerMessage;
-use stallmoor_core::relay::item::{ItemState, MetadataItem, Revision};
-use stallmoor_core::relay::outage::RecordGrace;
+use stallmoor_core::peer_message::PeerMessage;
 use stallmoor_core::replication::{GroupMembership, LogIndex};
+use stallmoor_core::serving::jobs::directory::StorageRecord;
+use stallmoor_core::serving::jobs::members::DrainState;
+use stallmoor_core::serving::jobs::pair::{PairRecord, PairState};
+use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::outage::RecordGrace;
 use stallmoor_core::time::Millis;
+use stallmoor_gateway::adapter::metadata::{BoxFuture, FleetUpdate, ItemsAt, MetadataStore, PutOutcome, ReadFailure};
 use stallmoor_gateway::clock::NodeClock;
-use stallmoor_gateway::fleet_view::FleetView;
-use stallmoor_gateway::frames::{read_message, write_frame};
-use stallmoor_gateway::metadata::{BoxFuture, FleetUpdate, ItemsAt, MetadataStore, PutOutcome, ReadFailure};
-use stallmoor_gateway::registration::{PAIR_KEY, found, register};
+use stallmoor_gateway::fleet::fleet_view::FleetView;
+use stallmoor_gateway::peers::frames::{read_message, write_frame};
+use stallmoor_gateway::storage::registration::{PAIR_KEY, found, register};
 use tokio::sync::mpsc;
 
 #[tokio::test]
@@ -68,7 +68,7 @@
         None
     }
 
-    fn report_emptying(&self, _machine: Arc<str>, _state: EmptyingState) -> BoxFuture<'_, bool> {
+    fn report_drain(&self, _machine: Arc<str>, _state: DrainState) -> BoxFuture<'_, bool> {
         Box::pin(async { true })
     }
 }
--- a/crates/gateway/tests/jobs_client.rs
+++ b/crates/gateway/tests/jobs_client.rs
@@ -4,16 +4,16 @@
 use std::sync::Arc;
 
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::jobs::command::{JobKey, Submission};
-use stallmoor_core::jobs::directory::StorageRecord;
-use stallmoor_core::jobs::request::{JobsAnswer, JobsRequest};
-use stallmoor_core::relay::bounds::WatchBounds;
+use stallmoor_core::serving::jobs::command::{JobKey, Submission};
+use stallmoor_core::serving::jobs::directory::StorageRecord;
+use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
+use stallmoor_core::serving::relay::bounds::WatchBounds;
 use stallmoor_core::time::{Millis, UnixMillis};
 use stallmoor_gateway::clock::NodeClock;
-use stallmoor_gateway::fleet_view::FleetView;
-use stallmoor_gateway::jobs_client::{JobsClient, NoLeader};
-use stallmoor_gateway::metadata_view::MetadataView;
-use stallmoor_gateway::storage_server::{PeerEvent, Reply, accept_peers};
+use stallmoor_gateway::fleet::fleet_view::FleetView;
+use stallmoor_gateway::fleet::metadata_view::MetadataView;
+use stallmoor_gateway::leader::client::{JobsClient, NoLeader};
+use stallmoor_gateway::storage::peer_listener::{PeerEvent, Reply, accept_peers};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
--- a/crates/gateway/tests/measures.rs
+++ b/crates/gateway/tests/measures.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use stallmoor_core::time::Millis;
-use stallmoor_gateway::measures::{self, ALL};
+use stallmoor_gateway::observe::measures::{self, ALL};
 
 #[test]
 fn what_happened_is_in_the_text() {
--- a/crates/gateway/tests/metadata_relay.rs
+++ b/crates/gateway/tests/metadata_relay.rs
@@ -6,18 +6,18 @@
 use std::time::Duration;
 
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::jobs::directory::StorageRecord;
-use stallmoor_core::jobs::members::EmptyingState;
-use stallmoor_core::relay::bounds::WatchBounds;
-use stallmoor_core::relay::item::{ItemState, MetadataItem, Revision};
-use stallmoor_core::relay::outage::RecordGrace;
+use stallmoor_core::serving::jobs::directory::StorageRecord;
+use stallmoor_core::serving::jobs::members::EmptyingState;
+use stallmoor_core::serving::relay::bounds::WatchBounds;
+use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::outage::RecordGrace;
 use stallmoor_core::time::Millis;
+use stallmoor_gateway::adapter::metadata::{BoxFuture, FleetUpdate, ItemsAt, MetadataStore, PutOutcome, ReadFailure};
 use stallmoor_gateway::clock::NodeClock;
-use stallmoor_gateway::fleet_view::FleetView;
-use stallmoor_gateway::metadata::{BoxFuture, FleetUpdate, ItemsAt, MetadataStore, PutOutcome, ReadFailure};
-use stallmoor_gateway::metadata_view::MetadataView;
-use stallmoor_gateway::metadata_watch::MetadataWatch;
-use stallmoor_gateway::storage_server::accept_peers;
+use stallmoor_gateway::fleet::fleet_view::FleetView;
+use stallmoor_gateway::fleet::metadata_view::MetadataView;
+use stallmoor_gateway::fleet::metadata_watch::MetadataWatch;
+use stallmoor_gateway::storage::peer_listener::accept_peers;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
--- a/crates/node/src/http/batch.rs
+++ b/crates/node/src/http/batch.rs
@@ -10,8 +10,8 @@
 use serde_json::{Value, json};
 use stallmoor_core::error::{ErrorKind, Refusal};
 use stallmoor_core::identity::{GroupId, JobId};
+use stallmoor_core::node::partition::{FinishedItem, ItemVerdict, JobPhase, JobSummary, NewItem};
 use stallmoor_core::node::{BatchCall, CallerAnswer, CallerCall, JobSubmission};
-use stallmoor_core::partition::{FinishedItem, ItemVerdict, JobPhase, JobSummary, NewItem};
 use stallmoor_core::time::Millis;
 
 use super::answer;
--- a/crates/node/src/http/online.rs
+++ b/crates/node/src/http/online.rs
@@ -7,8 +7,8 @@
 use hyper::{HeaderMap, Response, StatusCode};
 use serde_json::{Value, json};
 use stallmoor_core::error::{ErrorKind, Refusal};
+use stallmoor_core::node::online::OnlineCall;
 use stallmoor_core::node::{CallerAnswer, CallerCall};
-use stallmoor_core::online::OnlineCall;
 
 use super::answer;
 use super::body::{AnswerBody, AnswerStream, RenderAnswer};
--- a/crates/node/src/http/operator.rs
+++ b/crates/node/src/http/operator.rs
@@ -6,8 +6,8 @@
 use hyper::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
-use stallmoor_core::configuration::{ApplyId, Bundle};
 use stallmoor_core::error::{ErrorKind, Refusal};
+use stallmoor_core::node::configuration::{ApplyId, Bundle};
 use stallmoor_core::node::{CallerAnswer, CallerCall, NodeStatus, OperatorCall};
 
 use super::answer;
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use stallmoor_core::configuration::reader::{Document, TableReader};
-use stallmoor_core::configuration::{ConfigurationError, SourceFile};
+use stallmoor_core::node::configuration::reader::{Document, TableReader};
+use stallmoor_core::node::configuration::{ConfigurationError, SourceFile};
 use stallmoor_core::time::Millis;
 
 /// The least severe level that is logged.
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -10,7 +10,8 @@
 
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use stallmoor_core::log_event::LogEvent;
-use stallmoor_core::node::{Event, PeerMessage};
+use stallmoor_core::node::Event;
+use stallmoor_core::peer_message::PeerMessage;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader, BufWriter};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::mpsc;
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -8,11 +8,11 @@
 use redb::{Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
-use stallmoor_core::configuration::bundle::PartContents;
-use stallmoor_core::configuration::{InForce, Manifest};
 use stallmoor_core::identity::{GroupId, NodeId};
 use stallmoor_core::node::PersistedNode;
-use stallmoor_core::partition::PartitionState;
+use stallmoor_core::node::configuration::bundle::PartContents;
+use stallmoor_core::node::configuration::{InForce, Manifest};
+use stallmoor_core::node::partition::PartitionState;
 use stallmoor_core::replication::{Entry, HardState, LogIndex, LogWrite, PersistedReplica, Snapshot};
 
 use crate::checked::{self, Damaged};
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -18,14 +18,14 @@
 use golden::{Row, check_rows, golden_path, to_hex, writes_golden};
 use golden_values::{job_commands, job_tables, partition_commands, partition_states};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
-use stallmoor_core::configuration::{
+use stallmoor_core::identity::{GroupId, NodeId};
+use stallmoor_core::node::configuration::{
     ApplyId, Bundle, ConfigurationReplica, InForce, Manifest, PartReference, bundle::PartContents,
 };
-use stallmoor_core::identity::{GroupId, NodeId};
-use stallmoor_core::jobs::table::JobTable;
 use stallmoor_core::replication::{
     Entry, EntryPayload, GroupMembership, HardState, LogIndex, LogWrite, PersistedReplica, Snapshot, Term,
 };
+use stallmoor_core::serving::jobs::table::JobTable;
 use stallmoor_storage::{FolderOwner, ReplicaFolder, Store, StoreWrite};
 
 const IDENTITY: NodeId = NodeId(11);
--- a/crates/storage/tests/store.rs
+++ b/crates/storage/tests/store.rs
@@ -6,7 +6,7 @@
 
 use proptest::prelude::*;
 use stallmoor_core::identity::{GroupId, NodeId};
-use stallmoor_core::partition::PartitionState;
+use stallmoor_core::node::partition::PartitionState;
 use stallmoor_core::replication::{
     Entry, EntryPayload, GroupMembership, HardState, LogIndex, LogWrite, PersistedReplica, Snapshot, Term,
 };
--- a/crates/wire/src/codec/control.rs
+++ b/crates/wire/src/codec/control.rs
@@ -5,12 +5,14 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use snafu::ResultExt;
-use stallmoor_core::configuration::{ApplyId, Manifest, PartDigest, PartReference};
-use stallmoor_core::control::DirectoryEntry;
 use stallmoor_core::identity::{EngineName, GroupId, NodeId};
-use stallmoor_core::node::{ConfigurationMessage, CreditMessage, GroupAnswer, GroupRefusal, GroupRequest, PeerMessage};
+use stallmoor_core::node::configuration::{ApplyId, Manifest, PartDigest, PartReference};
+use stallmoor_core::node::control::DirectoryEntry;
+use stallmoor_core::node::routing::LeavingFact;
+use stallmoor_core::peer_message::{
+    ConfigurationMessage, CreditMessage, GroupAnswer, GroupRefusal, GroupRequest, PeerMessage,
+};
 use stallmoor_core::replication::{LogIndex, Term};
-use stallmoor_core::routing::LeavingFact;
 use stallmoor_core::time::Millis;
 
 use super::{
--- a/crates/wire/src/codec/membership.rs
+++ b/crates/wire/src/codec/membership.rs
@@ -5,7 +5,7 @@
 
 use snafu::ResultExt;
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::membership::{Member, MemberStatus, MembershipMessage, MembershipPayload};
+use stallmoor_core::node::membership::{Member, MemberStatus, MembershipMessage, MembershipPayload};
 
 use super::{DamagedSnafu, WireError, WireResult, read_optional_node, read_text, write_optional_node};
 use crate::generated::peer_capnp::{member, membership};
--- a/crates/wire/src/codec/mod.rs
+++ b/crates/wire/src/codec/mod.rs
@@ -8,7 +8,7 @@
 use capnp::serialize_packed;
 use snafu::{ResultExt, Snafu};
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::node::PeerMessage;
+use stallmoor_core::peer_message::PeerMessage;
 
 use crate::PROTOCOL_VERSION;
 use crate::generated::peer_capnp::envelope;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! The protocol between nodes: typed messages to bytes and back.
 //!
 //! Owns the Cap'n Proto schema, its generated code, and the codec between it and
-//! [`PeerMessage`](stallmoor_core::node::PeerMessage). A frame on a TCP stream is a length of four
+//! [`PeerMessage`](stallmoor_core::peer_message::PeerMessage). A frame on a TCP stream is a length of four
 //! bytes, little-endian, and that many bytes of one envelope; a datagram is one envelope.
 //!
 //! Bytes from the network are never trusted: a message that is truncated, of another version, or
--- a/crates/wire/tests/messages.rs
+++ b/crates/wire/tests/messages.rs
@@ -6,7 +6,7 @@
 
 use proptest::prelude::*;
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::node::PeerMessage;
+use stallmoor_core::peer_message::PeerMessage;
 use stallmoor_wire::{WireError, decode, encode};
 use support::all_messages;
 
--- a/crates/wire/tests/support/mod.rs
+++ b/crates/wire/tests/support/mod.rs
@@ -2,29 +2,30 @@
 
 use std::sync::Arc;
 
-use stallmoor_core::configuration::{ApplyId, Manifest, PartDigest, PartReference};
-use stallmoor_core::control::DirectoryEntry;
-use stallmoor_core::gateway::tenant::{CallerIdentity, MilliRequests};
-use stallmoor_core::gateway::workers::{LoadNews, WorkerId, WorkerNews};
 use stallmoor_core::identity::{EngineName, GroupId, NodeId};
-use stallmoor_core::jobs::command::ItemState;
-use stallmoor_core::jobs::request::{JobsAnswer, JobsRequest};
-use stallmoor_core::jobs::table::{ListedResult, ResultPage};
-use stallmoor_core::membership::{Member, MemberStatus, MembershipMessage, MembershipPayload};
-use stallmoor_core::node::{
-    ConfigurationMessage, CreditMessage, GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody,
-    GroupStatus, NodeCounters, NodeStatus, PeerMessage,
-};
-use stallmoor_core::partition::{
+use stallmoor_core::node::configuration::{ApplyId, Manifest, PartDigest, PartReference};
+use stallmoor_core::node::control::DirectoryEntry;
+use stallmoor_core::node::membership::{Member, MemberStatus, MembershipMessage, MembershipPayload};
+use stallmoor_core::node::partition::{
     CommandOutcome, FinishedItem, ItemVerdict, JobPhase, JobSummary, Query, QueryAnswer, Settlement,
 };
-use stallmoor_core::quota::message::{QuotaNews, QuotaReport, TenantLevel, TenantUse};
-use stallmoor_core::relay::item::{ItemState as MetadataState, MetadataItem, Revision};
-use stallmoor_core::relay::message::{ChangeSet, ChangesAnswer, ChangesRequest};
+use stallmoor_core::node::routing::LeavingFact;
+use stallmoor_core::node::{GroupStatus, NodeCounters, NodeStatus};
+use stallmoor_core::peer_message::{
+    ConfigurationMessage, CreditMessage, GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody,
+    PeerMessage,
+};
 use stallmoor_core::replication::{
     Entry, EntryPayload, GroupMembership, LogIndex, MessageKind, ReplicationMessage, Snapshot, Term,
 };
-use stallmoor_core::routing::LeavingFact;
+use stallmoor_core::serving::configuration::tenant::{CallerIdentity, MilliRequests};
+use stallmoor_core::serving::jobs::command::ItemState;
+use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
+use stallmoor_core::serving::jobs::table::{ListedResult, ResultPage};
+use stallmoor_core::serving::quota::message::{QuotaLevels, QuotaReport, TenantLevel, TenantUsage};
+use stallmoor_core::serving::relay::item::{ItemState as MetadataState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::message::{ChangeSet, ChangesAnswer, ChangesRequest};
+use stallmoor_core::serving::workers::{LoadReport, WorkerId, WorkerReport};
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
 
 use crate::golden_values::{
@@ -148,8 +149,8 @@
     messages
 }
 
-fn loads() -> LoadNews {
-    let news = |worker: &str, told| WorkerNews {
+fn loads() -> LoadReport {
+    let news = |worker: &str, told| WorkerReport {
         worker: WorkerId(Arc::from(worker)),
         requests: 12,
         told,
@@ -157,16 +158,16 @@
         batch: 4,
     };
     let workers = vec![news("worker-a", Some(300)), news("worker-b", None)];
-    LoadNews { workers, placed_per_s: 450, tellers: 21, nodes: 20, age: Millis(65) }
+    LoadReport { workers, placed_per_s: 450, reporters: 21, nodes: 20, age: Millis(65) }
 }
 
 fn jobs_requests() -> Vec<NamedMessage> {
-    let tenant_use = TenantUse {
+    let tenant_use = TenantUsage {
         tenant: tenant(),
         spent: 9_000,
         latest: 30,
         asked_per_s: MilliRequests(31_500),
-        told_per_s: MilliRequests(-1),
+        known_per_s: MilliRequests(-1),
     };
     let read = |caller| JobsRequest::Read { job: job_key("job-a"), first: 3, wait: Millis(1_500), caller };
     let report = QuotaReport { machine: Arc::from("machine-a"), tenants: vec![tenant_use] };
@@ -178,10 +179,10 @@
         ("read-unchecked", read(CallerIdentity::Unchecked)),
         ("body", JobsRequest::Body { job: job.clone(), item, caller: CallerIdentity::Public }),
         ("end", JobsRequest::End { job, caller: CallerIdentity::Tenant(tenant()) }),
-        ("greet", JobsRequest::Greet),
-        ("share-load", JobsRequest::ShareLoad(loads())),
-        ("gather-load", JobsRequest::GatherLoad(loads())),
-        ("share-quota", JobsRequest::ShareQuota(report)),
+        ("greet", JobsRequest::Join),
+        ("share-load", JobsRequest::ReportLoad(loads())),
+        ("gather-load", JobsRequest::AggregateLoad(loads())),
+        ("share-quota", JobsRequest::ReportQuota(report)),
     ];
     named("jobs", values, |value| request(GroupRequestBody::Jobs(value)))
 }
@@ -250,7 +251,7 @@
         ("unknown-item", JobsAnswer::UnknownItem),
         ("ended", JobsAnswer::Ended),
         ("loads", JobsAnswer::Loads(loads())),
-        ("quota", JobsAnswer::Quota(QuotaNews { tenants: vec![level], gateways: 20 })),
+        ("quota", JobsAnswer::Quota(QuotaLevels { tenants: vec![level], gateways: 20 })),
         ("unsure", JobsAnswer::Unsure),
     ];
     named("jobs-answer", values, |value| answer(Ok(GroupAnswerBody::Jobs(value))))
