--- a/crates/core/src/serving/jobs/load_share.rs
+++ b/crates/core/src/serving/jobs/load_aggregator.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 use crate::identity::NodeId;
-use crate::serving::workers::{LoadNews, WorkerCount, WorkerId, WorkerNews};
+use crate::serving::workers::{LoadReport, WorkerCount, WorkerId, WorkerReport};
 use crate::time::{Millis, Timestamp};
 
 /// What a node told is believed for this long.
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct Told {
-    news: LoadNews,
+    news: LoadReport,
     at: Timestamp,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// What all tellers together say of one worker.
+/// What all reporters together say of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
     requests: u32,
@@ -52,13 +52,13 @@
 }
 
 impl Total {
-    fn news(&self, worker: &WorkerId, requests: u32) -> WorkerNews {
+    fn news(&self, worker: &WorkerId, requests: u32) -> WorkerReport {
         let Self { told, failing, batch, .. } = *self;
-        WorkerNews { worker: worker.clone(), requests, told, failing, batch }
+        WorkerReport { worker: worker.clone(), requests, told, failing, batch }
     }
 }
 
-/// What all tellers together say.
+/// What all reporters together say.
 #[derive(Debug, Default)]
 struct Totals {
     workers: BTreeMap<WorkerId, Total>,
@@ -83,11 +83,11 @@
     }
 
     /// The sums as one node's news.
-    fn news(&self, now: Timestamp) -> LoadNews {
+    fn news(&self, now: Timestamp) -> LoadReport {
         let workers = self.workers.iter().map(|(worker, total)| total.news(worker, total.requests)).collect();
         let told_at = self.weighted_time.checked_div(u64::from(self.placed_per_s));
         let age = told_at.map_or(Millis(0), |told_at| now.since(Timestamp::from_millis(told_at)));
-        LoadNews { workers, placed_per_s: self.placed_per_s, nodes: self.nodes, age, ..LoadNews::default() }
+        LoadReport { workers, placed_per_s: self.placed_per_s, nodes: self.nodes, age, ..LoadReport::default() }
     }
 
     /// Takes back what a node told. The workers' own word stays until the sums are made anew.
@@ -107,15 +107,15 @@
 
 /// What the gateways told.
 #[derive(Debug, Default)]
-pub struct LoadShare {
+pub struct LoadAggregator {
     nodes: BTreeMap<NodeId, Told>,
     totals: Totals,
     rebuilt_at: Timestamp,
 }
 
-impl LoadShare {
+impl LoadAggregator {
     /// A node told its requests.
-    pub fn tell(&mut self, node: NodeId, news: LoadNews, now: Timestamp) {
+    pub fn tell(&mut self, node: NodeId, news: LoadReport, now: Timestamp) {
         let told = Told { news, at: now };
         self.totals.add(&told);
         if let Some(earlier) = self.nodes.insert(node, told) {
@@ -124,13 +124,13 @@
     }
 
     /// The leader answered this gatherer of a zone with the loads of all other zones, and batch.
-    pub fn hear_leader(&mut self, news: LoadNews, now: Timestamp) {
+    pub fn apply_leader_report(&mut self, news: LoadReport, now: Timestamp) {
         self.tell(LEADER, news, now);
     }
 
     /// What this gatherer of a zone has to tell the leader: the sums over its gateways. What the workers told the
     /// leader is left out, or it would go round for ever. `None` if no gateway told this node anything of late.
-    pub fn for_leader(&mut self, now: Timestamp) -> Option<LoadNews> {
+    pub fn for_leader(&mut self, now: Timestamp) -> Option<LoadReport> {
         self.refresh(now);
         let mut totals = Totals::default();
         for (_, told) in self.nodes.iter().filter(|(node, _)| **node != LEADER) {
@@ -142,13 +142,13 @@
 
     /// What all nodes but one told, with the requests of `batch` added. What the workers themselves told
     /// counts from every node.
-    pub fn without(&mut self, node: NodeId, batch: &[WorkerCount], now: Timestamp) -> LoadNews {
+    pub fn without(&mut self, node: NodeId, batch: &[WorkerCount], now: Timestamp) -> LoadReport {
         self.refresh(now);
         let own = self.nodes.get(&node).map(|told| &told.news.workers);
         let own_requests: BTreeMap<&WorkerId, u32> =
             own.into_iter().flatten().map(|news| (&news.worker, news.requests)).collect();
         let mut batch: BTreeMap<&WorkerId, u32> = batch.iter().map(|count| (&count.worker, count.requests)).collect();
-        let mut workers: Vec<WorkerNews> = Vec::with_capacity(self.totals.workers.len());
+        let mut workers: Vec<WorkerReport> = Vec::with_capacity(self.totals.workers.len());
         for (worker, total) in &self.totals.workers {
             let others = total.requests.saturating_sub(own_requests.get(worker).copied().unwrap_or(0));
             let items = batch.remove(worker).unwrap_or(0);
@@ -162,8 +162,8 @@
         if let Some(own) = self.nodes.get(&node) {
             rest.subtract(own);
         }
-        let tellers = u32::try_from(self.nodes.len()).unwrap_or(u32::MAX);
-        LoadNews { workers, tellers, ..rest.news(now) }
+        let reporters = u32::try_from(self.nodes.len()).unwrap_or(u32::MAX);
+        LoadReport { workers, reporters, ..rest.news(now) }
     }
 
     /// Online requests at each worker, of all nodes.
@@ -183,7 +183,7 @@
     pub fn dead(&mut self, now: Timestamp) -> Vec<WorkerId> {
         self.refresh(now);
         let news = self.totals.workers.iter().map(|(worker, total)| total.news(worker, total.requests));
-        news.filter(WorkerNews::says_dead).map(|news| news.worker).collect()
+        news.filter(WorkerReport::is_reported_dead).map(|news| news.worker).collect()
     }
 
     /// Forgets everything: this node leads no longer.
--- a/crates/core/src/serving/jobs/members.rs
+++ b/crates/core/src/serving/jobs/members.rs
@@ -25,20 +25,20 @@
 
 /// How many voters bear the loss of `tolerated` of them: what a majority holds is then still held by a
 /// majority's worth of the rest.
-pub fn voters_bearing(tolerated: usize) -> usize {
+pub fn voters_tolerating(tolerated: usize) -> usize {
     2 * tolerated + 1
 }
 
 /// Whether a group of that many voters goes on with all that it acknowledged after the loss of `tolerated`
 /// of them. Of a pair either member may go on alone ([`super::pair`]).
-fn bears_losses(voters: usize, tolerated: usize) -> bool {
+fn tolerates_losses(voters: usize, tolerated: usize) -> bool {
     let is_pair = voters == 2 && tolerated == 1;
-    is_pair || voters >= voters_bearing(tolerated)
+    is_pair || voters >= voters_tolerating(tolerated)
 }
 
 /// How far the emptying of a machine is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EmptyingState {
+pub enum DrainState {
     /// Copies are being made elsewhere.
     InProgress,
     /// The machine holds nothing that is needed.
@@ -62,11 +62,11 @@
     /// Go on as the only voter: the store says so.
     GoOnAlone,
     /// Tell the operator how far the emptying of a machine is.
-    ReportEmptying {
+    ReportDrain {
         /// The machine.
         machine: Arc<str>,
         /// How far it is.
-        state: EmptyingState,
+        state: DrainState,
     },
 }
 
@@ -79,7 +79,7 @@
     started_at: Timestamp,
     looked_at: Timestamp,
     heard: BTreeMap<NodeId, Timestamp>,
-    emptying: BTreeMap<Arc<str>, Option<EmptyingState>>,
+    emptying: BTreeMap<Arc<str>, Option<DrainState>>,
     pair: StoredPair,
     pair_write_under_way: bool,
 }
@@ -195,13 +195,13 @@
             group: replica.group(),
             leader: self.own,
             membership,
-            wanted: voters_bearing(self.tolerated),
+            wanted: voters_tolerating(self.tolerated),
             health: &health,
             candidates: &candidates,
         };
         let step = plan_repair(&input).map(|step| step.0);
         // Where no spare takes an emptied machine's place, the others go on without it if they are enough.
-        let may_shrink = bears_losses(membership.voters.len().saturating_sub(1), self.tolerated);
+        let may_shrink = tolerates_losses(membership.voters.len().saturating_sub(1), self.tolerated);
         let emptied_voter = || membership.voters.iter().copied().find(|voter| may_shrink && emptied.contains(voter));
         let removal = || emptied_voter().filter(|_| membership.learners.is_empty()).map(MembershipChange::Remove);
         step.or_else(removal)
@@ -301,10 +301,10 @@
         let mut reports = Vec::new();
         for (machine, told) in &mut self.emptying {
             let holds_member = directory.of_machine(machine).is_some_and(|record| membership.contains(record.node));
-            let state = if holds_member || !is_settled { EmptyingState::InProgress } else { EmptyingState::Completed };
-            if *told != Some(state) && *told != Some(EmptyingState::Completed) {
+            let state = if holds_member || !is_settled { DrainState::InProgress } else { DrainState::Completed };
+            if *told != Some(state) && *told != Some(DrainState::Completed) {
                 *told = Some(state);
-                reports.push(MembersAction::ReportEmptying { machine: machine.clone(), state });
+                reports.push(MembersAction::ReportDrain { machine: machine.clone(), state });
             }
         }
         reports
--- a/crates/core/src/serving/jobs/mod.rs
+++ b/crates/core/src/serving/jobs/mod.rs
@@ -9,7 +9,7 @@
 //! | [`dispatch`] | which item runs next, and what follows from how a run ended |
 //! | [`members`] | who should hold the table |
 //! | [`pair`] | who goes on if one of two replicas is lost |
-//! | [`load_share`] | the online requests of all nodes, gathered at the leader |
+//! | [`load_aggregator`] | the online requests of all nodes, gathered at the leader |
 //! | [`directory`] | the storing nodes, and which of them should hold the table |
 //!
 //! The table is changed only by commands in the order of the replicated log
@@ -18,7 +18,7 @@
 pub mod command;
 pub mod directory;
 pub mod dispatch;
-pub mod load_share;
+pub mod load_aggregator;
 pub mod members;
 pub mod node;
 pub mod pair;
--- a/crates/core/src/serving/jobs/request.rs
+++ b/crates/core/src/serving/jobs/request.rs
@@ -7,8 +7,8 @@
 use super::command::{JobKey, Submission};
 use super::table::ResultPage;
 use crate::serving::configuration::tenant::CallerIdentity;
-use crate::serving::quota::message::{QuotaNews, QuotaReport};
-use crate::serving::workers::LoadNews;
+use crate::serving::quota::message::{QuotaLevels, QuotaReport};
+use crate::serving::workers::LoadReport;
 use crate::time::Millis;
 
 /// A request to the leader.
@@ -44,13 +44,13 @@
         caller: CallerIdentity,
     },
     /// The sender is there and could hold the table.
-    Greet,
+    Join,
     /// The sender's online requests at each worker; those of all others are wanted, from the leader.
-    ShareLoad(LoadNews),
+    ReportLoad(LoadReport),
     /// The same, from any storing node: one that doesn't lead gathers the loads of its zone.
-    GatherLoad(LoadNews),
+    AggregateLoad(LoadReport),
     /// What the sender let through of each tenant; what the tenants have left is wanted.
-    ShareQuota(QuotaReport),
+    ReportQuota(QuotaReport),
 }
 
 /// The leader's answer.
@@ -78,9 +78,9 @@
     /// The job has ended.
     Ended,
     /// Requests at each worker, of all nodes but the asker, batch items among them.
-    Loads(LoadNews),
+    Loads(LoadReport),
     /// What tenants have left.
-    Quota(QuotaNews),
+    Quota(QuotaLevels),
     /// The command was proposed, and whether it took effect is not known.
     Unsure,
 }
--- a/crates/core/src/serving/online/mod.rs
+++ b/crates/core/src/serving/online/mod.rs
@@ -4,8 +4,8 @@
 //! |---|---|
 //! | [`attempt`] | how an attempt ended and what may be done next |
 //! | [`event_stream`] | splitting an answer into whole events |
-//! | [`move_budget`] | how many requests may move away from slow workers |
+//! | [`retry_budget`] | how many requests may be retried because their worker is slow |
 
 pub mod attempt;
 pub mod event_stream;
-pub mod move_budget;
+pub mod retry_budget;
--- a/crates/core/src/serving/quota/coordinator.rs
+++ b/crates/core/src/serving/quota/coordinator.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::bucket::{BucketLimit, TokenBucket};
-use super::message::{QuotaNews, QuotaReport, TenantLevel, TenantUse};
+use super::message::{QuotaLevels, QuotaReport, TenantLevel, TenantUsage};
 use super::{LATEST, LEASE};
 use crate::identity::NodeId;
 use crate::serving::configuration::tenant::{MilliRequests, RateLimit, TenantName};
@@ -87,7 +87,7 @@
         report: &QuotaReport,
         limit_of: impl Fn(&TenantName) -> Option<RateLimit>,
         now: Timestamp,
-    ) -> QuotaNews {
+    ) -> QuotaLevels {
         self.set_aside(now);
         let mut earlier = self.gateways.remove(&report.machine);
         let is_same_process = earlier.as_ref().is_some_and(|gateway| gateway.node == from);
@@ -95,7 +95,7 @@
         for used in &report.tenants {
             let Some(limit) = limit_of(&used.tenant) else { continue };
             let known = earlier.as_mut().and_then(|gateway| gateway.tenants.remove(&used.tenant));
-            let account = self.account(&used.tenant, BucketLimit::of(limit), used.told_per_s.requests(), now);
+            let account = self.account(&used.tenant, BucketLimit::of(limit), used.known_per_s.requests(), now);
             uses.insert(used.tenant.clone(), take_use(account, used, known, is_same_process));
         }
         // What is left over of the earlier report was not asked for any more.
@@ -105,7 +105,7 @@
         let gateway = Gateway { node: from, reported_at: now, reserved_to: now, tenants: uses };
         let news = self.news_for(&gateway, now);
         self.gateways.insert(report.machine.clone(), gateway);
-        QuotaNews { gateways: u32::try_from(self.gateways.len()).unwrap_or(u32::MAX), ..news }
+        QuotaLevels { gateways: u32::try_from(self.gateways.len()).unwrap_or(u32::MAX), ..news }
     }
 
     /// How many tenants were out of requests at the last review.
@@ -135,7 +135,7 @@
         self.exhausted = self.accounts.values().filter(|account| account.bucket.level() < 1.0).count();
     }
 
-    fn news_for(&self, gateway: &Gateway, now: Timestamp) -> QuotaNews {
+    fn news_for(&self, gateway: &Gateway, now: Timestamp) -> QuotaLevels {
         let is_opening = self.is_opening(now);
         let level = |name: &TenantName| {
             let account = self.accounts.get(name)?;
@@ -144,7 +144,7 @@
             let asked = if is_opening { account.asked.max(account.asked_before) } else { account.asked };
             Some(TenantLevel { tenant: name.clone(), level, asked_per_s: MilliRequests::of(asked) })
         };
-        QuotaNews { tenants: gateway.tenants.keys().filter_map(level).collect(), ..QuotaNews::default() }
+        QuotaLevels { tenants: gateway.tenants.keys().filter_map(level).collect(), ..QuotaLevels::default() }
     }
 
     /// The account of a tenant, filled up to now. `asked_before` is what gateways know of its demand.
@@ -223,7 +223,7 @@
 }
 
 /// Books what a gateway let through since its last report.
-fn take_use(account: &mut Account, used: &TenantUse, known: Option<Use>, is_same_process: bool) -> Use {
+fn take_use(account: &mut Account, used: &TenantUsage, known: Option<Use>, is_same_process: bool) -> Use {
     let asked = used.asked_per_s.requests();
     account.asked = (account.asked - known.map_or(0.0, |known| known.asked) + asked).max(0.0);
     let earlier = known.filter(|known| is_same_process && known.spent <= used.spent);
--- a/crates/core/src/serving/quota/limiter.rs
+++ b/crates/core/src/serving/quota/limiter.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::bucket::{BucketLimit, TokenBucket};
-use super::message::{QuotaNews, QuotaReport, TenantUse};
+use super::message::{QuotaLevels, QuotaReport, TenantUsage};
 use super::{LATEST, LEASE};
 use crate::serving::configuration::tenant::{MilliRequests, RateLimit, TenantName};
 use crate::time::{Millis, Timestamp};
@@ -34,15 +34,15 @@
 /// What was let through of late is counted in steps of this.
 const LATEST_STEP: Millis = Millis(250);
 /// The shortest time after which a refused caller is asked to come back.
-const LEAST_COME_BACK: Millis = Millis(20);
+const MIN_RETRY_AFTER: Millis = Millis(20);
 /// The longest.
-const LONGEST_COME_BACK: Millis = Millis(2_000);
+const MAX_RETRY_AFTER: Millis = Millis(2_000);
 
 /// A request is over its tenant's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverLimit {
     /// When there should be room again.
-    pub come_back: Millis,
+    pub retry_after: Millis,
     /// What was left for this gateway.
     pub left: f64,
     /// How old the leader's word is; `None` if there is none.
@@ -226,7 +226,7 @@
 impl RateLimiter {
     /// A limiter that let nothing through yet.
     pub fn new(machine: Arc<str>) -> Self {
-        Self { machine, tenants: BTreeMap::new(), interval: QuotaNews::default().interval(), is_lost: false }
+        Self { machine, tenants: BTreeMap::new(), interval: QuotaLevels::default().interval(), is_lost: false }
     }
 
     /// Decides on a request. `drawn` is a random number from 0 to 1. A request that `has_waited` for the leader's
@@ -249,9 +249,9 @@
             return Admission::Through;
         }
         let share = state.told.map_or(UNTOLD_SHARE, |told| told.share());
-        let come_back = limit.part(share).time_for(1.0 - left);
+        let retry_after = limit.part(share).time_for(1.0 - left);
         Admission::Refused(OverLimit {
-            come_back: come_back.clamp(LEAST_COME_BACK, LONGEST_COME_BACK),
+            retry_after: retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
             left,
             age: state.told.map(|told| now.since(told.at)),
         })
@@ -268,18 +268,18 @@
     pub fn report(&mut self, now: Timestamp) -> QuotaReport {
         self.tenants.retain(|_, state| now.since(state.used_at) < FORGOTTEN);
         let reported = self.tenants.iter_mut().filter(|(_, state)| now.since(state.used_at) < IDLE);
-        let tenants = reported.map(|(name, state)| TenantUse {
+        let tenants = reported.map(|(name, state)| TenantUsage {
             tenant: name.clone(),
             spent: state.spent,
             latest: state.latest.total(now),
             asked_per_s: MilliRequests::of(state.demand.at_time(now)),
-            told_per_s: MilliRequests::of(state.leased(now).map_or(0.0, |told| told.asked_by_all)),
+            known_per_s: MilliRequests::of(state.leased(now).map_or(0.0, |told| told.asked_by_all)),
         });
         QuotaReport { machine: self.machine.clone(), tenants: tenants.collect() }
     }
 
     /// Takes the leader's answer to a report that left at `asked_at`.
-    pub fn hear(&mut self, report: &QuotaReport, news: &QuotaNews, asked_at: Timestamp) {
+    pub fn hear(&mut self, report: &QuotaReport, news: &QuotaLevels, asked_at: Timestamp) {
         self.interval = news.interval();
         self.is_lost = false;
         for heard in &news.tenants {
--- a/crates/core/src/serving/quota/message.rs
+++ b/crates/core/src/serving/quota/message.rs
@@ -20,12 +20,12 @@
     /// The gateway's machine. A process that was started again there takes the place of the one before.
     pub machine: Arc<str>,
     /// Tenants that asked something of late.
-    pub tenants: Vec<TenantUse>,
+    pub tenants: Vec<TenantUsage>,
 }
 
 /// One tenant at one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TenantUse {
+pub struct TenantUsage {
     /// The tenant.
     pub tenant: TenantName,
     /// Requests let through since the gateway's process started.
@@ -35,19 +35,19 @@
     /// Requests asked for in a second, refused ones too, smoothed.
     pub asked_per_s: MilliRequests,
     /// The same of all gateways, as this one was told it last. A new leader sees by it whether some are out of reach.
-    pub told_per_s: MilliRequests,
+    pub known_per_s: MilliRequests,
 }
 
 /// What the leader answers: of each tenant in the report, what is left.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuotaNews {
+pub struct QuotaLevels {
     /// The tenants that have a limit.
     pub tenants: Vec<TenantLevel>,
     /// How many gateways report.
     pub gateways: u32,
 }
 
-impl QuotaNews {
+impl QuotaLevels {
     /// The time between two reports of one gateway: as short as the leader can bear.
     pub fn interval(&self) -> Millis {
         Millis(u64::from(self.gateways) * 1_000 / REPORTS_PER_S).clamp(LEAST_INTERVAL, LONGEST_INTERVAL)
--- a/crates/core/src/serving/relay/policy.rs
+++ b/crates/core/src/serving/relay/policy.rs
@@ -34,7 +34,7 @@
         /// How long it may hold the answer back.
         hold: Millis,
         /// How long its answer is waited for.
-        patience: Millis,
+        timeout: Millis,
     },
     /// Read all that the store holds.
     ListStore,
@@ -137,7 +137,7 @@
 
     fn ask(&self, relay: NodeId, left: Millis) -> Step {
         let hold = self.bounds.hold();
-        Step::AskRelay { relay, hold, patience: left.min(hold + RELAY_MARGIN) }
+        Step::AskRelay { relay, hold, timeout: left.min(hold + RELAY_MARGIN) }
     }
 
     fn store_step(&self, view: ViewState, role: Role) -> Step {
--- a/crates/core/src/serving/workers/choice.rs
+++ b/crates/core/src/serving/workers/choice.rs
@@ -78,7 +78,7 @@
         let of_service = || self.workers.values().filter(|entry| &*entry.record.service == ask.service);
         let untried = |entry: &&WorkerEntry| !ask.tried.contains(&entry.record.id);
         let ready: Vec<&WorkerEntry> = of_service().filter(|entry| entry.takes_requests(now)).filter(untried).collect();
-        let sound: Vec<&WorkerEntry> = ready.iter().copied().filter(|entry| !entry.is_passed_over(now)).collect();
+        let sound: Vec<&WorkerEntry> = ready.iter().copied().filter(|entry| !entry.is_ejected(now)).collect();
         let candidates = if !sound.is_empty() {
             sound
         } else if !ready.is_empty() {
@@ -86,12 +86,12 @@
         } else {
             of_service().filter(untried).filter(|entry| is_last_resort(entry, now)).collect()
         };
-        let home = self.home_of(ask, &candidates);
-        let level = self.unseen_level(&candidates, now, random);
+        let home = self.affinity_worker(ask, &candidates);
+        let level = self.in_transit_level(&candidates, now, random);
         let cost = |entry: &WorkerEntry, random: &mut dyn FnMut() -> f64| {
-            let is_home = home.as_ref() == Some(&entry.record.id);
+            let has_affinity = home.as_ref() == Some(&entry.record.id);
             let unseen = level.map_or(0.0, |level| (level - load_cost(entry, now)).max(0.0));
-            estimate_cost(entry, ask, is_home, now) + unseen + random() * JITTER_MS
+            estimate_cost(entry, ask, has_affinity, now) + unseen + random() * JITTER_MS
         };
         let mut draw = || random.random::<f64>();
         let chosen = candidates
@@ -104,9 +104,9 @@
 
     /// The level to which requests that other nodes have placed meanwhile may have raised the cost of the
     /// least busy workers. How many those are is drawn, up to twice what is to be expected.
-    fn unseen_level(&self, candidates: &[&WorkerEntry], now: Timestamp, random: &mut impl Rng) -> Option<f64> {
+    fn in_transit_level(&self, candidates: &[&WorkerEntry], now: Timestamp, random: &mut impl Rng) -> Option<f64> {
         let gathered = self.gathered.filter(|gathered| now.since(gathered.at) < SHARED_LIFETIME)?;
-        let age = now.since(gathered.at) + gathered.told_age;
+        let age = now.since(gathered.at) + gathered.report_age;
         let expected = f64::from(gathered.placed_per_s) * age.0 as f64 / 1_000.0;
         let unseen = expected * 2.0 * random.random::<f64>();
         let slopes: Vec<_> = candidates.iter().map(|entry| cost_slope(entry, now)).collect();
@@ -115,7 +115,7 @@
 
     /// Where the shared parts of a prompt go from every node: workers of the zone first, so that
     /// nodes agree without asking each other.
-    fn home_of(&self, ask: &WorkerAsk<'_>, candidates: &[&WorkerEntry]) -> Option<WorkerId> {
+    fn affinity_worker(&self, ask: &WorkerAsk<'_>, candidates: &[&WorkerEntry]) -> Option<WorkerId> {
         let shared = ask.prefix.len().checked_sub(2).map(|place| ask.prefix[place].chain)?;
         let in_zone = candidates.iter().filter(|entry| &*entry.record.zone == ask.zone);
         let weight = |entry: &&&WorkerEntry| rendezvous_weight(shared, hash_bytes(entry.record.id.0.as_bytes()));
@@ -137,7 +137,7 @@
             .workers
             .values()
             .filter(|entry| &*entry.record.service == ask.service && entry.takes_requests(now))
-            .filter(|entry| !entry.is_passed_over(now));
+            .filter(|entry| !entry.is_ejected(now));
         let with_room: Vec<(u64, &WorkerEntry)> =
             sound.map(|entry| (free_slots(entry), entry)).filter(|(free, _)| *free > 0).collect();
         let reserve = (u64::from(online_per_s) * PAUSE_TAKES.0).div_ceil(1_000).max(1);
--- a/crates/core/src/serving/workers/cost.rs
+++ b/crates/core/src/serving/workers/cost.rs
@@ -22,13 +22,13 @@
 /// What was measured of a worker's slowness loses its weight over this time.
 const SLOWNESS_LIFETIME: Millis = Millis(4_000);
 /// The share of a prompt believed to be held where the shared parts always go.
-const HOME_BELIEF: f64 = 0.6;
+const AFFINITY_CACHED_SHARE: f64 = 0.6;
 
 /// The estimated time to the first event, in milliseconds, with what the way there costs.
-pub(super) fn estimate_cost(entry: &WorkerEntry, ask: &WorkerAsk<'_>, is_home: bool, now: Timestamp) -> f64 {
+pub(super) fn estimate_cost(entry: &WorkerEntry, ask: &WorkerAsk<'_>, has_affinity: bool, now: Timestamp) -> f64 {
     let held = f64::from(entry.cache.held_tokens(ask.prefix));
     let shared: u32 = ask.prefix.iter().rev().skip(1).map(|link| link.tokens).sum();
-    let believed = if is_home { held.max(f64::from(shared) * HOME_BELIEF) } else { held };
+    let believed = if has_affinity { held.max(f64::from(shared) * AFFINITY_CACHED_SHARE) } else { held };
     let unread = (f64::from(ask.prompt_tokens) - believed).max(0.0);
     let away = if &*entry.record.zone == ask.zone {
         0.0
--- a/crates/core/src/serving/workers/mod.rs
+++ b/crates/core/src/serving/workers/mod.rs
@@ -20,4 +20,4 @@
 
 pub use choice::{Choice, WorkerAsk};
 pub use table::{WorkerChange, WorkerTable};
-pub use worker::{LoadNews, Standing, WorkerCount, WorkerId, WorkerLoad, WorkerNews, WorkerRecord};
+pub use worker::{LoadReport, Standing, WorkerCount, WorkerId, WorkerLoad, WorkerRecord, WorkerReport};
--- a/crates/core/src/serving/workers/table.rs
+++ b/crates/core/src/serving/workers/table.rs
@@ -6,20 +6,20 @@
 use super::choice::Choice;
 use super::service_times::ServiceTimes;
 use super::worker::{
-    LoadNews, LoadReport, Presence, SharedLoad, WorkerCount, WorkerEntry, WorkerId, WorkerLoad, WorkerNews,
-    WorkerRecord,
+    LoadReport, Presence, ReportedLoad, SharedLoad, WorkerCount, WorkerEntry, WorkerId, WorkerLoad, WorkerRecord,
+    WorkerReport,
 };
 use crate::serving::request::PrefixLink;
 use crate::time::{Millis, Timestamp};
 
 /// How long a worker that failed once is passed over; doubles with each failure in a row.
-const FIRST_PASS_OVER: Millis = Millis(300);
+const BASE_EJECTION: Millis = Millis(300);
 /// How long a worker that could not be reached is passed over at first.
-const FIRST_PASS_OVER_UNREACHED: Millis = Millis(1_200);
+const BASE_EJECTION_UNREACHABLE: Millis = Millis(1_200);
 /// How long a worker is passed over after news that it failed other nodes.
-const HELD_DEAD: Millis = Millis(500);
+const REPORTED_EJECTION: Millis = Millis(500);
 /// Longest time for which a failing worker is passed over.
-const LONGEST_PASS_OVER: Millis = Millis(4_000);
+const MAX_EJECTION: Millis = Millis(4_000);
 /// How long news are in transit: to the node that gathers them, and from there.
 const TRANSIT: Millis = Millis(10);
 /// A report is told to other nodes while it is younger than this.
@@ -27,14 +27,14 @@
 /// A worker that is gone is forgotten after this long.
 const GONE_REMEMBERED: Millis = Millis(60_000);
 /// The usual time to the first event before any was measured, in milliseconds.
-const TYPICAL_AT_START_MS: f64 = 60.0;
+const INITIAL_MEAN_FIRST_MS: f64 = 60.0;
 
 /// All workers.
 #[derive(Clone, Debug)]
 pub struct WorkerTable {
     pub(super) workers: BTreeMap<WorkerId, WorkerEntry>,
     /// Smoothed time to the first event over all workers, in milliseconds.
-    typical_first_ms: f64,
+    mean_first_ms: f64,
     /// When the loads of all other nodes were gathered, and how fast those placed requests then.
     pub(super) gathered: Option<GatheredRate>,
     /// Requests that this node has placed, batch items included.
@@ -49,14 +49,14 @@
     pub(super) at: Timestamp,
     pub(super) placed_per_s: u32,
     /// How old what the others told was on average.
-    pub(super) told_age: Millis,
+    pub(super) report_age: Millis,
 }
 
 impl Default for WorkerTable {
     fn default() -> Self {
         Self {
             workers: BTreeMap::new(),
-            typical_first_ms: TYPICAL_AT_START_MS,
+            mean_first_ms: INITIAL_MEAN_FIRST_MS,
             gathered: None,
             placed: 0,
             times: BTreeMap::new(),
@@ -186,27 +186,27 @@
     /// A worker told its load.
     pub fn reported(&mut self, id: &WorkerId, load: WorkerLoad, now: Timestamp) {
         if let Some(entry) = self.workers.get_mut(id) {
-            entry.report = Some(LoadReport { load, in_flight_then: entry.in_flight, at: now });
+            entry.report = Some(ReportedLoad { load, in_flight_then: entry.in_flight, at: now });
         }
     }
 
     /// A worker answered as it should. `took` is the time to its first event.
     pub fn succeeded(&mut self, id: &WorkerId, took: Millis, now: Timestamp) {
         let took = took.0 as f64;
-        let ratio = (took / self.typical_first_ms.max(5.0)).clamp(0.5, 5.0);
-        self.typical_first_ms = self.typical_first_ms * 0.95 + took * 0.05;
+        let ratio = (took / self.mean_first_ms.max(5.0)).clamp(0.5, 5.0);
+        self.mean_first_ms = self.mean_first_ms * 0.95 + took * 0.05;
         if let Some(entry) = self.workers.get_mut(id) {
             entry.failures = 0;
-            entry.passed_over_until = None;
-            entry.held_dead_until = None;
+            entry.ejected_until = None;
+            entry.reported_until = None;
             entry.slowness = entry.slowness * 0.8 + ratio * 0.2;
             entry.measured_at = now;
         }
     }
 
     /// The usual time to the first event, over all workers.
-    pub fn typical_first_event(&self) -> Millis {
-        Millis(self.typical_first_ms as u64)
+    pub fn mean_first_event(&self) -> Millis {
+        Millis(self.mean_first_ms as u64)
     }
 
     /// A worker failed. Returns for how long it is passed over: longer if it could not even be reached,
@@ -214,10 +214,10 @@
     pub fn failed(&mut self, id: &WorkerId, was_reached: bool, now: Timestamp) -> Option<Millis> {
         let entry = self.workers.get_mut(id)?;
         entry.failures += 1;
-        let first = if was_reached { FIRST_PASS_OVER } else { FIRST_PASS_OVER_UNREACHED };
+        let first = if was_reached { BASE_EJECTION } else { BASE_EJECTION_UNREACHABLE };
         let doubled = first.0 << (entry.failures - 1).min(6);
-        let span = Millis(doubled.min(LONGEST_PASS_OVER.0));
-        entry.passed_over_until = Some(now + span);
+        let span = Millis(doubled.min(MAX_EJECTION.0));
+        entry.ejected_until = Some(now + span);
         Some(span)
     }
 
@@ -225,7 +225,7 @@
     pub fn was_full(&mut self, id: &WorkerId, now: Timestamp) {
         if let Some(entry) = self.workers.get_mut(id) {
             let load = WorkerLoad { running: entry.record.slots, waiting: entry.record.slots / 2 };
-            entry.report = Some(LoadReport { load, in_flight_then: entry.in_flight, at: now });
+            entry.report = Some(ReportedLoad { load, in_flight_then: entry.in_flight, at: now });
         }
     }
 
@@ -246,21 +246,21 @@
     }
 
     /// What this node has to tell of each worker.
-    pub fn own_news(&self, now: Timestamp) -> Vec<WorkerNews> {
+    pub fn own_report(&self, now: Timestamp) -> Vec<WorkerReport> {
         let news = |entry: &WorkerEntry| {
             let report = entry.report.filter(|report| now.since(report.at) < REPORT_TOLD_WITHIN);
             let told = report.map(|report| report.corrected(entry.in_flight));
             let failing = u32::from(entry.failed_here(now));
             let has_news = entry.in_flight > 0 || told.is_some() || failing > 0;
             let (worker, requests, batch) = (entry.record.id.clone(), entry.in_flight, 0);
-            has_news.then_some(WorkerNews { worker, requests, told, failing, batch })
+            has_news.then_some(WorkerReport { worker, requests, told, failing, batch })
         };
         self.workers.values().filter_map(news).collect()
     }
 
     /// Takes what was gathered of all other nodes.
-    pub fn hear(&mut self, news: &LoadNews, now: Timestamp) {
-        let by_worker: BTreeMap<&WorkerId, &WorkerNews> =
+    pub fn hear(&mut self, news: &LoadReport, now: Timestamp) {
+        let by_worker: BTreeMap<&WorkerId, &WorkerReport> =
             news.workers.iter().map(|news| (&news.worker, news)).collect();
         for (id, entry) in &mut self.workers {
             let (load, batch) = by_worker.get(id).map_or((0, 0), |news| {
@@ -269,16 +269,16 @@
             });
             entry.others = Some(SharedLoad { load, batch, at: now });
         }
-        self.hold_dead(news.workers.iter().filter(|news| news.says_dead()).map(|news| &news.worker), now);
-        let told_age = news.age.max(Millis(news.interval().0 / 2)) + TRANSIT;
-        self.gathered = Some(GatheredRate { at: now, placed_per_s: news.placed_per_s, told_age });
+        self.eject_reported(news.workers.iter().filter(|news| news.is_reported_dead()).map(|news| &news.worker), now);
+        let report_age = news.age.max(Millis(news.interval().0 / 2)) + TRANSIT;
+        self.gathered = Some(GatheredRate { at: now, placed_per_s: news.placed_per_s, report_age });
     }
 
     /// Passes over workers that failed other nodes, for as long as such news stay young.
-    pub fn hold_dead<'a>(&mut self, dead: impl Iterator<Item = &'a WorkerId>, now: Timestamp) {
+    pub fn eject_reported<'a>(&mut self, dead: impl Iterator<Item = &'a WorkerId>, now: Timestamp) {
         for id in dead {
             if let Some(entry) = self.workers.get_mut(id) {
-                entry.held_dead_until = Some(now + HELD_DEAD);
+                entry.reported_until = Some(now + REPORTED_EJECTION);
             }
         }
     }
--- a/crates/core/src/serving/workers/worker.rs
+++ b/crates/core/src/serving/workers/worker.rs
@@ -74,7 +74,7 @@
 
 /// What one node tells of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WorkerNews {
+pub struct WorkerReport {
     /// The worker.
     pub worker: WorkerId,
     /// The teller's requests there.
@@ -87,29 +87,29 @@
     pub batch: u32,
 }
 
-impl WorkerNews {
+impl WorkerReport {
     /// Whether the worker is held to be dead: it failed several nodes, and told nobody anything since.
-    pub fn says_dead(&self) -> bool {
+    pub fn is_reported_dead(&self) -> bool {
         self.failing >= FAILED_NODES && self.told.is_none()
     }
 }
 
 /// What one node tells of its requests, or hears of those of all others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadNews {
+pub struct LoadReport {
     /// The workers that there is something to tell of.
-    pub workers: Vec<WorkerNews>,
+    pub workers: Vec<WorkerReport>,
     /// Requests placed in a second.
     pub placed_per_s: u32,
     /// How many nodes tell the one that answers, in what is heard.
-    pub tellers: u32,
+    pub reporters: u32,
     /// How many gateways it is of: besides the asker in what is heard, 0 for one in what is told.
     pub nodes: u32,
     /// How long ago, on average over the requests placed, the gateways told it.
     pub age: Millis,
 }
 
-impl LoadNews {
+impl LoadReport {
     /// Whether there are so many gateways that loads are gathered in each zone first.
     pub fn is_by_zone(&self) -> bool {
         self.nodes >= CENTRAL_NODES
@@ -118,7 +118,7 @@
     /// The time between two exchanges of one node, where so many tell: as short as the gatherer can bear, since
     /// requests are placed by what was heard last.
     pub fn interval(&self) -> Millis {
-        let spread = u64::from(self.tellers) * 1_000 / EXCHANGES_PER_S;
+        let spread = u64::from(self.reporters) * 1_000 / EXCHANGES_PER_S;
         Millis(spread).clamp(LEAST_INTERVAL, LONGEST_INTERVAL)
     }
 }
@@ -166,13 +166,13 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(super) struct LoadReport {
+pub(super) struct ReportedLoad {
     pub(super) load: WorkerLoad,
     pub(super) in_flight_then: u32,
     pub(super) at: Timestamp,
 }
 
-impl LoadReport {
+impl ReportedLoad {
     /// The load that was told, corrected by what this node sent and ended since.
     pub(super) fn corrected(&self, in_flight: u32) -> u32 {
         let told = self.load.running + self.load.waiting;
@@ -194,13 +194,13 @@
     pub(super) presence: Presence,
     pub(super) in_flight: u32,
     pub(super) batch_in_flight: u32,
-    pub(super) report: Option<LoadReport>,
+    pub(super) report: Option<ReportedLoad>,
     /// Requests of other nodes, as the table's leader gathered them.
     pub(super) others: Option<SharedLoad>,
     pub(super) failures: u32,
-    pub(super) passed_over_until: Option<Timestamp>,
+    pub(super) ejected_until: Option<Timestamp>,
     /// Other nodes hold it to be dead.
-    pub(super) held_dead_until: Option<Timestamp>,
+    pub(super) reported_until: Option<Timestamp>,
     pub(super) cache: PrefixCache,
     /// Smoothed time to the first event against the usual of all workers, 1.0 being as usual.
     pub(super) slowness: f64,
@@ -219,8 +219,8 @@
             report: None,
             others: None,
             failures: 0,
-            passed_over_until: None,
-            held_dead_until: None,
+            ejected_until: None,
+            reported_until: None,
             cache: PrefixCache::default(),
             slowness: 1.0,
             measured_at: Timestamp::default(),
@@ -266,12 +266,12 @@
     }
 
     /// Whether it failed this node, or others, of late.
-    pub(super) fn is_passed_over(&self, now: Timestamp) -> bool {
-        self.failed_here(now) || self.held_dead_until.is_some_and(|until| now < until)
+    pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
+        self.failed_here(now) || self.reported_until.is_some_and(|until| now < until)
     }
 
     /// Whether it failed this node of late.
     pub(super) fn failed_here(&self, now: Timestamp) -> bool {
-        self.passed_over_until.is_some_and(|until| now < until)
+        self.ejected_until.is_some_and(|until| now < until)
     }
 }
--- a/crates/core/tests/gateway_rules.rs
+++ b/crates/core/tests/gateway_rules.rs
@@ -12,12 +12,12 @@
 };
 use stallmoor_core::serving::online::attempt::{AttemptEnd, AttemptLedger};
 use stallmoor_core::serving::online::event_stream::{EventSplitter, WholeEvent};
-use stallmoor_core::serving::online::move_budget::MoveBudget;
+use stallmoor_core::serving::online::retry_budget::RetryBudget;
 use stallmoor_core::serving::request::{PrefixLink, PromptPart, chain_prefix};
 use stallmoor_core::serving::workers::load_in_transit::{CostSlope, level_after};
 use stallmoor_core::serving::workers::service_times::ServiceTimes;
 use stallmoor_core::serving::workers::{
-    LoadNews, Standing, WorkerAsk, WorkerChange, WorkerCount, WorkerId, WorkerLoad, WorkerNews, WorkerRecord,
+    LoadReport, Standing, WorkerAsk, WorkerChange, WorkerCount, WorkerId, WorkerLoad, WorkerRecord, WorkerReport,
     WorkerTable,
 };
 use stallmoor_core::time::{Millis, Timestamp};
@@ -117,12 +117,12 @@
 
 #[test]
 fn a_storm_of_moves_runs_out_of_budget() {
-    let mut budget = MoveBudget::default();
+    let mut budget = RetryBudget::default();
     let mut moves = 0;
     for _ in 0..1_000 {
-        budget.earn();
-        if budget.has_one() {
-            budget.spend();
+        budget.deposit();
+        if budget.has_token() {
+            budget.withdraw();
             moves += 1;
         }
     }
@@ -320,20 +320,20 @@
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
     table.upsert(worker("three", "a"));
-    let told = WorkerNews { worker: id("one"), requests: 0, told: Some(12), failing: 0, batch: 0 };
-    table.hear(&LoadNews { workers: vec![told], ..LoadNews::default() }, at(0));
+    let told = WorkerReport { worker: id("one"), requests: 0, told: Some(12), failing: 0, batch: 0 };
+    table.hear(&LoadReport { workers: vec![told], ..LoadReport::default() }, at(0));
     assert_eq!(choose(&table, 10), Some(id("three")));
 }
 
 #[test]
 fn nodes_exchange_loads_as_often_as_the_leader_can_bear() {
-    let interval = |tellers| LoadNews { tellers, ..LoadNews::default() }.interval();
+    let interval = |reporters| LoadReport { reporters, ..LoadReport::default() }.interval();
     assert_eq!(interval(0), Millis(40));
     assert_eq!(interval(6), Millis(40));
     assert_eq!(interval(90), Millis(100));
-    for tellers in [90, 180, 270] {
-        let per_s = u64::from(tellers) * 1_000 / interval(tellers).0;
-        assert!((800..=1_000).contains(&per_s), "{per_s} exchanges a second of {tellers}");
+    for reporters in [90, 180, 270] {
+        let per_s = u64::from(reporters) * 1_000 / interval(reporters).0;
+        assert!((800..=1_000).contains(&per_s), "{per_s} exchanges a second of {reporters}");
     }
     assert_eq!(interval(u32::MAX), Millis(400), "news are believed for a second");
 }
@@ -344,8 +344,8 @@
     table.upsert(worker("one", "a"));
     table.upsert(worker("three", "b"));
     let hear = |table: &mut WorkerTable, failing, told, millis| {
-        let news = WorkerNews { worker: id("one"), requests: 0, told, failing, batch: 0 };
-        table.hear(&LoadNews { workers: vec![news], ..LoadNews::default() }, at(millis));
+        let news = WorkerReport { worker: id("one"), requests: 0, told, failing, batch: 0 };
+        table.hear(&LoadReport { workers: vec![news], ..LoadReport::default() }, at(millis));
     };
     hear(&mut table, 1, None, 0);
     assert_eq!(choose(&table, 10), Some(id("one")), "one node may be cut off itself");
@@ -353,13 +353,13 @@
     assert_eq!(choose(&table, 30), Some(id("one")), "it answers somebody");
     hear(&mut table, 2, None, 40);
     assert_eq!(choose(&table, 50), Some(id("three")));
-    assert_eq!(table.own_news(at(50)), vec![], "hearsay is not passed on");
+    assert_eq!(table.own_report(at(50)), vec![], "hearsay is not passed on");
     assert_eq!(choose(&table, 600), Some(id("one")), "old news are forgotten");
     hear(&mut table, 2, None, 700);
     table.succeeded(&id("one"), Millis(50), at(710));
     assert_eq!(choose(&table, 720), Some(id("one")), "own success counts more");
     table.failed(&id("one"), false, at(800));
-    assert_eq!(table.own_news(at(810)).iter().map(|news| news.failing).collect::<Vec<_>>(), vec![1]);
+    assert_eq!(table.own_report(at(810)).iter().map(|news| news.failing).collect::<Vec<_>>(), vec![1]);
 }
 
 /// Nodes that choose by the same gathered loads, a little old, must not all choose the same worker.
@@ -374,7 +374,7 @@
         for place in 0..WORKERS {
             let name = format!("worker-{place}");
             table.upsert(worker(&name, "a"));
-            news.push(WorkerNews {
+            news.push(WorkerReport {
                 worker: id(&name),
                 requests: u32::from(place > 0) * 3,
                 told: None,
@@ -382,7 +382,10 @@
                 batch: 0,
             });
         }
-        table.hear(&LoadNews { workers: news, placed_per_s: 400, tellers: NODES as u32, ..LoadNews::default() }, at(0));
+        table.hear(
+            &LoadReport { workers: news, placed_per_s: 400, reporters: NODES as u32, ..LoadReport::default() },
+            at(0),
+        );
         let mut random = Xoshiro256PlusPlus::seed_from_u64(node);
         let choice = table.choose(&ask(&[], &[]), at(50), &mut random).expect("there is one");
         *counts.entry(choice.id).or_default() += 1;
@@ -443,8 +446,8 @@
     table.service_times(SERVICE).note_first(Millis(20));
     table.service_times(SERVICE).note_hold(Millis(800));
     let mut expected = |requests: u32, batch: u32| {
-        let told = WorkerNews { worker: id("one"), requests, told: None, failing: 0, batch };
-        table.hear(&LoadNews { workers: vec![told], ..LoadNews::default() }, at(0));
+        let told = WorkerReport { worker: id("one"), requests, told: None, failing: 0, batch };
+        table.hear(&LoadReport { workers: vec![told], ..LoadReport::default() }, at(0));
         let choice = table.choose(&ask(&[], &[]), at(0), &mut random()).expect("there is one");
         table.expected_first(SERVICE, &choice)
     };
--- a/crates/core/tests/jobs_rules.rs
+++ b/crates/core/tests/jobs_rules.rs
@@ -12,10 +12,10 @@
     Submission,
 };
 use stallmoor_core::serving::jobs::dispatch::{Dispatcher, RunEnd, RunningItem};
-use stallmoor_core::serving::jobs::load_share::LoadShare;
+use stallmoor_core::serving::jobs::load_aggregator::LoadAggregator;
 use stallmoor_core::serving::jobs::pair::{PairRecord, PairState, PairView, StoredPair};
 use stallmoor_core::serving::jobs::table::JobTable;
-use stallmoor_core::serving::workers::{LoadNews, WorkerCount, WorkerId, WorkerNews};
+use stallmoor_core::serving::workers::{LoadReport, WorkerCount, WorkerId, WorkerReport};
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
 
 mod support;
@@ -292,35 +292,38 @@
 #[test]
 fn shared_loads_leave_out_the_asker_and_old_news() {
     let count = |name: &str, requests| WorkerCount { worker: WorkerId(Arc::from(name)), requests };
-    let news = |name: &str, requests, told| WorkerNews {
+    let news = |name: &str, requests, told| WorkerReport {
         worker: WorkerId(Arc::from(name)),
         requests,
         told,
         failing: 0,
         batch: 0,
     };
-    let mut share = LoadShare::default();
-    let first = LoadNews { workers: vec![news("w", 3, Some(9))], placed_per_s: 20, ..LoadNews::default() };
-    let second =
-        LoadNews { workers: vec![news("w", 4, None), news("v", 1, Some(1))], placed_per_s: 30, ..LoadNews::default() };
+    let mut share = LoadAggregator::default();
+    let first = LoadReport { workers: vec![news("w", 3, Some(9))], placed_per_s: 20, ..LoadReport::default() };
+    let second = LoadReport {
+        workers: vec![news("w", 4, None), news("v", 1, Some(1))],
+        placed_per_s: 30,
+        ..LoadReport::default()
+    };
     share.tell(NodeId(1), first, at(0));
     share.tell(NodeId(2), second, at(500));
     let batch = [count("v", 2)];
     let heard = share.without(NodeId(1), &batch, at(500));
-    let with_items = WorkerNews { batch: 2, ..news("v", 3, Some(1)) };
+    let with_items = WorkerReport { batch: 2, ..news("v", 3, Some(1)) };
     assert_eq!(heard.workers, vec![with_items, news("w", 4, Some(9))]);
     assert_eq!(heard.placed_per_s, 30, "the asker knows its own");
-    assert_eq!(heard.tellers, 2);
+    assert_eq!(heard.reporters, 2);
     assert_eq!(share.online(at(500)), vec![count("v", 1), count("w", 7)]);
     assert_eq!(share.online(at(1_200)), vec![count("v", 1), count("w", 4)]);
 }
 
 #[test]
 fn a_worker_is_dead_once_it_failed_two_nodes_and_told_none() {
-    let mut share = LoadShare::default();
+    let mut share = LoadAggregator::default();
     let failing = |told| {
-        let news = WorkerNews { worker: WorkerId(Arc::from("w")), requests: 1, told, failing: 1, batch: 0 };
-        LoadNews { workers: vec![news], ..LoadNews::default() }
+        let news = WorkerReport { worker: WorkerId(Arc::from("w")), requests: 1, told, failing: 1, batch: 0 };
+        LoadReport { workers: vec![news], ..LoadReport::default() }
     };
     share.tell(NodeId(1), failing(None), at(0));
     assert_eq!(share.dead(at(0)), vec![]);
@@ -333,7 +336,7 @@
 
 /// What one node of the oracle told, and when.
 struct Tale {
-    news: LoadNews,
+    news: LoadReport,
     at: u64,
 }
 
@@ -346,20 +349,20 @@
     fn shared_loads_are_the_sums_of_what_was_told(
         tales in prop::collection::vec((0..6_u64, 0..400_u64, prop::collection::vec((0..5_u32, 0..9_u32), 0..5)), 1..40),
     ) {
-        let mut share = LoadShare::default();
+        let mut share = LoadAggregator::default();
         let mut oracle: BTreeMap<u64, Tale> = BTreeMap::new();
         let mut now = 0;
         for (node, pause, loads) in tales {
             now += pause;
             let loads: BTreeMap<u32, u32> = loads.into_iter().collect();
-            let named = |(worker, requests): (&u32, &u32)| WorkerNews {
+            let named = |(worker, requests): (&u32, &u32)| WorkerReport {
                 worker: WorkerId(Arc::from(format!("w{worker}"))),
                 requests: *requests,
                 told: None,
                 failing: 0,
                 batch: 0,
             };
-            let news = LoadNews { workers: loads.iter().map(named).collect(), placed_per_s: node as u32, ..LoadNews::default() };
+            let news = LoadReport { workers: loads.iter().map(named).collect(), placed_per_s: node as u32, ..LoadReport::default() };
             share.tell(NodeId(node), news.clone(), at(now));
             oracle.insert(node, Tale { news, at: now });
             let heard = share.without(NodeId(node), &[], at(now));
--- a/crates/core/tests/jobs_simulation.rs
+++ b/crates/core/tests/jobs_simulation.rs
@@ -15,7 +15,7 @@
     ItemKey, ItemState, JobCommand, JobItem, JobKey, LoggedOutput, Submission,
 };
 use stallmoor_core::serving::jobs::directory::{StorageDirectory, StorageRecord};
-use stallmoor_core::serving::jobs::members::{EmptyingState, Members, MembersAction};
+use stallmoor_core::serving::jobs::members::{DrainState, Members, MembersAction};
 use stallmoor_core::serving::jobs::node::{JobsChange, JobsEffect, JobsNode, Waiter};
 use stallmoor_core::serving::jobs::pair::{PairRecord, StoredPair};
 use stallmoor_core::serving::jobs::request::JobsAnswer;
@@ -302,8 +302,8 @@
                     let read = reachable.then(|| write_pair(&mut self.store, record, revision));
                     process.members.pair_written(read);
                 }
-                MembersAction::ReportEmptying { machine, state } => {
-                    if state == EmptyingState::Completed {
+                MembersAction::ReportDrain { machine, state } => {
+                    if state == DrainState::Completed {
                         self.store.completed.insert(machine);
                     }
                 }
--- a/crates/core/tests/load_gathering.rs
+++ b/crates/core/tests/load_gathering.rs
@@ -5,8 +5,8 @@
 
 use proptest::prelude::*;
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::serving::jobs::load_share::LoadShare;
-use stallmoor_core::serving::workers::{LoadNews, WorkerId, WorkerNews};
+use stallmoor_core::serving::jobs::load_aggregator::LoadAggregator;
+use stallmoor_core::serving::workers::{LoadReport, WorkerId, WorkerReport};
 use stallmoor_core::time::{Millis, Timestamp};
 
 mod support;
@@ -36,45 +36,45 @@
 /// A leader, and a gatherer in each zone but the first, whose gateways tell the leader.
 struct World {
     now: u64,
-    leader: LoadShare,
-    gatherers: Vec<LoadShare>,
+    leader: LoadAggregator,
+    gatherers: Vec<LoadAggregator>,
     /// What each gateway has at each worker.
     loads: Vec<BTreeMap<u32, u32>>,
     /// What each gateway was told by a worker of late.
     told: Vec<Option<(u32, u32)>>,
-    heard: Vec<LoadNews>,
+    heard: Vec<LoadReport>,
 }
 
 impl World {
     fn new(loads: Vec<BTreeMap<u32, u32>>) -> Self {
         Self {
             now: 0,
-            leader: LoadShare::default(),
-            gatherers: (0..ZONES).map(|_| LoadShare::default()).collect(),
+            leader: LoadAggregator::default(),
+            gatherers: (0..ZONES).map(|_| LoadAggregator::default()).collect(),
             told: vec![None; loads.len()],
-            heard: vec![LoadNews::default(); loads.len()],
+            heard: vec![LoadReport::default(); loads.len()],
             loads,
         }
     }
 
-    fn news_of(&self, node: usize) -> LoadNews {
+    fn news_of(&self, node: usize) -> LoadReport {
         let told_by = |number: u32| self.told[node].filter(|(worker, _)| *worker == number).map(|(_, load)| load);
         let workers = (0..WORKERS)
             .filter_map(|number| {
                 let requests = self.loads[node].get(&number).copied().unwrap_or(0);
                 let told = told_by(number);
                 let has_news = requests > 0 || told.is_some();
-                has_news.then(|| WorkerNews { worker: worker(number), requests, told, failing: 0, batch: 0 })
+                has_news.then(|| WorkerReport { worker: worker(number), requests, told, failing: 0, batch: 0 })
             })
             .collect();
-        LoadNews { workers, placed_per_s: 10, ..LoadNews::default() }
+        LoadReport { workers, placed_per_s: 10, ..LoadReport::default() }
     }
 
     /// Every node exchanges once.
     fn round(&mut self) {
         self.now += INTERVAL;
         let now = at(self.now);
-        let news: Vec<LoadNews> = (0..GATEWAYS).map(|node| self.news_of(node)).collect();
+        let news: Vec<LoadReport> = (0..GATEWAYS).map(|node| self.news_of(node)).collect();
         for (node, told) in news.into_iter().enumerate() {
             let zone = node % ZONES;
             let share = if zone == 0 { &mut self.leader } else { &mut self.gatherers[zone] };
@@ -85,7 +85,7 @@
             let Some(sums) = self.gatherers[zone].for_leader(now) else { continue };
             self.leader.tell(gatherer(zone), sums, now);
             let rest = self.leader.without(gatherer(zone), &[], now);
-            self.gatherers[zone].hear_leader(rest, now);
+            self.gatherers[zone].apply_leader_report(rest, now);
         }
     }
 
@@ -94,8 +94,8 @@
         others.map(|(_, loads)| loads.get(&number).copied().unwrap_or(0)).sum()
     }
 
-    fn heard_at(&self, node: usize, number: u32) -> WorkerNews {
-        let none = WorkerNews { worker: worker(number), requests: 0, told: None, failing: 0, batch: 0 };
+    fn heard_at(&self, node: usize, number: u32) -> WorkerReport {
+        let none = WorkerReport { worker: worker(number), requests: 0, told: None, failing: 0, batch: 0 };
         let mut workers = self.heard[node].workers.iter();
         workers.find(|news| news.worker == none.worker).cloned().unwrap_or(none)
     }
@@ -149,8 +149,8 @@
 
 #[test]
 fn the_age_of_what_is_heard_counts_from_the_gateways_word_on() {
-    let news = LoadNews { placed_per_s: 10, ..LoadNews::default() };
-    let (mut gatherer_share, mut leader) = (LoadShare::default(), LoadShare::default());
+    let news = LoadReport { placed_per_s: 10, ..LoadReport::default() };
+    let (mut gatherer_share, mut leader) = (LoadAggregator::default(), LoadAggregator::default());
     gatherer_share.tell(gateway(1), news.clone(), at(0));
     let sums = gatherer_share.for_leader(at(30)).expect("a gateway told it");
     assert_eq!(sums.age, Millis(30));
@@ -163,7 +163,7 @@
 
 #[test]
 fn a_gatherer_without_gateways_tells_nothing() {
-    let mut share = LoadShare::default();
-    share.hear_leader(LoadNews { placed_per_s: 5, ..LoadNews::default() }, at(0));
+    let mut share = LoadAggregator::default();
+    share.apply_leader_report(LoadReport { placed_per_s: 5, ..LoadReport::default() }, at(0));
     assert_eq!(share.for_leader(at(1)), None);
 }
--- a/crates/core/tests/quota_simulation.rs
+++ b/crates/core/tests/quota_simulation.rs
@@ -11,7 +11,7 @@
 use stallmoor_core::serving::quota::bucket::{BucketLimit, TokenBucket};
 use stallmoor_core::serving::quota::coordinator::RateCoordinator;
 use stallmoor_core::serving::quota::limiter::{Admission, RateLimiter, TenantAsk};
-use stallmoor_core::serving::quota::message::{QuotaNews, QuotaReport};
+use stallmoor_core::serving::quota::message::{QuotaLevels, QuotaReport};
 use stallmoor_core::time::{Millis, Timestamp};
 
 mod support;
@@ -111,7 +111,7 @@
 
 enum Mail {
     Report { gateway: usize, report: QuotaReport, sent_at: u64 },
-    News { gateway: usize, report: QuotaReport, news: QuotaNews, sent_at: u64 },
+    News { gateway: usize, report: QuotaReport, news: QuotaLevels, sent_at: u64 },
 }
 
 fn play(day: &Day) -> Outcome {
--- a/crates/core/tests/relay_simulation.rs
+++ b/crates/core/tests/relay_simulation.rs
@@ -40,7 +40,7 @@
 enum Call {
     List,
     Watch { since: u64, wait: u64 },
-    Ask { relay: usize, since: u64, hold: u64, patience: u64 },
+    Ask { relay: usize, since: u64, hold: u64, timeout: u64 },
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -203,9 +203,9 @@
             }
             Step::ListStore => Call::List,
             Step::WatchStore { since, wait } => Call::Watch { since: since.0, wait: wait.0 },
-            Step::AskRelay { relay, hold, patience } => {
+            Step::AskRelay { relay, hold, timeout } => {
                 let since = view.at.expect("only a node with a view asks").0;
-                Call::Ask { relay: relay.0 as usize - 1, since, hold: hold.0, patience: patience.0 }
+                Call::Ask { relay: relay.0 as usize - 1, since, hold: hold.0, timeout: timeout.0 }
             }
         };
         if !matches!(call, Call::Ask { .. }) {
@@ -223,7 +223,7 @@
         let done = match call {
             Call::List => self.resolve_store(node, begun, None),
             Call::Watch { since, wait } => self.resolve_store(node, begun, Some((since, wait))),
-            Call::Ask { relay, since, hold, patience } => self.resolve_ask(node, begun, relay, since, hold, patience),
+            Call::Ask { relay, since, hold, timeout } => self.resolve_ask(node, begun, relay, since, hold, timeout),
         };
         let may_break_off = !matches!(call, Call::List) && self.role(node) == Role::Relay;
         let was_asked = self.nodes[node].asked_at.is_some_and(|asked| asked > at(begun));
@@ -241,7 +241,7 @@
     fn resolve_store(&mut self, node: usize, begun: u64, watch: Option<(u64, u64)>) -> bool {
         let (now, revision, role) = (self.now, self.revision, self.role(node));
         let passed = now - begun;
-        let patience = watch.map_or(CALL_TIMEOUT, |(_, wait)| wait + WATCH_MARGIN);
+        let timeout = watch.map_or(CALL_TIMEOUT, |(_, wait)| wait + WATCH_MARGIN);
         let wait = watch.map_or(0, |(_, wait)| wait);
         let (listed, changes) = (self.listed(), self.changes_after(watch.map_or(u64::MAX, |(since, _)| since)));
         let spread = self.random.random::<f64>();
@@ -249,7 +249,7 @@
         let is_refused = now < self.nodes[node].faults.refused_until;
         let entry = &mut self.nodes[node];
         if !has_store {
-            if !is_refused && passed < patience {
+            if !is_refused && passed < timeout {
                 return false;
             }
             let call = FailedCall { begun: at(begun), ended: at(now), is_silent: !is_refused };
@@ -274,11 +274,11 @@
         true
     }
 
-    fn resolve_ask(&mut self, node: usize, begun: u64, relay: usize, since: u64, hold: u64, patience: u64) -> bool {
+    fn resolve_ask(&mut self, node: usize, begun: u64, relay: usize, since: u64, hold: u64, timeout: u64) -> bool {
         let now = self.now;
         let passed = now - begun;
         let faults = self.nodes[relay].faults;
-        if passed >= patience {
+        if passed >= timeout {
             self.nodes[node].policy.relay_failed(id(relay), at(now));
             return true;
         }
--- a/crates/gateway/src/adapter/metadata.rs
+++ b/crates/gateway/src/adapter/metadata.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use stallmoor_core::serving::configuration::GatewayConfiguration;
-use stallmoor_core::serving::jobs::members::EmptyingState;
+use stallmoor_core::serving::jobs::members::DrainState;
 use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::outage::RecordGrace;
 use stallmoor_core::serving::workers::{WorkerId, WorkerRecord};
@@ -35,7 +35,7 @@
     /// All that the store holds was told once.
     Listed,
     /// The operator wants a machine emptied.
-    EmptyMachine {
+    DrainMachine {
         /// The machine's name.
         machine: Arc<str>,
     },
@@ -124,5 +124,5 @@
     fn interpret(&self, item: &MetadataItem, grace: &RecordGrace) -> Option<FleetUpdate>;
 
     /// Tells the operator how far the emptying of a machine is. Returns whether it was written.
-    fn report_emptying(&self, machine: Arc<str>, state: EmptyingState) -> BoxFuture<'_, bool>;
+    fn report_drain(&self, machine: Arc<str>, state: DrainState) -> BoxFuture<'_, bool>;
 }
--- a/crates/gateway/src/batch/job_calls.rs
+++ b/crates/gateway/src/batch/job_calls.rs
@@ -18,7 +18,7 @@
 use crate::fleet::fleet_view::FleetView;
 use crate::http::answer_body::AnswerBody;
 use crate::http::refusal;
-use crate::leader::client::{JobsClient, NoLeader};
+use crate::leader::client::{LeaderClient, NoLeader};
 use crate::observe::journal::{Field, record};
 use crate::observe::measures;
 
@@ -54,7 +54,7 @@
     /// The spelling of the wire.
     pub dialect: Arc<dyn Dialect>,
     /// The way to the table's leader.
-    pub client: JobsClient,
+    pub client: LeaderClient,
 }
 
 impl JobCalls {
--- a/crates/gateway/src/callers/server.rs
+++ b/crates/gateway/src/callers/server.rs
@@ -33,7 +33,7 @@
 
 /// How long a node that has just started lets a request wait for its first view of the fleet. A refusal after
 /// that comes soon enough to be tried elsewhere.
-const START_PATIENCE: Duration = Duration::from_millis(60);
+const START_TIMEOUT: Duration = Duration::from_millis(60);
 /// An idle connection is kept this much longer than callers were told.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
 /// Least size of the buffer for a head that the library takes.
@@ -140,7 +140,7 @@
     /// Reads a request and checks whether it may be served.
     async fn admit(&self, request: Request<Incoming>, arrived_at: Timestamp) -> Result<Admitted, Refusal> {
         let view = &self.workers.view;
-        let Some(configuration) = view.known_configuration(START_PATIENCE).await else {
+        let Some(configuration) = view.known_configuration(START_TIMEOUT).await else {
             return Err(Refusal::new(ErrorKind::NotConfigured, "no configuration is known yet"));
         };
         let (parts, body) = request.into_parts();
--- a/crates/gateway/src/fleet/fleet_view.rs
+++ b/crates/gateway/src/fleet/fleet_view.rs
@@ -9,7 +9,7 @@
 use stallmoor_core::log_event::LogEvent;
 use stallmoor_core::serving::configuration::{GatewayConfiguration, Route};
 use stallmoor_core::serving::jobs::directory::{StorageDirectory, StorageRecord};
-use stallmoor_core::serving::online::move_budget::MoveBudget;
+use stallmoor_core::serving::online::retry_budget::RetryBudget;
 use stallmoor_core::serving::relay::item::MetadataItem;
 use stallmoor_core::serving::workers::{WorkerChange, WorkerId, WorkerTable};
 use stallmoor_core::time::Timestamp;
@@ -36,7 +36,7 @@
     storage: Mutex<StorageDirectory>,
     founding: Mutex<Option<MetadataItem>>,
     random: Mutex<Xoshiro256PlusPlus>,
-    moves: Mutex<MoveBudget>,
+    retry_budget: Mutex<RetryBudget>,
     /// All that the store holds was told once.
     is_listed: AtomicBool,
     changed: watch::Sender<u64>,
@@ -53,7 +53,7 @@
             storage: Mutex::default(),
             founding: Mutex::default(),
             random: Mutex::new(Xoshiro256PlusPlus::seed_from_u64(seed)),
-            moves: Mutex::default(),
+            retry_budget: Mutex::default(),
             is_listed: AtomicBool::new(false),
             changed: watch::Sender::new(0),
         }
@@ -100,8 +100,8 @@
     }
 
     /// The budget for moving requests away from slow workers.
-    pub fn moves(&self) -> MutexGuard<'_, MoveBudget> {
-        lock(&self.moves)
+    pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
+        lock(&self.retry_budget)
     }
 
     /// Tells each change of the view.
@@ -132,7 +132,7 @@
                 record(LogEvent::PlatformRecovered, &[Field::number("absence_ms", absence.0)]);
             }
             FleetUpdate::Lost { detail } => record(LogEvent::PlatformUnavailable, &[Field::text("detail", detail)]),
-            FleetUpdate::EmptyMachine { .. } => {}
+            FleetUpdate::DrainMachine { .. } => {}
         }
         self.changed.send_modify(|count| *count += 1);
     }
--- a/crates/gateway/src/fleet/metadata_watch.rs
+++ b/crates/gateway/src/fleet/metadata_watch.rs
@@ -61,7 +61,7 @@
             self.enter(self.policy.role(state, &relays));
             measures::view_age(state.age.unwrap_or_default());
             match self.policy.next(state, &relays) {
-                Step::AskRelay { relay, hold, patience } => self.ask_relay(relay, state.at, hold, patience).await,
+                Step::AskRelay { relay, hold, timeout } => self.ask_relay(relay, state.at, hold, timeout).await,
                 Step::ListStore => self.list_store().await,
                 Step::WatchStore { since, wait } => self.watch_store(since, wait).await,
                 Step::Rest(span) => {
@@ -90,14 +90,14 @@
         }
     }
 
-    async fn ask_relay(&mut self, relay: NodeId, since: Option<Revision>, hold: Millis, patience: Millis) {
+    async fn ask_relay(&mut self, relay: NodeId, since: Option<Revision>, hold: Millis, timeout: Millis) {
         let address = self.fleet.storage().of_node(relay).map(|record| record.address);
         let (Some(address), Some(since)) = (address, since) else {
             self.policy.relay_failed(relay, self.fleet.clock.now());
             return;
         };
         let asked_at = self.fleet.clock.now();
-        let call = self.links.ask_changes(address, ChangesRequest { since, hold }, as_duration(patience));
+        let call = self.links.ask_changes(address, ChangesRequest { since, hold }, as_duration(timeout));
         let Some(answered) = self.until_asked(call).await else { return };
         let now = self.fleet.clock.now();
         match answered {
--- a/crates/gateway/src/leader/client.rs
+++ b/crates/gateway/src/leader/client.rs
@@ -24,13 +24,13 @@
 }
 
 /// Finds the leader and asks it.
-pub struct JobsClient {
+pub struct LeaderClient {
     view: Arc<FleetView>,
     links: PeerLinks,
     leader: Mutex<Option<NodeId>>,
 }
 
-impl JobsClient {
+impl LeaderClient {
     /// A client that knows no leader yet.
     pub fn new(view: Arc<FleetView>, id: NodeId) -> Self {
         Self { view, links: PeerLinks::new(id), leader: Mutex::default() }
@@ -57,8 +57,8 @@
                 turn += 1;
                 continue;
             };
-            let patience = (TRY_TIMEOUT + own_wait(&request)).min(Duration::from_millis(left.0));
-            match self.links.ask(target.address, request.clone(), patience).await {
+            let timeout = (TRY_TIMEOUT + own_wait(&request)).min(Duration::from_millis(left.0));
+            match self.links.ask(target.address, request.clone(), timeout).await {
                 Ok(Ok(JobsAnswer::Unsure)) => {
                     may_have_arrived = true;
                     self.forget_leader();
--- a/crates/gateway/src/leader/load_exchange.rs
+++ b/crates/gateway/src/leader/load_exchange.rs
@@ -7,7 +7,7 @@
 use stallmoor_core::identity::NodeId;
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
 use stallmoor_core::serving::relay::choice::{RelayChoice, rank_relays};
-use stallmoor_core::serving::workers::LoadNews;
+use stallmoor_core::serving::workers::LoadReport;
 use stallmoor_core::time::{Millis, Timestamp};
 
 use crate::batch::job_calls::JobCalls;
@@ -15,7 +15,7 @@
 use crate::peers::peer_link::PeerLinks;
 
 /// How long an answer is waited for.
-const PATIENCE: Millis = Millis(250);
+const ANSWER_TIMEOUT: Millis = Millis(250);
 /// The time between two exchanges while this node has no requests.
 const IDLE_INTERVAL: Millis = Millis(600);
 /// A gatherer that gave no answer is avoided for this long at first. Loads that were gathered are believed for about
@@ -51,12 +51,12 @@
 
 impl LoadExchange {
     fn new(view: Arc<FleetView>, jobs: Arc<JobCalls>, id: NodeId) -> Self {
-        let (links, interval) = (PeerLinks::new(id), LoadNews::default().interval());
+        let (links, interval) = (PeerLinks::new(id), LoadReport::default().interval());
         Self { view, jobs, links, id, gatherers: RelayChoice::default(), is_by_zone: false, interval }
     }
 
     /// Tells this node's requests and hears those of all others.
-    async fn exchange(&mut self, news: LoadNews) -> Option<LoadNews> {
+    async fn exchange(&mut self, news: LoadReport) -> Option<LoadReport> {
         let gatherer = if self.is_by_zone { self.gatherer() } else { None };
         let heard = match gatherer {
             Some(gatherer) => self.ask_gatherer(gatherer, news).await,
@@ -72,18 +72,18 @@
         self.gatherers.usable(self.view.clock.now(), &relays)
     }
 
-    async fn ask_leader(&self, news: LoadNews) -> Option<LoadNews> {
-        let until = self.view.clock.now() + PATIENCE;
-        match self.jobs.client.ask(JobsRequest::ShareLoad(news), until).await {
+    async fn ask_leader(&self, news: LoadReport) -> Option<LoadReport> {
+        let until = self.view.clock.now() + ANSWER_TIMEOUT;
+        match self.jobs.client.ask(JobsRequest::ReportLoad(news), until).await {
             Ok(JobsAnswer::Loads(heard)) => Some(heard),
             Ok(_) | Err(_) => None,
         }
     }
 
-    async fn ask_gatherer(&mut self, gatherer: NodeId, news: LoadNews) -> Option<LoadNews> {
+    async fn ask_gatherer(&mut self, gatherer: NodeId, news: LoadReport) -> Option<LoadReport> {
         let address = self.view.storage().of_node(gatherer).map(|record| record.address)?;
-        let within = Duration::from_millis(PATIENCE.0);
-        match self.links.ask(address, JobsRequest::GatherLoad(news), within).await {
+        let within = Duration::from_millis(ANSWER_TIMEOUT.0);
+        match self.links.ask(address, JobsRequest::AggregateLoad(news), within).await {
             Ok(Ok(JobsAnswer::Loads(heard))) => {
                 self.gatherers.answered(gatherer);
                 Some(heard)
@@ -105,13 +105,13 @@
 
 impl PlacedRate {
     /// What this node has to tell, its rate since the last call smoothed with that before.
-    fn news(&mut self, view: &FleetView, now: Timestamp) -> LoadNews {
+    fn news(&mut self, view: &FleetView, now: Timestamp) -> LoadReport {
         let workers = view.workers();
         let span = now.since(self.at).0.max(1);
         let per_s = (workers.placed() - self.placed) * 1_000 / span;
         self.per_s = (self.per_s + u32::try_from(per_s).unwrap_or(u32::MAX)).div_ceil(2);
         self.placed = workers.placed();
         self.at = now;
-        LoadNews { workers: workers.own_news(now), placed_per_s: self.per_s, ..LoadNews::default() }
+        LoadReport { workers: workers.own_report(now), placed_per_s: self.per_s, ..LoadReport::default() }
     }
 }
--- a/crates/gateway/src/leader/rate_limits.rs
+++ b/crates/gateway/src/leader/rate_limits.rs
@@ -19,7 +19,7 @@
 /// How long a request waits for the leader's first word of its tenant: a few ways between zones.
 const FIRST_WORD: Duration = Duration::from_millis(60);
 /// How long the leader's answer to a report is waited for.
-const PATIENCE: Millis = Millis(250);
+const ANSWER_TIMEOUT: Millis = Millis(250);
 /// The time between two looks whether a report is due.
 const LOOK_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -102,8 +102,8 @@
         limits.rest().await;
         let Some(report) = limits.due_report(last) else { continue };
         last = clock.now();
-        let request = JobsRequest::ShareQuota(report.clone());
-        match jobs.client.ask(request, last + PATIENCE).await {
+        let request = JobsRequest::ReportQuota(report.clone());
+        match jobs.client.ask(request, last + ANSWER_TIMEOUT).await {
             Ok(JobsAnswer::Quota(news)) => limits.limiter().hear(&report, &news, clock.now()),
             // The gateway's own part of the limits has to do.
             Ok(_) | Err(_) => limits.limiter().lose(),
@@ -116,5 +116,5 @@
     measures::rate_refused();
     let age = over.age.map_or_else(|| "never told".to_owned(), |age| format!("told {} ms ago", age.0));
     let detail = format!("the tenant {tenant} has {:.2} requests left at this gateway, {age}", over.left);
-    Refusal::new(ErrorKind::RateExceeded, detail).with_retry_after(over.come_back.0)
+    Refusal::new(ErrorKind::RateExceeded, detail).with_retry_after(over.retry_after.0)
 }
--- a/crates/gateway/src/online/mod.rs
+++ b/crates/gateway/src/online/mod.rs
@@ -30,18 +30,18 @@
 use crate::workers::attempt::{Attempt, OpenAnswer, WorkerClient};
 
 /// The share of the objective for which a first attempt is waited for before another worker is tried.
-const FIRST_PATIENCE_PERCENT: u64 = 50;
+const FIRST_EVENT_TIMEOUT_PERCENT: u64 = 50;
 /// An attempt is waited for at least this many times the usual time to the first event.
-const USUAL_TIMES: u64 = 4;
+const MEAN_MULTIPLE: u64 = 4;
 /// Least time for which an attempt is waited for.
-const LEAST_PATIENCE: Millis = Millis(60);
+const MIN_FIRST_EVENT_TIMEOUT: Millis = Millis(60);
 /// When a caller that found no room should come back.
-const COME_BACK: Millis = Millis(150);
+const RETRY_AFTER: Millis = Millis(150);
 /// When a caller should come back that the fleet has no room for, as a share of the time for which it waits. A burst
 /// lasts for seconds: one that came back sooner would be refused again, and one that came later had no time left.
-const COME_BACK_SHARE: f64 = 0.33;
+const RETRY_AFTER_SHARE: f64 = 0.33;
 /// The part of that time over which such callers are spread, lest they come back as a burst of their own.
-const COME_BACK_SPREAD: f64 = 0.15;
+const RETRY_AFTER_SPREAD: f64 = 0.15;
 /// An attempt needs at least this much time.
 const LEAST_REMAINING: Millis = Millis(20);
 
@@ -93,7 +93,7 @@
         return refusal::of_kind(ErrorKind::NoEngine, "the route leads to no service");
     };
     let held = request.facts.deadline.map_or(request.route.timeout, |wait| wait.min(request.route.timeout));
-    client.view.moves().earn();
+    client.view.retry_budget().deposit();
     let ends_at = request.arrived_at + held;
     let last_event = request.facts.last_event;
     let ledger = AttemptLedger::default();
@@ -161,11 +161,11 @@
                 return Err(self.give_up(ErrorKind::NoEngine, ErrorKind::EngineLost, "no worker is left to try"));
             };
             if let Some(expected) = self.late_first_event(&choice) {
-                return Err(self.turn_back(&choice, expected));
+                return Err(self.shed(&choice, expected));
             }
-            let patience = self.patience();
+            let timeout = self.timeout();
             let worker = choice.id.clone();
-            match self.attempt(choice, patience).await {
+            match self.attempt(choice, timeout).await {
                 Ok(answer) if self.should_try_elsewhere(&answer) => {
                     let end = AttemptEnd::Failed { status: answer.status.as_u16() };
                     self.client.view.workers().failed(&answer.worker, true, self.now());
@@ -202,21 +202,21 @@
     }
 
     /// The refusal for a request that the fleet has no room for.
-    fn turn_back(&self, choice: &Choice, expected: Millis) -> Refusal {
+    fn shed(&self, choice: &Choice, expected: Millis) -> Refusal {
         let (place, slots, objective) = (choice.place_in_queue, choice.slots, self.request.route.objective.0);
         let detail = format!(
             "number {place} to wait for {slots} slots, its first event expected after {} ms of {objective}",
             expected.0
         );
         let drawn: f64 = self.client.view.random().random();
-        let share = COME_BACK_SHARE * (1.0 - COME_BACK_SPREAD * drawn);
+        let share = RETRY_AFTER_SHARE * (1.0 - RETRY_AFTER_SPREAD * drawn);
         let wait = (self.remaining().0 as f64 * share) as u64;
         Refusal::new(ErrorKind::Overloaded, detail).with_ran(Ran::NotRun).with_retry_after(wait)
     }
 
     fn note_end(&mut self, worker: &WorkerId, end: AttemptEnd) {
         if end == AttemptEnd::Silent {
-            self.client.view.moves().spend();
+            self.client.view.retry_budget().withdraw();
         }
         if end.may_have_run() {
             self.ran_on.push(worker.clone());
@@ -234,23 +234,23 @@
 
     /// How long an attempt's head is waited for: a request that may run again goes elsewhere early,
     /// while its last attempt gets all the time there is.
-    fn patience(&self) -> Duration {
+    fn timeout(&self) -> Duration {
         let route = &self.request.route;
         let remaining = self.remaining();
         let is_last = !self.may_run_again() || self.ledger.ran + 1 >= route.max_attempts;
-        let may_move = !is_last && self.client.view.moves().has_one();
-        let span = if may_move { self.first_patience().min(remaining) } else { remaining };
+        let may_move = !is_last && self.client.view.retry_budget().has_token();
+        let span = if may_move { self.first_event_timeout().min(remaining) } else { remaining };
         Duration::from_millis(span.0)
     }
 
     /// How long the first event is waited for before another worker is tried.
-    fn first_patience(&self) -> Millis {
-        let of_objective = Millis(self.request.route.objective.0 * FIRST_PATIENCE_PERCENT / 100);
-        let usual = self.client.view.workers().typical_first_event();
-        of_objective.max(LEAST_PATIENCE).max(Millis(usual.0 * USUAL_TIMES))
+    fn first_event_timeout(&self) -> Millis {
+        let of_objective = Millis(self.request.route.objective.0 * FIRST_EVENT_TIMEOUT_PERCENT / 100);
+        let usual = self.client.view.workers().mean_first_event();
+        of_objective.max(MIN_FIRST_EVENT_TIMEOUT).max(Millis(usual.0 * MEAN_MULTIPLE))
     }
 
-    async fn attempt(&mut self, choice: Choice, patience: Duration) -> Result<OpenAnswer, AttemptEnd> {
+    async fn attempt(&mut self, choice: Choice, timeout: Duration) -> Result<OpenAnswer, AttemptEnd> {
         let remaining = self.request.facts.deadline.map(|wait| (self.request.arrived_at + wait).since(self.now()));
         let remaining = remaining.map(|left| left.min(self.remaining()));
         let identity = &self.request.identity;
@@ -274,7 +274,7 @@
             body: self.request.body.clone(),
             in_flight,
         };
-        let result = self.client.open(attempt, patience).await;
+        let result = self.client.open(attempt, timeout).await;
         if let Err(end) = &result {
             self.log_attempt(&worker, *end);
         }
@@ -284,7 +284,7 @@
     /// The refusal for a request that is given up: only one that certainly did not run is promised.
     fn give_up(&self, not_run: ErrorKind, may_have_run: ErrorKind, detail: &str) -> Refusal {
         if self.ledger.certainly_not_run() {
-            Refusal::new(not_run, detail).with_ran(Ran::NotRun).with_retry_after(COME_BACK.0)
+            Refusal::new(not_run, detail).with_ran(Ran::NotRun).with_retry_after(RETRY_AFTER.0)
         } else {
             Refusal::new(may_have_run, detail).with_ran(Ran::Unknown)
         }
--- a/crates/gateway/src/online/stream.rs
+++ b/crates/gateway/src/online/stream.rs
@@ -15,7 +15,7 @@
 use crate::workers::attempt::OpenAnswer;
 
 /// The share of the longest pause that is in time after which another worker goes on.
-const GAP_PATIENCE_PERCENT: u64 = 60;
+const GAP_TIMEOUT_PERCENT: u64 = 60;
 /// The wait before a begun stream is offered once more to workers that all had no room; doubles with each
 /// round.
 const FIRST_RESUME_WAIT: Millis = Millis(20);
@@ -103,9 +103,9 @@
         let mut first = true;
         let mut began = None;
         loop {
-            let patience = self.event_patience(first, answer.sent_at);
+            let timeout = self.event_timeout(first, answer.sent_at);
             let frame = tokio::select! {
-                frame = tokio::time::timeout(patience, answer.body.frame()) => frame,
+                frame = tokio::time::timeout(timeout, answer.body.frame()) => frame,
                 () = sender.closed() => return StreamEnd::CallerGone,
             };
             let data = match frame {
@@ -182,18 +182,19 @@
     }
 
     /// How long the next event is waited for.
-    fn event_patience(&self, first: bool, sent_at: Timestamp) -> Duration {
+    fn event_timeout(&self, first: bool, sent_at: Timestamp) -> Duration {
         let remaining = self.remaining();
         let route = &self.request.route;
-        let can_move =
-            self.may_run_again() && self.ledger.ran + 1 < route.max_attempts && self.client.view.moves().has_one();
+        let can_move = self.may_run_again()
+            && self.ledger.ran + 1 < route.max_attempts
+            && self.client.view.retry_budget().has_token();
         let gap = route.gap_target.filter(|_| can_move);
         let Some(gap) = gap else { return Duration::from_millis(remaining.0) };
         let target = if first && self.events == 0 {
-            let allowed = self.first_patience();
+            let allowed = self.first_event_timeout();
             Millis(allowed.0.saturating_sub(self.now().since(sent_at).0)).max(Millis(20))
         } else {
-            Millis(gap.0 * GAP_PATIENCE_PERCENT / 100)
+            Millis(gap.0 * GAP_TIMEOUT_PERCENT / 100)
         };
         Duration::from_millis(target.min(remaining).0)
     }
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -33,7 +33,7 @@
 use crate::fleet::metadata_view::MetadataView;
 use crate::fleet::metadata_watch::MetadataWatch;
 use crate::http::plain_listener::serve_readiness;
-use crate::leader::client::JobsClient;
+use crate::leader::client::LeaderClient;
 use crate::leader::load_exchange::share_loads;
 use crate::leader::rate_limits::{RateLimits, share_limits};
 use crate::observe::journal::{Field, record};
@@ -185,7 +185,7 @@
     let jobs = JobCalls {
         view: common.view.clone(),
         dialect: adapter.dialect(),
-        client: JobsClient::new(common.view.clone(), id),
+        client: LeaderClient::new(common.view.clone(), id),
     };
     let jobs = Arc::new(jobs);
     tokio::spawn(share_loads(common.view.clone(), jobs.clone(), id));
--- a/crates/gateway/src/storage/item_run.rs
+++ b/crates/gateway/src/storage/item_run.rs
@@ -18,9 +18,9 @@
 use crate::workers::attempt::{Attempt, InFlight, OpenAnswer, WorkerClient};
 
 /// How long the first event is waited for.
-const FIRST_EVENT_PATIENCE: Duration = Duration::from_millis(2_500);
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long each further event is waited for.
-const EVENT_PATIENCE: Duration = Duration::from_millis(1_500);
+const EVENT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// An item and where it runs.
 pub struct ItemRun {
@@ -71,7 +71,7 @@
         };
         let pause = self.pause.clone();
         let opened = tokio::select! {
-            opened = client.open(attempt, FIRST_EVENT_PATIENCE) => opened,
+            opened = client.open(attempt, FIRST_EVENT_TIMEOUT) => opened,
             () = pause.notified() => return RunEnd::Paused,
         };
         match opened {
@@ -88,7 +88,7 @@
         let pause = self.pause.clone();
         loop {
             let frame = tokio::select! {
-                frame = tokio::time::timeout(EVENT_PATIENCE, answer.body.frame()) => frame,
+                frame = tokio::time::timeout(EVENT_TIMEOUT, answer.body.frame()) => frame,
                 () = pause.notified() => return RunEnd::Paused,
             };
             match frame {
--- a/crates/gateway/src/storage/registration.rs
+++ b/crates/gateway/src/storage/registration.rs
@@ -9,7 +9,7 @@
 use stallmoor_core::log_event::LogEvent;
 use stallmoor_core::replication::GroupMembership;
 use stallmoor_core::serving::jobs::directory::StorageRecord;
-use stallmoor_core::serving::jobs::members::voters_bearing;
+use stallmoor_core::serving::jobs::members::voters_tolerating;
 use stallmoor_core::serving::relay::item::Revision;
 use stallmoor_core::time::Millis;
 use tokio::sync::mpsc::UnboundedSender;
@@ -63,7 +63,7 @@
     founders: UnboundedSender<GroupMembership>,
 ) {
     let started = view.clock.now();
-    let wanted = voters_bearing(tolerated);
+    let wanted = voters_tolerating(tolerated);
     loop {
         let stored = view.founding();
         let stored = stored.as_ref().and_then(|item| serde_json::from_slice::<FoundingRecord>(item.value()?).ok());
--- a/crates/gateway/src/storage/service/membership.rs
+++ b/crates/gateway/src/storage/service/membership.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use stallmoor_core::log_event::LogEvent;
-use stallmoor_core::serving::jobs::members::{EmptyingState, MembersAction};
+use stallmoor_core::serving::jobs::members::{DrainState, MembersAction};
 use stallmoor_core::serving::jobs::pair::{PairRecord, StoredPair};
 use stallmoor_core::serving::relay::item::{MetadataItem, Revision};
 
@@ -42,7 +42,7 @@
                     let effects = self.node.continue_alone(now);
                     self.take(effects);
                 }
-                MembersAction::ReportEmptying { machine, state } => self.report_emptying(machine, state),
+                MembersAction::ReportDrain { machine, state } => self.report_drain(machine, state),
             }
         }
     }
@@ -64,12 +64,12 @@
         });
     }
 
-    pub(super) fn report_emptying(&self, machine: Arc<str>, state: EmptyingState) {
+    pub(super) fn report_drain(&self, machine: Arc<str>, state: DrainState) {
         let fields = [Field::text("machine", &machine), Field::text("state", format!("{state:?}"))];
         record(LogEvent::EmptyingReported, &fields);
         let metadata = self.metadata.clone();
         tokio::spawn(async move {
-            while !metadata.report_emptying(machine.clone(), state).await {
+            while !metadata.report_drain(machine.clone(), state).await {
                 tokio::time::sleep(EMPTYING_RETRY).await;
             }
         });
--- a/crates/gateway/src/storage/service/mod.rs
+++ b/crates/gateway/src/storage/service/mod.rs
@@ -22,18 +22,18 @@
 use stallmoor_core::replication::GroupMembership;
 use stallmoor_core::serving::jobs::command::{ItemKey, JobCommand};
 use stallmoor_core::serving::jobs::dispatch::Dispatcher;
-use stallmoor_core::serving::jobs::load_share::LoadShare;
+use stallmoor_core::serving::jobs::load_aggregator::LoadAggregator;
 use stallmoor_core::serving::jobs::members::Members;
 use stallmoor_core::serving::jobs::node::{JobsChange, JobsEffect, JobsNode, Waiter};
 use stallmoor_core::serving::jobs::pair::StoredPair;
 use stallmoor_core::serving::jobs::request::JobsRequest;
 use stallmoor_core::serving::quota::coordinator::RateCoordinator;
-use stallmoor_core::serving::workers::LoadNews;
+use stallmoor_core::serving::workers::LoadReport;
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
 use tokio::sync::{mpsc, watch};
 
 use crate::adapter::metadata::{FleetUpdate, MetadataStore};
-use crate::leader::client::JobsClient;
+use crate::leader::client::LeaderClient;
 use crate::observe::journal::{Field, record};
 use crate::observe::measures;
 use crate::peers::peer_link::PeerLinks;
@@ -50,7 +50,7 @@
 /// The time between two looks at the clock.
 const TICK: Duration = Duration::from_millis(40);
 /// The time between two greetings of a spare.
-const GREETING_INTERVAL: Millis = Millis(400);
+const JOIN_INTERVAL: Millis = Millis(400);
 /// Jobs that are over are remembered this much longer than their results have to be kept, since clocks differ.
 const FORGET_MARGIN: Millis = Millis(60_000);
 /// The time between two rounds of forgetting.
@@ -94,13 +94,13 @@
     next_waiter: u64,
     reads: Vec<HeldRead>,
     dispatcher: Dispatcher,
-    load_share: LoadShare,
+    load_aggregator: LoadAggregator,
     /// What tenants have left, while this node leads.
     quotas: RateCoordinator,
     /// The way to the leader, for a gatherer of a zone.
-    leader_client: Arc<JobsClient>,
+    leader_client: Arc<LeaderClient>,
     leader_exchange: LeaderExchange,
-    leader_loads: mpsc::UnboundedSender<Option<LoadNews>>,
+    leader_loads: mpsc::UnboundedSender<Option<LoadReport>>,
     running: BTreeMap<ItemKey, Running>,
     next_run: u64,
     leads: bool,
@@ -109,7 +109,7 @@
     proposed: HashSet<ItemKey>,
     members: Members,
     founding: Option<GroupMembership>,
-    last_greeting: Timestamp,
+    last_join: Timestamp,
     last_progress: Timestamp,
     last_forget: Timestamp,
     reports: mpsc::UnboundedSender<RunReport>,
@@ -140,7 +140,7 @@
         let (reports, mut run_reports) = mpsc::unbounded_channel();
         let (pair_reads, mut pairs) = mpsc::unbounded_channel();
         let (leader_loads, mut heard_loads) = mpsc::unbounded_channel();
-        let leader_client = Arc::new(JobsClient::new(parts.workers.view.clone(), parts.id));
+        let leader_client = Arc::new(LeaderClient::new(parts.workers.view.clone(), parts.id));
         let now = parts.workers.view.clock.now();
         let mut service = Self {
             links: PeerLinks::new(parts.id),
@@ -157,7 +157,7 @@
             next_waiter: 0,
             reads: Vec::new(),
             dispatcher: Dispatcher::default(),
-            load_share: LoadShare::default(),
+            load_aggregator: LoadAggregator::default(),
             quotas: RateCoordinator::default(),
             leader_client,
             leader_exchange: LeaderExchange::default(),
@@ -169,7 +169,7 @@
             proposed: HashSet::new(),
             members: Members::new(parts.id, parts.tolerated, now),
             founding: None,
-            last_greeting: now,
+            last_join: now,
             last_progress: now,
             last_forget: now,
             reports,
@@ -266,7 +266,7 @@
 
     fn on_update(&mut self, update: &FleetUpdate) {
         match update {
-            FleetUpdate::EmptyMachine { machine } => {
+            FleetUpdate::DrainMachine { machine } => {
                 self.members.empty(machine.clone());
             }
             FleetUpdate::Item(item) if &*item.key == PAIR_KEY => self.members.pair_told(read_pair(item)),
@@ -341,8 +341,8 @@
             measures::open_items(self.dispatcher.open_count());
             self.quotas.tick(now);
             measures::exhausted_tenants(self.quotas.exhausted());
-            let dead = self.load_share.dead(now);
-            self.workers.view.workers().hold_dead(dead.iter(), now);
+            let dead = self.load_aggregator.dead(now);
+            self.workers.view.workers().eject_reported(dead.iter(), now);
             self.propose_results();
             self.propose_progress();
             self.forget();
@@ -365,15 +365,15 @@
         if self.node.replica().membership().contains(self.id) && self.node.replica().leader().is_some() {
             return;
         }
-        if now.since(self.last_greeting) < GREETING_INTERVAL {
+        if now.since(self.last_join) < JOIN_INTERVAL {
             return;
         }
-        self.last_greeting = now;
+        self.last_join = now;
         let view = self.workers.view.clone();
         let others: Vec<_> =
             view.storage().records().filter(|record| record.node != self.id).map(|record| record.address).collect();
         for address in others {
-            self.links.notify(address, JobsRequest::Greet);
+            self.links.notify(address, JobsRequest::Join);
         }
     }
 
@@ -394,7 +394,7 @@
             self.dispatcher.clear();
         }
         // What the other kind of gatherer heard must not count twice.
-        self.load_share.clear();
+        self.load_aggregator.clear();
         self.quotas.open(now);
         self.proposed.clear();
         for (_, running) in std::mem::take(&mut self.running) {
--- a/crates/gateway/src/storage/service/requests.rs
+++ b/crates/gateway/src/storage/service/requests.rs
@@ -6,7 +6,7 @@
 use stallmoor_core::serving::jobs::command::{JobCommand, JobKey, Submission};
 use stallmoor_core::serving::jobs::node::{JobsEffect, NotProposed, Waiter};
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
-use stallmoor_core::serving::quota::message::{QuotaNews, QuotaReport};
+use stallmoor_core::serving::quota::message::{QuotaLevels, QuotaReport};
 use stallmoor_core::time::Timestamp;
 
 use super::StorageService;
@@ -28,33 +28,33 @@
     pub(super) fn on_request(&mut self, from: NodeId, request: JobsRequest, reply: Reply) {
         let now = self.now();
         match request {
-            JobsRequest::Greet => {
+            JobsRequest::Join => {
                 self.members.heard(from, now);
                 let _ = reply.send(Ok(JobsAnswer::Accepted));
             }
-            JobsRequest::ShareLoad(loads) | JobsRequest::GatherLoad(loads) if self.leads => {
-                self.load_share.tell(from, loads, now);
+            JobsRequest::ReportLoad(loads) | JobsRequest::AggregateLoad(loads) if self.leads => {
+                self.load_aggregator.tell(from, loads, now);
                 let batch = self.workers.view.workers().own_loads();
-                let totals = self.load_share.without(from, &batch, now);
-                let online = self.load_share.online(now);
+                let totals = self.load_aggregator.without(from, &batch, now);
+                let online = self.load_aggregator.online(now);
                 self.workers.view.workers().set_shared_loads(&online, now);
                 let _ = reply.send(Ok(JobsAnswer::Loads(totals)));
                 self.yield_to_online(now);
             }
-            JobsRequest::GatherLoad(loads) => {
-                self.load_share.tell(from, loads, now);
-                let totals = self.load_share.without(from, &[], now);
+            JobsRequest::AggregateLoad(loads) => {
+                self.load_aggregator.tell(from, loads, now);
+                let totals = self.load_aggregator.without(from, &[], now);
                 let _ = reply.send(Ok(JobsAnswer::Loads(totals)));
                 self.tell_leader_loads(now);
             }
-            JobsRequest::ShareQuota(report) if self.leads => {
+            JobsRequest::ReportQuota(report) if self.leads => {
                 let news = self.take_quota_report(from, &report, now);
                 let _ = reply.send(Ok(JobsAnswer::Quota(news)));
             }
             _ if !self.node.may_answer(now) => {
                 let _ = reply.send(Err(self.refusal()));
             }
-            JobsRequest::ShareLoad(_) | JobsRequest::ShareQuota(_) => {
+            JobsRequest::ReportLoad(_) | JobsRequest::ReportQuota(_) => {
                 let _ = reply.send(Err(self.refusal()));
             }
             JobsRequest::Submit(submission) if self.lacks_room(&submission) => {
@@ -87,7 +87,7 @@
     }
 
     /// A gateway tells what it let through of each tenant, and hears what they have left.
-    fn take_quota_report(&mut self, from: NodeId, report: &QuotaReport, now: Timestamp) -> QuotaNews {
+    fn take_quota_report(&mut self, from: NodeId, report: &QuotaReport, now: Timestamp) -> QuotaLevels {
         let configuration = self.workers.view.configuration();
         let limit_of = |tenant: &TenantName| configuration.as_ref()?.tenant(tenant)?.limit;
         self.quotas.report(from, report, limit_of, now)
--- a/crates/gateway/src/storage/service/running.rs
+++ b/crates/gateway/src/storage/service/running.rs
@@ -145,7 +145,7 @@
         let ItemStart { item, host, identity, output } = start;
         let view = self.workers.view.clone();
         let facts = self.workers.dialect.item_facts(&item);
-        let online_per_s = self.load_share.placed_per_s(now);
+        let online_per_s = self.load_aggregator.placed_per_s(now);
         let choice = view.draw_service(route).and_then(|service| {
             let ask = WorkerAsk {
                 service: &service,
--- a/crates/gateway/src/workers/attempt.rs
+++ b/crates/gateway/src/workers/attempt.rs
@@ -119,15 +119,15 @@
         InFlight { view: self.view.clone(), worker: choice.id.clone(), is_batch }
     }
 
-    /// Sends a request and waits up to `patience` for the head of its answer. What was learned of the
+    /// Sends a request and waits up to `timeout` for the head of its answer. What was learned of the
     /// worker is noted.
     ///
     /// # Errors
     ///
     /// [`AttemptEnd`]: how the attempt ended. Nothing of it may be passed on.
-    pub async fn open(&self, attempt: Attempt, patience: Duration) -> Result<OpenAnswer, AttemptEnd> {
+    pub async fn open(&self, attempt: Attempt, timeout: Duration) -> Result<OpenAnswer, AttemptEnd> {
         let worker = attempt.choice.id.clone();
-        let result = self.try_open(attempt, patience).await;
+        let result = self.try_open(attempt, timeout).await;
         let now = self.view.clock.now();
         match &result {
             Ok(answer) => {
@@ -147,7 +147,7 @@
         result
     }
 
-    async fn try_open(&self, attempt: Attempt, patience: Duration) -> Result<OpenAnswer, AttemptEnd> {
+    async fn try_open(&self, attempt: Attempt, timeout: Duration) -> Result<OpenAnswer, AttemptEnd> {
         let now = self.view.clock.now();
         let most = self.most_connections(&attempt.service);
         let mut connection =
@@ -159,7 +159,7 @@
         *request.method_mut() = attempt.method;
         *request.uri_mut() = attempt.target;
         *request.headers_mut() = attempt.headers;
-        let sent = tokio::time::timeout(patience, connection.send(request)).await;
+        let sent = tokio::time::timeout(timeout, connection.send(request)).await;
         let response = match sent {
             Err(_) => return Err(AttemptEnd::Silent),
             Ok(Err(SendFailure::NotSent)) => return Err(AttemptEnd::NotConnected),
--- a/crates/gateway/tests/jobs_client.rs
+++ b/crates/gateway/tests/jobs_client.rs
@@ -12,7 +12,7 @@
 use stallmoor_gateway::clock::NodeClock;
 use stallmoor_gateway::fleet::fleet_view::FleetView;
 use stallmoor_gateway::fleet::metadata_view::MetadataView;
-use stallmoor_gateway::leader::client::{JobsClient, NoLeader};
+use stallmoor_gateway::leader::client::{LeaderClient, NoLeader};
 use stallmoor_gateway::storage::peer_listener::{PeerEvent, Reply, accept_peers};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -49,7 +49,7 @@
     let (name, zone) = (Arc::from("storage-1"), Arc::from("zone-a"));
     view.storage().upsert(StorageRecord { name, node: STORAGE, address, zone });
     let until = view.clock.now() + Millis(3_000);
-    JobsClient::new(view, NodeId(1)).ask(JobsRequest::Submit(job()), until).await
+    LeaderClient::new(view, NodeId(1)).ask(JobsRequest::Submit(job()), until).await
 }
 
 fn job() -> Submission {
--- a/crates/gateway/tests/metadata_relay.rs
+++ b/crates/gateway/tests/metadata_relay.rs
@@ -7,7 +7,7 @@
 
 use stallmoor_core::identity::NodeId;
 use stallmoor_core::serving::jobs::directory::StorageRecord;
-use stallmoor_core::serving::jobs::members::EmptyingState;
+use stallmoor_core::serving::jobs::members::DrainState;
 use stallmoor_core::serving::relay::bounds::WatchBounds;
 use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::outage::RecordGrace;
@@ -93,7 +93,7 @@
         Some(FleetUpdate::Item(item.clone()))
     }
 
-    fn report_emptying(&self, _machine: Arc<str>, _state: EmptyingState) -> BoxFuture<'_, bool> {
+    fn report_drain(&self, _machine: Arc<str>, _state: DrainState) -> BoxFuture<'_, bool> {
         Box::pin(async { true })
     }
 }
--- a/crates/gateway/tests/missing_records.rs
+++ b/crates/gateway/tests/missing_records.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::serving::jobs::members::EmptyingState;
+use stallmoor_core::serving::jobs::members::DrainState;
 use stallmoor_core::serving::relay::bounds::WatchBounds;
 use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::outage::RecordGrace;
@@ -167,7 +167,7 @@
         })
     }
 
-    fn report_emptying(&self, _machine: Arc<str>, _state: EmptyingState) -> BoxFuture<'_, bool> {
+    fn report_drain(&self, _machine: Arc<str>, _state: DrainState) -> BoxFuture<'_, bool> {
         Box::pin(async { true })
     }
 }
