--- a/crates/gateway/tests/golden_journal.rs
+++ b/crates/gateway/tests/golden_journal.rs
@@ -9,7 +9,7 @@
 use std::sync::Mutex;
 
 use stallmoor_core::log_event::LogEvent;
-use stallmoor_gateway::journal::{Field, TARGET, record};
+use stallmoor_gateway::observe::journal::{Field, TARGET, record};
 
 static LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
--- a/crates/gateway/tests/golden_measures.rs
+++ b/crates/gateway/tests/golden_measures.rs
@@ -3,10 +3,10 @@
 #[path = "../../core/tests/golden/mod.rs"]
 mod golden;
 
-use stallmoor_core::gateway::attempt::AttemptEnd;
-use stallmoor_core::jobs::dispatch::RunEnd;
+use stallmoor_core::serving::jobs::dispatch::RunEnd;
+use stallmoor_core::serving::online::attempt::AttemptEnd;
 use stallmoor_core::time::Millis;
-use stallmoor_gateway::measures::{self, ALL};
+use stallmoor_gateway::observe::measures::{self, ALL};
 
 /// Label values that are literals where the figure is recorded; that they are recorded is not tested here.
 const SUBMITTED: [&str; 7] = ["accepted", "over_quota", "no_room", "key_taken", "unknown", "unexpected", "no_leader"];
--- a/crates/gateway/tests/golden_refusals.rs
+++ b/crates/gateway/tests/golden_refusals.rs
@@ -8,8 +8,8 @@
 use http_body_util::BodyExt;
 use hyper::Response;
 use stallmoor_core::error::{ErrorKind, Ran, Refusal};
-use stallmoor_gateway::answer_body::AnswerBody;
-use stallmoor_gateway::refusal;
+use stallmoor_gateway::http::answer_body::AnswerBody;
+use stallmoor_gateway::http::refusal;
 
 async fn describe(told: &mut String, case: &str, response: Response<AnswerBody>) {
     let (head, body) = response.into_parts();
--- a/crates/gateway/tests/golden_settings.rs
+++ b/crates/gateway/tests/golden_settings.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use stallmoor_gateway::settings::ServingSettings;
+use stallmoor_gateway::process::settings::ServingSettings;
 
 /// Every field, with a value other than its default.
 const FULL: &str = r#"
--- a/crates/node/tests/golden_settings.rs
+++ b/crates/node/tests/golden_settings.rs
@@ -5,7 +5,7 @@
 
 use std::fmt::Write;
 
-use stallmoor_core::configuration::SourceFile;
+use stallmoor_core::node::configuration::SourceFile;
 use stallmoor_node::{NodeFileSettings, parse_settings};
 
 /// Every field, with a value other than its default.
