--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -39,7 +39,7 @@
     error: &'static str,
 }
 
-const BREAKAGES: [Breakage; 12] = [
+const BREAKAGES: [Breakage; 13] = [
     Breakage {
         set: "tubigwatch",
         file: "services.toml",
@@ -47,6 +47,13 @@
         to: "tail_harm_limt = 1.15",
         error: "services.toml:3: service.tail_harm_limt: unknown field",
     },
+    Breakage {
+        set: "tubigwatch",
+        file: "services.toml",
+        from: "tail_harm_limit = 1.15",
+        to: "tail_harm_limit = 10.5",
+        error: "services.toml:3: service.tail_harm_limit: must be a number from 1 to 10",
+    },
     Breakage {
         set: "tubigwatch",
         file: "services.toml",
--- a/crates/core/src/configuration/check.rs
+++ b/crates/core/src/configuration/check.rs
@@ -90,15 +90,18 @@
 
 fn read_zone(table: &mut TableReader<'_>) -> Option<Located<Zone>> {
     let name = table.text("name");
+    // Nothing goes by the region yet; a zone must name one all the same.
     let region = table.text("region");
-    let (name, region) = (name?, region?);
-    let zone = Zone { name: Arc::from(name.value), region: Arc::from(region.value) };
+    let name = name?;
+    region?;
+    let zone = Zone { name: Arc::from(name.value) };
     Some(table.locate("name", zone))
 }
 
 fn read_service(table: &mut TableReader<'_>) -> Option<Located<Service>> {
     let name = table.text("name");
-    let tail_harm_limit = table.number("tail_harm_limit", 1.0..=10.0, 1.10);
+    // Nothing goes by this limit yet; it must lie in its range all the same.
+    table.number("tail_harm_limit", 1.0..=10.0, 1.10);
     let online_headroom = table.number("online_headroom", 0.0..=0.9, 0.1);
     let online_queue = table.number("online_queue", 0.0..=16.0, 1.0);
     let online_priority = table.integer("online_priority", 0..=100, 0) as u32;
@@ -112,7 +115,6 @@
     let name = name?;
     let service = Service {
         name: Arc::from(name.value),
-        tail_harm_limit,
         online_headroom,
         online_queue,
         online_priority,
--- a/crates/core/src/configuration/fleet.rs
+++ b/crates/core/src/configuration/fleet.rs
@@ -40,8 +40,6 @@
 pub struct Zone {
     /// Its name.
     pub name: Arc<str>,
-    /// The region it lies in.
-    pub region: Arc<str>,
 }
 
 /// A service: models that are offered on the same engines.
@@ -49,8 +47,6 @@
 pub struct Service {
     /// Its name.
     pub name: Arc<str>,
-    /// The greatest acceptable ratio of the online p99 with batch to the one without.
-    pub tail_harm_limit: f64,
     /// The share of each engine's slots that batch leaves free.
     pub online_headroom: f64,
     /// How many online requests may wait at an engine, as a share of its slots.
