--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -13,9 +13,11 @@
 //! | [`node`] | `stallmoor node` | the operators' files, engines, partitions, and one node composed of them |
 //! | [`replication`] | both | the replicated log of one group, after Raft, and the repair of its membership |
 //! | [`peer_message`] | both | messages between nodes |
+//! | [`backoff`], [`retry_budget`] | both | waits between retries, and how many there may be |
 //! | [`identity`], [`time`], [`hashing`] | both | identities, points in time and spans, hashes |
 //! | [`error`], [`log_event`] | both | the closed list of refusals, the numbered log events |
 
+pub mod backoff;
 pub mod error;
 pub mod hashing;
 pub mod identity;
@@ -23,5 +25,6 @@
 pub mod node;
 pub mod peer_message;
 pub mod replication;
+pub mod retry_budget;
 pub mod serving;
 pub mod time;
--- a/crates/core/src/node/group_client.rs
+++ b/crates/core/src/node/group_client.rs
@@ -9,6 +9,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 use super::machine::Node;
+use crate::backoff::Backoff;
 use crate::identity::{CallerId, GroupId, JobId, NodeId};
 use crate::node::partition::{Command, CommandOutcome, Query, QueryAnswer, RequestKey, SessionKey};
 use crate::peer_message::{GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody, PeerMessage};
@@ -16,10 +17,8 @@
 
 /// How long one try waits for its answer.
 const TRY_TIMEOUT: Millis = Millis(400);
-/// The wait after a refusal; doubles with each further one.
-const FIRST_BACKOFF: Millis = Millis(10);
-/// The longest wait after a refusal.
-const LONGEST_BACKOFF: Millis = Millis(400);
+/// How long a request waits after a refusal.
+const REFUSAL_BACKOFF: Backoff = Backoff::new(Millis(10), Millis(400));
 /// Most requests that wait at once.
 const MOST_PENDING: usize = 16_384;
 
@@ -200,7 +199,7 @@
         let now = self.clock.now;
         let Some(pending) = self.client.pending.get_mut(&id) else { return };
         pending.refusals += 1;
-        let span = Millis((FIRST_BACKOFF.0 << pending.refusals.min(6)).min(LONGEST_BACKOFF.0));
+        let span = REFUSAL_BACKOFF.wait(pending.refusals);
         let (group, target) = (pending.group, pending.target);
         if let Some(target) = target {
             pending.target = None;
--- a/crates/core/src/node/online_flow.rs
+++ b/crates/core/src/node/online_flow.rs
@@ -16,11 +16,12 @@
 use crate::log_event::LogEvent;
 use crate::node::configuration::fleet::Service;
 use crate::node::online::{
-    DecisionStep, Delivery, ExplanationStore, OnlineCall, OnlinePhase, OnlineRequest, PieceOutcome, RetryBudget,
+    DecisionStep, Delivery, ExplanationStore, OnlineCall, OnlinePhase, OnlineRequest, PieceOutcome, RETRY_LIMITS,
     SessionCache,
 };
 use crate::node::partition::{RequestKey, Settlement};
 use crate::node::routing::{OnlineDemand, RoutingRefusal, Selection, prompt_blocks, select_online};
+use crate::retry_budget::RetryBudget;
 use crate::time::{Millis, Timestamp};
 
 /// An engine that sends nothing for this long counts as lost.
@@ -29,7 +30,6 @@
 const AFFINITY_BYTES: usize = 256;
 
 /// Online requests of one node and what they share.
-#[derive(Default)]
 pub(super) struct OnlineState {
     pub(super) requests: BTreeMap<CallerId, OnlineRequest>,
     attempts: BTreeMap<AttemptId, CallerId>,
@@ -40,6 +40,20 @@
     pub(super) explanations: ExplanationStore,
 }
 
+impl Default for OnlineState {
+    fn default() -> Self {
+        Self {
+            requests: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
+            tenant_in_flight: BTreeMap::new(),
+            retry_budget: RetryBudget::new(RETRY_LIMITS),
+            sessions: SessionCache::default(),
+            explanations: ExplanationStore::default(),
+        }
+    }
+}
+
 impl Node {
     pub(super) fn on_online_call(&mut self, caller: CallerId, call: OnlineCall) {
         match self.admit(&call) {
@@ -104,7 +118,7 @@
             call,
         };
         *self.online.tenant_in_flight.entry(request.call.tenant.clone()).or_default() += 1;
-        self.online.retry_budget.earn();
+        self.online.retry_budget.deposit();
         self.counters.online_admitted += 1;
         let repeatable = request.call.repeatable;
         self.online.requests.insert(caller, request);
@@ -282,7 +296,7 @@
             return;
         }
         request.moves += 1;
-        if !self.online.retry_budget.spend() {
+        if !self.online.retry_budget.try_withdraw() {
             self.log(LogEvent::RetryBudgetSpent, "a retry was given up");
             self.refuse_online(caller, Refusal::new(kind, "the retry budget is spent"));
             return;
--- a/crates/core/src/node/routing/engine_table.rs
+++ b/crates/core/src/node/routing/engine_table.rs
@@ -3,16 +3,15 @@
 use std::collections::BTreeMap;
 
 use super::load::LoadReport;
+use crate::backoff::Backoff;
 use crate::identity::EngineName;
 use crate::node::configuration::fleet::{Engine, FleetConfiguration};
 use crate::time::{Millis, Timestamp};
 
 /// Failures in a row before an engine is passed over.
 const FAILURES_TO_EJECT: u32 = 3;
-/// How long an engine is passed over the first time; doubles each time after.
-const FIRST_EJECTION: Millis = Millis(2_000);
-/// The longest time that an engine is passed over.
-const LONGEST_EJECTION: Millis = Millis(30_000);
+/// How long an engine is ejected.
+const EJECTION: Backoff = Backoff::new(Millis(2_000), Millis(30_000));
 /// A report older than this says nothing any more.
 const REPORT_LIFETIME: Millis = Millis(3_000);
 
@@ -220,10 +219,9 @@
         if state.failures < FAILURES_TO_EJECT {
             return false;
         }
-        let span = FIRST_EJECTION.0 << state.ejections.min(8);
+        state.ejected_until = Some(now + EJECTION.wait(state.ejections));
         state.failures = 0;
         state.ejections += 1;
-        state.ejected_until = Some(now + Millis(span.min(LONGEST_EJECTION.0)));
         true
     }
 }
--- a/crates/core/src/node/scheduling/dispatcher.rs
+++ b/crates/core/src/node/scheduling/dispatcher.rs
@@ -4,13 +4,12 @@
 use std::sync::Arc;
 
 use super::fairness::TenantUsage;
+use crate::backoff::Backoff;
 use crate::identity::{AttemptId, EngineName, JobId};
 use crate::time::{Millis, Timestamp};
 
-/// How long an item waits after its first failure; doubles with each further one.
-const FIRST_BACKOFF: Millis = Millis(200);
-/// The longest wait of an item.
-const LONGEST_BACKOFF: Millis = Millis(10_000);
+/// How long an item waits after a failure.
+const ITEM_BACKOFF: Backoff = Backoff::new(Millis(200), Millis(10_000));
 
 /// A limit that a steward granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,7 +62,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Backoff {
+struct Wait {
     failures: u32,
     until: Timestamp,
 }
@@ -81,7 +80,7 @@
     by_engine: BTreeMap<EngineName, BTreeSet<AttemptId>>,
     in_flight: BTreeSet<ItemKey>,
     partials: BTreeMap<ItemKey, Partial>,
-    backoffs: BTreeMap<ItemKey, Backoff>,
+    waits: BTreeMap<ItemKey, Wait>,
     /// Items whose result is proposed and not yet committed.
     proposed: BTreeSet<ItemKey>,
     /// The first item of a job that was never started.
@@ -179,7 +178,7 @@
 
     fn first_ready_retry(&self, job: JobId, now: Timestamp) -> Option<u32> {
         let waiting = self.retries.get(&job)?;
-        let is_ready = |item: &&u32| self.backoffs.get(&(job, **item)).is_none_or(|backoff| now >= backoff.until);
+        let is_ready = |item: &&u32| self.waits.get(&(job, **item)).is_none_or(|wait| now >= wait.until);
         waiting.iter().find(is_ready).copied()
     }
 
@@ -247,7 +246,7 @@
     /// A result was committed, or will never be.
     pub fn settled(&mut self, job: JobId, item: u32) {
         self.proposed.remove(&(job, item));
-        self.backoffs.remove(&(job, item));
+        self.waits.remove(&(job, item));
     }
 
     /// A result's proposal was lost: the item needs another attempt.
@@ -262,7 +261,7 @@
         self.cursors.remove(&job);
         self.retries.remove(&job);
         self.partials.retain(|(other, _), _| *other != job);
-        self.backoffs.retain(|(other, _), _| *other != job);
+        self.waits.retain(|(other, _), _| *other != job);
         self.proposed.retain(|(other, _)| *other != job);
         let of_job = self.streams.iter().filter(|(_, stream)| stream.job == job);
         of_job.map(|(attempt, _)| *attempt).collect()
@@ -285,9 +284,8 @@
     }
 
     fn back_off(&mut self, key: ItemKey, now: Timestamp) {
-        let failures = self.backoffs.get(&key).map_or(0, |backoff| backoff.failures) + 1;
-        let span = FIRST_BACKOFF.0 << (failures - 1).min(8);
-        let until = now + Millis(span.min(LONGEST_BACKOFF.0));
-        self.backoffs.insert(key, Backoff { failures, until });
+        let failures = self.waits.get(&key).map_or(0, |wait| wait.failures) + 1;
+        let until = now + ITEM_BACKOFF.wait(failures - 1);
+        self.waits.insert(key, Wait { failures, until });
     }
 }
--- a/crates/core/src/serving/jobs/dispatch.rs
+++ b/crates/core/src/serving/jobs/dispatch.rs
@@ -5,12 +5,11 @@
 
 use super::command::{ItemKey, ItemProgress, ItemState, JobCommand, JobKey, LoggedOutput, PartialOutput};
 use super::table::{Job, JobTable};
+use crate::backoff::Backoff;
 use crate::time::{Millis, Timestamp, UnixMillis};
 
-/// The wait after a run that failed or broke off; doubles with each in a row.
-const FIRST_DELAY: Millis = Millis(40);
-/// Longest wait between two runs of an item.
-const LONGEST_DELAY: Millis = Millis(640);
+/// The wait after a run that failed or broke off.
+const RUN_BACKOFF: Backoff = Backoff::new(Millis(40), Millis(640));
 
 /// Progress is logged once an item has put out this many events more.
 const PROGRESS_EVENTS: u64 = 24;
@@ -328,9 +327,8 @@
 
     fn delay(&mut self, key: &ItemKey, now: Timestamp) {
         if let Some(progress) = self.items.get_mut(key) {
-            let span = FIRST_DELAY.0 << progress.delays.min(8);
+            let until = now + RUN_BACKOFF.wait(progress.delays);
             progress.delays += 1;
-            let until = now + Millis(span.min(LONGEST_DELAY.0));
             progress.phase = Phase::Delayed { until };
             self.delayed.insert((until, key.clone()));
         }
--- a/crates/core/src/serving/relay/choice.rs
+++ b/crates/core/src/serving/relay/choice.rs
@@ -3,6 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
+use crate::backoff::Backoff;
 use crate::hashing::{hash_bytes, rendezvous_weight};
 use crate::identity::NodeId;
 use crate::serving::jobs::directory::StorageDirectory;
@@ -11,8 +12,8 @@
 /// How many relays a node tries. One is enough while it lives; of three in a row that are cut off from the store,
 /// which a third of all machines may be, there is one case in 27.
 const RELAYS_TRIED: usize = 3;
-/// The time for which a relay that gave no answer is avoided is doubled up to this many times.
-const MOST_DOUBLINGS: u32 = 3;
+/// The time for which a relay that gave no answer is avoided grows to at most this many times the first.
+const LONGEST_AVOIDED: u64 = 8;
 
 #[derive(Clone, Copy, Debug)]
 struct Avoided {
@@ -52,7 +53,8 @@
     /// A relay gave no answer: it is avoided for `span`, longer with each failure in a row.
     pub fn failed(&mut self, relay: NodeId, span: Millis, now: Timestamp) {
         let failures = self.avoided.get(&relay).map_or(0, |avoided| avoided.failures);
-        let until = now + Millis(span.0 << failures.min(MOST_DOUBLINGS));
+        let backoff = Backoff::new(span, Millis(span.0 * LONGEST_AVOIDED));
+        let until = now + backoff.wait(failures);
         self.avoided.insert(relay, Avoided { until, failures: failures + 1 });
     }
 
--- a/crates/core/src/serving/relay/policy.rs
+++ b/crates/core/src/serving/relay/policy.rs
@@ -5,6 +5,7 @@
 use super::item::Revision;
 use super::message::ChangesAnswer;
 use super::outage::{FailedCall, Outage, RecordGrace};
+use crate::backoff::Backoff;
 use crate::identity::NodeId;
 use crate::time::{Millis, Timestamp};
 
@@ -203,9 +204,8 @@
         // A watch that was cut may have missed changes that it can't hear of any more: the store may be about
         // to drop its history. So everything is read again.
         self.must_list = true;
-        let doubled = FIRST_STORE_WAIT.0 << self.store_failures.min(8);
-        let longest = self.bounds.longest_store_wait(role).0;
-        let wait = doubled.min(longest) as f64 * (0.5 + spread);
+        let backoff = Backoff::new(FIRST_STORE_WAIT, self.bounds.longest_store_wait(role));
+        let wait = backoff.wait(self.store_failures).0 as f64 * (0.5 + spread);
         self.store_rests_until = call.ended + Millis(wait as u64);
         self.store_failures += 1;
         self.store_failures == 1
--- a/crates/core/src/serving/workers/table.rs
+++ b/crates/core/src/serving/workers/table.rs
@@ -9,6 +9,7 @@
     LoadReport, Presence, ReportedLoad, SharedLoad, WorkerCount, WorkerEntry, WorkerId, WorkerLoad, WorkerRecord,
     WorkerReport,
 };
+use crate::backoff::Backoff;
 use crate::serving::request::PrefixLink;
 use crate::time::{Millis, Timestamp};
 
@@ -215,8 +216,7 @@
         let entry = self.workers.get_mut(id)?;
         entry.failures += 1;
         let first = if was_reached { BASE_EJECTION } else { BASE_EJECTION_UNREACHABLE };
-        let doubled = first.0 << (entry.failures - 1).min(6);
-        let span = Millis(doubled.min(MAX_EJECTION.0));
+        let span = Backoff::new(first, MAX_EJECTION).wait(entry.failures - 1);
         entry.ejected_until = Some(now + span);
         Some(span)
     }
--- a/crates/core/tests/gateway_rules.rs
+++ b/crates/core/tests/gateway_rules.rs
@@ -7,12 +7,13 @@
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
+use stallmoor_core::retry_budget::RetryBudget;
 use stallmoor_core::serving::configuration::{
     CallerBounds, GatewayConfiguration, Route, RouteKind, RouteTarget, Service,
 };
+use stallmoor_core::serving::online::RETRY_LIMITS;
 use stallmoor_core::serving::online::attempt::{AttemptEnd, AttemptLedger};
 use stallmoor_core::serving::online::event_stream::{EventSplitter, WholeEvent};
-use stallmoor_core::serving::online::retry_budget::RetryBudget;
 use stallmoor_core::serving::request::{PrefixLink, PromptPart, chain_prefix};
 use stallmoor_core::serving::workers::load_in_transit::{CostSlope, level_after};
 use stallmoor_core::serving::workers::service_times::ServiceTimes;
@@ -117,7 +118,7 @@
 
 #[test]
 fn a_storm_of_moves_runs_out_of_budget() {
-    let mut budget = RetryBudget::default();
+    let mut budget = RetryBudget::new(RETRY_LIMITS);
     let mut moves = 0;
     for _ in 0..1_000 {
         budget.deposit();
--- a/crates/gateway/src/fleet/fleet_view.rs
+++ b/crates/gateway/src/fleet/fleet_view.rs
@@ -7,9 +7,10 @@
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stallmoor_core::log_event::LogEvent;
+use stallmoor_core::retry_budget::RetryBudget;
 use stallmoor_core::serving::configuration::{GatewayConfiguration, Route};
 use stallmoor_core::serving::jobs::directory::{StorageDirectory, StorageRecord};
-use stallmoor_core::serving::online::retry_budget::RetryBudget;
+use stallmoor_core::serving::online::RETRY_LIMITS;
 use stallmoor_core::serving::relay::item::MetadataItem;
 use stallmoor_core::serving::workers::{WorkerChange, WorkerId, WorkerTable};
 use stallmoor_core::time::Timestamp;
@@ -53,7 +54,7 @@
             storage: Mutex::default(),
             founding: Mutex::default(),
             random: Mutex::new(Xoshiro256PlusPlus::seed_from_u64(seed)),
-            retry_budget: Mutex::default(),
+            retry_budget: Mutex::new(RetryBudget::new(RETRY_LIMITS)),
             is_listed: AtomicBool::new(false),
             changed: watch::Sender::new(0),
         }
