--- a/crates/core/src/serving/online/mod.rs
+++ b/crates/core/src/serving/online/mod.rs
@@ -9,14 +9,19 @@
 //! | [`attempt`] | how an attempt ended, and whether the request may have run |
 //! | [`timeouts`] | how long an attempt is awaited before another worker is tried |
 //! | [`shedding`] | which new streams are refused at once, and their `Retry-After` |
-//! | [`retry_budget`] | how many requests may be retried because their worker is slow |
 //! | [`event_stream`] | splitting an answer into whole events |
 //! | [`stream_progress`] | how far a stream is, and which events of a worker go on to the caller |
 
 pub mod attempt;
 pub mod event_stream;
 pub mod request_state;
-pub mod retry_budget;
 pub mod shedding;
 pub mod stream_progress;
 pub mod timeouts;
+
+use crate::retry_budget::RetryBudgetLimits;
+
+/// Retries of requests whose worker is merely slow. In the long run 3 of 100 requests are retried, so that under
+/// overload, when every worker is slow, retries add no more than that to the load; 8 are saved up, for the requests
+/// that one worker holds when it stalls. Not measured.
+pub const RETRY_LIMITS: RetryBudgetLimits = RetryBudgetLimits { deposit: 0.03, capacity: 8.0, initial: 8.0 };
--- a/crates/core/src/serving/online/request_state.rs
+++ b/crates/core/src/serving/online/request_state.rs
@@ -8,11 +8,12 @@
 use rand::Rng;
 
 use super::attempt::{AttemptEnd, AttemptLedger};
-use super::retry_budget::RetryBudget;
 use super::shedding::{StreamTimes, shed};
 use super::stream_progress::StreamProgress;
 use super::timeouts::{AwaitedEvent, event_timeout, first_event_timeout};
+use crate::backoff::Backoff;
 use crate::error::{ErrorKind, Ran, Refusal};
+use crate::retry_budget::RetryBudget;
 use crate::serving::configuration::{Route, RouteKind};
 use crate::serving::request::RequestFacts;
 use crate::serving::workers::{Choice, WorkerId};
@@ -60,16 +61,10 @@
     has_deadline: bool,
 }
 
-/// The waits between the rounds in which a begun stream is offered to workers.
-#[derive(Clone, Copy, Debug)]
+/// The rounds in which a begun stream was offered to workers and none took it.
+#[derive(Clone, Copy, Debug, Default)]
 pub struct ResumeRounds {
-    wait: Millis,
-}
-
-impl Default for ResumeRounds {
-    fn default() -> Self {
-        Self { wait: FIRST_RESUME_WAIT }
-    }
+    failed: u32,
 }
 
 /// The state of one online request.
@@ -199,12 +194,12 @@
     /// long to wait before; `None` if the stream is given up. A stream that the caller has begun to read can't be
     /// refused any more, so it is offered for as long as there is time.
     pub fn next_round(&mut self, rounds: &mut ResumeRounds, now: Timestamp) -> Option<Millis> {
-        let wait = rounds.wait;
+        let wait = Backoff::new(FIRST_RESUME_WAIT, LONGEST_RESUME_WAIT).wait(rounds.failed);
         let may_run = self.ledger.may_run(self.route.kind, self.route.max_attempts);
         if !may_run || self.remaining(now) < wait + LEAST_REMAINING {
             return None;
         }
-        rounds.wait = Millis((wait.0 * 2).min(LONGEST_RESUME_WAIT.0));
+        rounds.failed += 1;
         self.ledger.begin_round();
         self.tried.round.clone_from(&self.tried.ran);
         Some(wait)
--- a/crates/core/tests/online_request.rs
+++ b/crates/core/tests/online_request.rs
@@ -6,11 +6,12 @@
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stallmoor_core::error::{ErrorKind, Ran};
+use stallmoor_core::retry_budget::RetryBudget;
 use stallmoor_core::serving::configuration::{Route, RouteKind, RouteTarget};
+use stallmoor_core::serving::online::RETRY_LIMITS;
 use stallmoor_core::serving::online::attempt::AttemptEnd;
 use stallmoor_core::serving::online::event_stream::WholeEvent;
 use stallmoor_core::serving::online::request_state::{GiveUp, RequestState, ResumeRounds};
-use stallmoor_core::serving::online::retry_budget::RetryBudget;
 use stallmoor_core::serving::online::stream_progress::{EventGap, StreamProgress};
 use stallmoor_core::serving::online::timeouts::AwaitedEvent;
 use stallmoor_core::serving::request::RequestFacts;
@@ -75,8 +76,12 @@
     }
 }
 
+fn full_budget() -> RetryBudget {
+    RetryBudget::new(RETRY_LIMITS)
+}
+
 fn empty_budget() -> RetryBudget {
-    let mut budget = RetryBudget::default();
+    let mut budget = full_budget();
     while budget.has_token() {
         budget.withdraw();
     }
@@ -117,7 +122,7 @@
 
 #[test]
 fn the_head_is_awaited_for_half_the_objective_four_means_or_sixty_milliseconds() {
-    let budget = RetryBudget::default();
+    let budget = full_budget();
     let timeout = |objective: u64, mean: u64| {
         let state = state_of(Route { objective: Millis(objective), ..route(RESUMABLE) }, &RequestFacts::default());
         state.head_timeout(&budget, Millis(mean), at(0))
@@ -130,21 +135,21 @@
 
 #[test]
 fn a_request_that_may_not_move_gets_all_the_time_there_is() {
-    let (budget, now) = (RetryBudget::default(), at(1_000));
+    let (budget, now) = (full_budget(), at(1_000));
     let all = Millis(4_000);
     assert_eq!(state(RouteKind::AtMostOnce).head_timeout(&budget, Millis(10), now), all);
     assert_eq!(state(RouteKind::Stream { resumable: false }).head_timeout(&budget, Millis(10), now), all);
     assert_eq!(state(RESUMABLE).head_timeout(&empty_budget(), Millis(10), now), all);
     assert_eq!(state(RESUMABLE).event_timeout(&empty_budget(), AwaitedEvent::Further, now), all);
     let mut last = state(RESUMABLE);
-    last.attempt_ended(&id("one"), AttemptEnd::Broken, &mut RetryBudget::default());
+    last.attempt_ended(&id("one"), AttemptEnd::Broken, &mut full_budget());
     assert_eq!(last.head_timeout(&budget, Millis(10), now), all, "the last of two attempts");
     assert_eq!(last.event_timeout(&budget, AwaitedEvent::Further, now), all);
 }
 
 #[test]
 fn an_event_is_awaited_for_a_share_of_the_longest_pause_and_the_first_from_its_sending_on() {
-    let budget = RetryBudget::default();
+    let budget = full_budget();
     let state = state(RESUMABLE);
     assert_eq!(state.event_timeout(&budget, AwaitedEvent::Further, at(0)), Millis(150));
     assert_eq!(state.event_timeout(&budget, AwaitedEvent::Further, at(4_900)), Millis(100));
@@ -194,7 +199,7 @@
 #[test]
 fn only_slow_workers_are_paid_for_by_the_retry_budget() {
     let tokens_after = |end: AttemptEnd| {
-        let mut budget = RetryBudget::default();
+        let mut budget = full_budget();
         state(RESUMABLE).attempt_ended(&id("one"), end, &mut budget);
         let mut left = 0;
         while budget.has_token() {
@@ -221,12 +226,12 @@
 #[test]
 fn a_refusal_says_what_is_known_of_the_request() {
     let mut state = state(RouteKind::AtMostOnce);
-    state.attempt_ended(&id("one"), NOT_RUN, &mut RetryBudget::default());
+    state.attempt_ended(&id("one"), NOT_RUN, &mut full_budget());
     let unrun = state.refusal(GiveUp::LastAttempt(NOT_RUN));
     assert_eq!((unrun.kind, unrun.ran, unrun.retry_after_ms), (ErrorKind::Overloaded, Ran::NotRun, Some(150)));
     assert_eq!(unrun.detail, "the last attempt ended as NotRun { other_instance: false }");
     assert_eq!(state.refusal(GiveUp::NoWorker).kind, ErrorKind::NoEngine);
-    state.attempt_ended(&id("two"), AttemptEnd::Silent, &mut RetryBudget::default());
+    state.attempt_ended(&id("two"), AttemptEnd::Silent, &mut full_budget());
     let perhaps = state.refusal(GiveUp::LastAttempt(AttemptEnd::Silent));
     assert_eq!((perhaps.kind, perhaps.ran), (ErrorKind::EngineLost, Ran::Unknown));
     assert_eq!(state.refusal(GiveUp::NoWorker).kind, ErrorKind::EngineLost);
@@ -236,7 +241,7 @@
 #[test]
 fn a_begun_stream_is_offered_in_rounds_that_grow_apart_while_there_is_time() {
     let mut state = state(RESUMABLE);
-    let mut budget = RetryBudget::default();
+    let mut budget = full_budget();
     state.attempt_started(&id("ran"));
     state.attempt_ended(&id("ran"), AttemptEnd::Broken, &mut budget);
     assert!(state.may_resume());
@@ -265,7 +270,7 @@
 #[test]
 fn a_stream_that_ran_as_often_as_it_may_is_not_offered_again() {
     let mut state = state(RESUMABLE);
-    let mut budget = RetryBudget::default();
+    let mut budget = full_budget();
     state.attempt_ended(&id("one"), AttemptEnd::Broken, &mut budget);
     state.attempt_ended(&id("two"), AttemptEnd::Broken, &mut budget);
     assert!(!state.may_resume());
