--- a/crates/core/src/serving/online/stream_progress.rs
+++ b/crates/core/src/serving/online/stream_progress.rs
@@ -5,9 +5,14 @@
 
 use super::event_stream::WholeEvent;
 
-/// A worker left out events that the caller doesn't have.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EventGap;
+/// What of a worker's events goes on to the caller.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct TakenEvents {
+    /// The bytes to pass on. They count as passed on, so they must be, also before a gap.
+    pub bytes: Vec<u8>,
+    /// The worker left out events after these, so nothing more of it can be passed on.
+    pub has_gap: bool,
+}
 
 /// What is to be done with an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,25 +40,23 @@
         Self { last_event, events: 0 }
     }
 
-    /// Takes whole events as a worker sent them and returns the bytes to pass on. A stream that is not resumable is
-    /// passed on as it comes.
-    ///
-    /// # Errors
-    ///
-    /// [`EventGap`]: the worker's stream can't be passed on any further.
-    pub fn take(&mut self, events: Vec<WholeEvent>, is_resumable: bool) -> Result<Vec<u8>, EventGap> {
-        let mut bytes = Vec::new();
+    /// Takes whole events as a worker sent them. A stream that is not resumable is passed on as it comes.
+    pub fn take(&mut self, events: Vec<WholeEvent>, is_resumable: bool) -> TakenEvents {
+        let mut taken = TakenEvents::default();
         for event in events {
             match self.order_of(event.id) {
                 EventOrder::Repeated if is_resumable => continue,
-                EventOrder::AfterGap if is_resumable => return Err(EventGap),
+                EventOrder::AfterGap if is_resumable => {
+                    taken.has_gap = true;
+                    break;
+                }
                 EventOrder::Next | EventOrder::Repeated | EventOrder::AfterGap => {}
             }
             self.last_event = event.id.or(self.last_event);
             self.events += 1;
-            bytes.extend_from_slice(&event.bytes);
+            taken.bytes.extend_from_slice(&event.bytes);
         }
-        Ok(bytes)
+        taken
     }
 
     fn order_of(&self, id: Option<u64>) -> EventOrder {
--- a/crates/core/tests/online_request.rs
+++ b/crates/core/tests/online_request.rs
@@ -12,7 +12,7 @@
 use stallmoor_core::serving::online::attempt::AttemptEnd;
 use stallmoor_core::serving::online::event_stream::WholeEvent;
 use stallmoor_core::serving::online::request_state::{GiveUp, RequestState, ResumeRounds};
-use stallmoor_core::serving::online::stream_progress::{EventGap, StreamProgress};
+use stallmoor_core::serving::online::stream_progress::{StreamProgress, TakenEvents};
 use stallmoor_core::serving::online::timeouts::AwaitedEvent;
 use stallmoor_core::serving::request::RequestFacts;
 use stallmoor_core::serving::workers::{Choice, Standing, WorkerId};
@@ -92,6 +92,10 @@
     WholeEvent { bytes: text.as_bytes().to_vec(), id }
 }
 
+fn whole(bytes: &str) -> TakenEvents {
+    TakenEvents { bytes: bytes.as_bytes().to_vec(), has_gap: false }
+}
+
 fn first(sent_at: Timestamp, mean_first: u64) -> AwaitedEvent {
     AwaitedEvent::First { sent_at, mean_first: Millis(mean_first) }
 }
@@ -294,17 +298,25 @@
 fn a_worker_that_goes_on_repeats_nothing_and_leaves_out_nothing() {
     let mut progress = StreamProgress::after(Some(2));
     let repeated = vec![event(Some(1), "1"), event(Some(2), "2"), event(Some(3), "3"), event(None, "-")];
-    assert_eq!(progress.take(repeated, true), Ok(b"3-".to_vec()));
+    assert_eq!(progress.take(repeated, true), whole("3-"));
     assert_eq!(progress, StreamProgress { last_event: Some(3), events: 2 });
-    assert_eq!(progress.take(vec![event(Some(5), "5")], true), Err(EventGap));
+    assert_eq!(progress.take(vec![event(Some(5), "5")], true), TakenEvents { has_gap: true, ..whole("") });
     assert_eq!(progress, StreamProgress { last_event: Some(3), events: 2 });
 }
 
+#[test]
+fn events_before_a_gap_that_came_with_it_are_passed_on() {
+    let mut progress = StreamProgress::after(Some(2));
+    let events = vec![event(Some(3), "3"), event(Some(5), "5"), event(Some(6), "6")];
+    assert_eq!(progress.take(events, true), TakenEvents { has_gap: true, ..whole("3") });
+    assert_eq!(progress, StreamProgress { last_event: Some(3), events: 1 }, "the next worker begins after event 3");
+}
+
 #[test]
 fn a_stream_that_is_not_resumable_is_passed_on_as_it_comes() {
     let mut progress = StreamProgress::after(Some(2));
     let events = vec![event(Some(1), "1"), event(Some(9), "9")];
-    assert_eq!(progress.take(events, false), Ok(b"19".to_vec()));
+    assert_eq!(progress.take(events, false), whole("19"));
     assert_eq!(progress, StreamProgress { last_event: Some(9), events: 2 });
 }
 
--- a/crates/gateway/src/online/stream.rs
+++ b/crates/gateway/src/online/stream.rs
@@ -9,7 +9,6 @@
 use stallmoor_core::serving::online::attempt::AttemptEnd;
 use stallmoor_core::serving::online::event_stream::{EventSplitter, WholeEvent};
 use stallmoor_core::serving::online::request_state::ResumeRounds;
-use stallmoor_core::serving::online::stream_progress::EventGap;
 use stallmoor_core::serving::online::timeouts::AwaitedEvent;
 use stallmoor_core::time::{Millis, Timestamp};
 
@@ -120,10 +119,13 @@
 
     async fn pass_on_events(&mut self, events: Vec<WholeEvent>, sender: &PieceSender) -> Result<(), StreamEnd> {
         let taken = self.state.progress.take(events, self.state.may_run_again());
-        let piece = taken.map_err(|EventGap| StreamEnd::Broken(AttemptEnd::Broken))?;
-        if piece.is_empty() {
-            return Ok(());
+        if !taken.bytes.is_empty() {
+            self.send(taken.bytes, sender).await?;
         }
+        if taken.has_gap { Err(StreamEnd::Broken(AttemptEnd::Broken)) } else { Ok(()) }
+    }
+
+    async fn send(&self, piece: Vec<u8>, sender: &PieceSender) -> Result<(), StreamEnd> {
         let left = Duration::from_millis(self.state.remaining(self.now()).0);
         match tokio::time::timeout(left, sender.send(Ok(Bytes::from(piece)))).await {
             Ok(Ok(())) => Ok(()),
