--- a/crates/core/src/serving/online/attempt.rs
+++ b/crates/core/src/serving/online/attempt.rs
@@ -44,6 +44,42 @@
     }
 }
 
+/// What the head of a worker's answer says, besides the content.
+#[derive(Clone, Copy, Debug)]
+pub struct AnswerMarks<'a> {
+    /// The HTTP status.
+    pub status: u16,
+    /// The id of the request that it answers.
+    pub request_id: Option<&'a str>,
+    /// It bears the signature of the worker.
+    pub is_signed: bool,
+    /// The worker says that it did not run the request.
+    pub not_run: bool,
+    /// The worker is not the one that was meant.
+    pub other_instance: bool,
+}
+
+impl AnswerMarks<'_> {
+    /// Whether this is the answer to the request with that id. A success counts only with a signature and the id: it
+    /// would be passed on as it is.
+    ///
+    /// # Errors
+    ///
+    /// [`AttemptEnd`]: how the attempt ended instead.
+    pub fn check(&self, request_id: &str) -> Result<(), AttemptEnd> {
+        if self.request_id.is_some_and(|id| id != request_id) {
+            // The answer to another request came in this one's place.
+            return Err(AttemptEnd::Broken);
+        }
+        if self.not_run {
+            return Err(AttemptEnd::NotRun { other_instance: self.other_instance });
+        }
+        let is_success = (200..300).contains(&self.status);
+        let is_vouched = self.is_signed && self.request_id.is_some();
+        if is_success && !is_vouched { Err(AttemptEnd::Broken) } else { Ok(()) }
+    }
+}
+
 /// What is known of a request's attempts so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptLedger {
--- a/crates/core/src/serving/online/mod.rs
+++ b/crates/core/src/serving/online/mod.rs
@@ -5,6 +5,7 @@
 //!
 //! | module | owns |
 //! |---|---|
+//! | [`admission`] | which requests are served, on which route and on whose behalf |
 //! | [`request_state`] | one request: what was tried, what may be tried next, when it is given up |
 //! | [`attempt`] | how an attempt ended, and whether the request may have run |
 //! | [`timeouts`] | how long an attempt is awaited before another worker is tried |
@@ -12,6 +13,7 @@
 //! | [`event_stream`] | splitting an answer into whole events |
 //! | [`stream_progress`] | how far a stream is, and which events of a worker go on to the caller |
 
+pub mod admission;
 pub mod attempt;
 pub mod event_stream;
 pub mod request_state;
--- a/crates/core/tests/online_request.rs
+++ b/crates/core/tests/online_request.rs
@@ -7,14 +7,17 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stallmoor_core::error::{ErrorKind, Ran};
 use stallmoor_core::retry_budget::RetryBudget;
-use stallmoor_core::serving::configuration::{Route, RouteKind, RouteTarget};
+use stallmoor_core::serving::configuration::tenant::{ApiKey, CallerIdentity, TenantTable};
+use stallmoor_core::serving::configuration::{CallerBounds, GatewayConfiguration, Route, RouteKind, RouteTarget};
 use stallmoor_core::serving::online::RETRY_LIMITS;
-use stallmoor_core::serving::online::attempt::AttemptEnd;
+use stallmoor_core::serving::online::admission::{RequestAddress, admit, admit_job_call};
+use stallmoor_core::serving::online::attempt::{AnswerMarks, AttemptEnd};
 use stallmoor_core::serving::online::event_stream::WholeEvent;
 use stallmoor_core::serving::online::request_state::{GiveUp, RequestState, ResumeRounds};
 use stallmoor_core::serving::online::stream_progress::{StreamProgress, TakenEvents};
 use stallmoor_core::serving::online::timeouts::AwaitedEvent;
 use stallmoor_core::serving::request::RequestFacts;
+use stallmoor_core::serving::workers::connection_limit::connection_limit;
 use stallmoor_core::serving::workers::{Choice, Standing, WorkerId};
 use stallmoor_core::time::{Millis, Timestamp};
 
@@ -337,3 +340,46 @@
     assert_eq!(count(&draws(vec![target("only", 0)]), "only"), 1_000);
     assert_eq!(draws(Vec::new())[0], None);
 }
+
+#[test]
+fn an_answer_counts_only_for_its_request_and_a_success_only_with_a_signature() {
+    let sound =
+        AnswerMarks { status: 200, request_id: Some("mine"), is_signed: true, not_run: false, other_instance: false };
+    let check = |marks: AnswerMarks<'_>| marks.check("mine");
+    assert_eq!(check(sound), Ok(()));
+    assert_eq!(check(AnswerMarks { request_id: Some("other"), not_run: true, ..sound }), Err(AttemptEnd::Broken));
+    assert_eq!(check(AnswerMarks { request_id: None, ..sound }), Err(AttemptEnd::Broken));
+    assert_eq!(check(AnswerMarks { is_signed: false, ..sound }), Err(AttemptEnd::Broken));
+    assert_eq!(check(AnswerMarks { status: 500, is_signed: false, request_id: None, ..sound }), Ok(()));
+    let refused = AnswerMarks { status: 421, is_signed: false, not_run: true, other_instance: true, ..sound };
+    assert_eq!(check(refused), Err(AttemptEnd::NotRun { other_instance: true }));
+    assert_eq!(check(AnswerMarks { other_instance: false, ..refused }), Err(NOT_RUN));
+}
+
+#[test]
+fn a_node_takes_a_twelfth_of_a_workers_connections_and_four_at_least() {
+    assert_eq!(connection_limit(Some(240)), 20);
+    assert_eq!(connection_limit(Some(59)), 4);
+    assert_eq!(connection_limit(Some(0)), 4);
+    assert_eq!(connection_limit(None), 4);
+}
+
+#[test]
+fn a_request_is_admitted_to_its_route_if_it_shows_a_key_or_the_route_is_public() {
+    let public = Route { prefix: Arc::from("/open/"), is_public: true, ..route(RouteKind::Batch) };
+    let configuration =
+        GatewayConfiguration::new(1, vec![route(RESUMABLE), public], Vec::new(), CallerBounds::default())
+            .with_tenants(TenantTable::default());
+    let key = ApiKey::new("unknown");
+    let address = |host, path, target| RequestAddress { host, path, target, key: Some(&key) };
+    let open = admit(&configuration, address("host", "/open/x", "/open/x")).expect("it is public");
+    assert_eq!((open.route.kind, open.identity), (RouteKind::Batch, CallerIdentity::Public));
+    let refused = admit(&configuration, address("host", "/closed", "/closed?a=b")).expect_err("no tenant has the key");
+    assert_eq!((refused.kind, refused.detail.as_str()), (ErrorKind::UnknownKey, "no key of a tenant, for /closed?a=b"));
+    let nowhere = admit(&configuration, address("other", "/x", "/x?a=b")).expect_err("no such host");
+    assert_eq!(nowhere.kind, ErrorKind::UnknownPath);
+    assert_eq!(nowhere.detail, "no route has the host other and the path /x");
+    let call = |host| admit_job_call(&configuration, address(host, "/jobs/1", "/jobs/1"));
+    assert_eq!(call("host"), Ok(CallerIdentity::Public), "all of its routes for batch are public");
+    assert_eq!(call("other").map_err(|refused| refused.kind), Err(ErrorKind::UnknownKey));
+}
--- a/crates/gateway/src/callers/server.rs
+++ b/crates/gateway/src/callers/server.rs
@@ -8,6 +8,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HOST, HeaderMap, HeaderValue};
+use hyper::http::request::Parts;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Request, Response};
@@ -16,6 +17,7 @@
 use stallmoor_core::log_event::LogEvent;
 use stallmoor_core::serving::configuration::tenant::CallerIdentity;
 use stallmoor_core::serving::configuration::{CallerBounds, Route, RouteKind};
+use stallmoor_core::serving::online::admission::{self, AdmittedRoute, RequestAddress, START_TIMEOUT, admit_job_call};
 use stallmoor_core::serving::request::RequestFacts;
 use stallmoor_core::time::Timestamp;
 use tokio::net::{TcpListener, TcpStream};
@@ -31,12 +33,10 @@
 use crate::online::{self, OnlineRequest};
 use crate::workers::attempt::WorkerClient;
 
-/// How long a node that has just started lets a request wait for its first view of the fleet. A refusal after
-/// that comes soon enough to be tried elsewhere.
-const START_TIMEOUT: Duration = Duration::from_millis(60);
-/// An idle connection is kept this much longer than callers were told.
+/// An idle connection is kept this much longer than its callers may use it, so that none is closed while a request is on
+/// its way. Not measured: longer than a way through the network takes.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
-/// Least size of the buffer for a head that the library takes.
+/// Least size of the buffer for a head, in bytes: the HTTP library takes no smaller one.
 const LEAST_HEAD_BUFFER: usize = 8_192;
 
 /// How far a planned stop is.
@@ -131,55 +131,44 @@
             }
             Ok(Admitted::Online(request)) => match self.limits.admit(&request.identity).await {
                 Ok(()) => online::serve(self.workers.clone(), *request).await,
-                Err(refused) => self.turn_away(&id, &refused, arrived_at),
+                Err(refused) => self.refuse(&id, &refused, arrived_at),
             },
-            Err(refused) => self.turn_away(&id, &refused, arrived_at),
+            Err(refused) => self.refuse(&id, &refused, arrived_at),
         }
     }
 
     /// Reads a request and checks whether it may be served.
     async fn admit(&self, request: Request<Incoming>, arrived_at: Timestamp) -> Result<Admitted, Refusal> {
-        let view = &self.workers.view;
-        let Some(configuration) = view.known_configuration(START_TIMEOUT).await else {
-            return Err(Refusal::new(ErrorKind::NotConfigured, "no configuration is known yet"));
-        };
+        let within = Duration::from_millis(START_TIMEOUT.0);
+        let known = self.workers.view.known_configuration(within).await;
+        let configuration = known.ok_or_else(admission::not_configured)?;
         let (parts, body) = request.into_parts();
         let dialect = &self.workers.dialect;
-        let host = host_of(&parts.headers);
         let key = dialect.api_key(&parts.headers);
-        let malformed = |bad: BadRequest| Refusal::new(ErrorKind::MalformedRequest, bad.detail);
-        let unknown_key = |_| Refusal::new(ErrorKind::UnknownKey, format!("no key of a tenant, for {}", parts.uri));
+        let target = parts.uri.to_string();
+        let address = RequestAddress {
+            host: host_of(&parts.headers),
+            path: parts.uri.path(),
+            target: &target,
+            key: key.as_ref(),
+        };
         if let Some(call) = dialect.job_call(&parts.method, &parts.uri, &parts.headers).map_err(malformed)? {
-            let is_public = configuration.has_public_jobs(host);
-            let caller = configuration.identify(key.as_ref(), is_public).map_err(unknown_key)?;
-            return Ok(Admitted::Call(call, caller));
+            return Ok(Admitted::Call(call, admit_job_call(&configuration, address)?));
         }
-        let Some(route) = configuration.route_for(host, parts.uri.path()).cloned() else {
-            let detail = format!("no route has the host {host} and the path {}", parts.uri.path());
-            return Err(Refusal::new(ErrorKind::UnknownPath, detail));
-        };
-        let identity = configuration.identify(key.as_ref(), route.is_public).map_err(unknown_key)?;
+        let AdmittedRoute { route, identity } = admission::admit(&configuration, address)?;
         let facts = dialect.request_facts(&parts.headers).map_err(malformed)?;
         let body = read_body(body, configuration.bounds.body_bytes).await?;
         if route.kind == RouteKind::Batch {
             let version = configuration.version;
             return Ok(Admitted::Job(AdmittedJob { facts, route, version, identity, body }));
         }
-        let request = OnlineRequest {
-            method: parts.method,
-            target: parts.uri,
-            headers: parts.headers,
-            body,
-            facts,
-            route,
-            identity,
-            arrived_at,
-        };
+        let Parts { method, uri: target, headers, .. } = parts;
+        let request = OnlineRequest { method, target, headers, body, facts, route, identity, arrived_at };
         Ok(Admitted::Online(Box::new(request)))
     }
 
     /// Refuses a request for which nothing was done yet.
-    fn turn_away(&self, id: &str, refused: &Refusal, arrived_at: Timestamp) -> Response<AnswerBody> {
+    fn refuse(&self, id: &str, refused: &Refusal, arrived_at: Timestamp) -> Response<AnswerBody> {
         let view = &self.workers.view;
         let fields = [
             Field::text("request", id),
@@ -209,6 +198,10 @@
     body: Bytes,
 }
 
+fn malformed(bad: BadRequest) -> Refusal {
+    Refusal::new(ErrorKind::MalformedRequest, bad.detail)
+}
+
 /// The host that a request is for, without its port.
 fn host_of(headers: &HeaderMap) -> &str {
     let host = headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
--- a/crates/gateway/src/workers/attempt.rs
+++ b/crates/gateway/src/workers/attempt.rs
@@ -7,9 +7,10 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
-use hyper::{Method, Request, StatusCode, Uri};
-use stallmoor_core::serving::online::attempt::AttemptEnd;
+use hyper::{Method, Request, Response, StatusCode, Uri};
+use stallmoor_core::serving::online::attempt::{AnswerMarks, AttemptEnd};
 use stallmoor_core::serving::request::PrefixLink;
+use stallmoor_core::serving::workers::connection_limit::connection_limit;
 use stallmoor_core::serving::workers::{Choice, WorkerId};
 use stallmoor_core::time::Timestamp;
 
@@ -19,11 +20,6 @@
 
 /// How long the rest of a refusal may take before its connection is given up.
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(50);
-/// A node takes at most one in this many of a worker's connections.
-const CONNECTION_SHARE: u32 = 12;
-/// A node may have at least this many connections to a worker.
-const LEAST_CONNECTIONS: usize = 4;
-
 /// What it takes to talk to workers.
 pub struct WorkerClient {
     /// What is known of the fleet.
@@ -140,59 +136,82 @@
         result
     }
 
+    /// Sends a request and takes the head of its answer, if the answer is this request's.
     async fn try_open(&self, attempt: Attempt, timeout: Duration) -> Result<OpenAnswer, AttemptEnd> {
-        let now = self.view.clock.now();
-        let most = self.most_connections(&attempt.service);
-        let mut connection =
-            self.connections.take(attempt.choice.address, most).await.map_err(|error| match error {
-                NoConnection::AllInUse => AttemptEnd::NotRun { other_instance: false },
-                NoConnection::Unreachable => AttemptEnd::NotConnected,
-            })?;
-        let mut request = Request::new(Full::new(attempt.body));
-        *request.method_mut() = attempt.method;
-        *request.uri_mut() = attempt.target;
-        *request.headers_mut() = attempt.headers;
-        let sent = tokio::time::timeout(timeout, connection.send(request)).await;
-        let response = match sent {
-            Err(_) => return Err(AttemptEnd::Silent),
-            Ok(Err(SendFailure::NotSent)) => return Err(AttemptEnd::NotConnected),
-            Ok(Err(SendFailure::MayHaveArrived)) => return Err(AttemptEnd::Broken),
-            Ok(Ok(response)) => response,
-        };
+        let sent_at = self.view.clock.now();
+        let mut connection = self.connect(&attempt).await?;
+        let Attempt { choice, request_id, method, target, headers, body, in_flight, .. } = attempt;
+        let mut request = Request::new(Full::new(body));
+        *request.method_mut() = method;
+        *request.uri_mut() = target;
+        *request.headers_mut() = headers;
+        let response = send_within(&mut connection, request, timeout).await?;
         let (parts, body) = response.into_parts();
         let facts = self.dialect.answer_facts(parts.status, &parts.headers);
-        if facts.request_id.as_ref().is_some_and(|id| *id != attempt.request_id) {
-            // The answer to another request came in this one's place.
-            return Err(AttemptEnd::Broken);
-        }
-        if facts.not_run {
-            let end = AttemptEnd::NotRun { other_instance: facts.other_instance };
-            let keep_alive = facts.keep_alive.map(|span| Duration::from_millis(span.0));
-            let rest = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, body.collect()).await;
-            if matches!(rest, Ok(Ok(_))) && !wants_close(&parts.headers) {
-                connection.keep(keep_alive);
+        match marks_of(parts.status, &facts).check(&request_id) {
+            Ok(()) => {}
+            Err(end @ AttemptEnd::NotRun { .. }) => {
+                keep_after_refusal(&mut connection, &facts, &parts.headers, body).await;
+                return Err(end);
             }
-            return Err(end);
-        }
-        if parts.status.is_success() && (!facts.is_signed || facts.request_id.is_none()) {
-            return Err(AttemptEnd::Broken);
+            Err(end) => return Err(end),
         }
         Ok(OpenAnswer {
             status: parts.status,
             headers: parts.headers,
             facts,
             body,
-            worker: attempt.choice.id,
-            sent_at: now,
+            worker: choice.id,
+            sent_at,
             connection,
-            _in_flight: attempt.in_flight,
+            _in_flight: in_flight,
         })
     }
 
-    fn most_connections(&self, service: &str) -> usize {
+    async fn connect(&self, attempt: &Attempt) -> Result<WorkerConnection, AttemptEnd> {
         let configuration = self.view.configuration();
-        let allowed = configuration.and_then(|known| known.services.get(service).map(|found| found.max_connections));
-        let share = allowed.unwrap_or(0) / CONNECTION_SHARE;
-        (share as usize).max(LEAST_CONNECTIONS)
+        let service = configuration.as_ref().and_then(|known| known.services.get(&attempt.service));
+        let most = connection_limit(service.map(|found| found.max_connections));
+        self.connections.take(attempt.choice.address, most).await.map_err(|error| match error {
+            NoConnection::AllInUse => AttemptEnd::NotRun { other_instance: false },
+            NoConnection::Unreachable => AttemptEnd::NotConnected,
+        })
+    }
+}
+
+async fn send_within(
+    connection: &mut WorkerConnection,
+    request: Request<Full<Bytes>>,
+    timeout: Duration,
+) -> Result<Response<Incoming>, AttemptEnd> {
+    match tokio::time::timeout(timeout, connection.send(request)).await {
+        Err(_) => Err(AttemptEnd::Silent),
+        Ok(Err(SendFailure::NotSent)) => Err(AttemptEnd::NotConnected),
+        Ok(Err(SendFailure::MayHaveArrived)) => Err(AttemptEnd::Broken),
+        Ok(Ok(response)) => Ok(response),
+    }
+}
+
+fn marks_of(status: StatusCode, facts: &AnswerFacts) -> AnswerMarks<'_> {
+    AnswerMarks {
+        status: status.as_u16(),
+        request_id: facts.request_id.as_deref(),
+        is_signed: facts.is_signed,
+        not_run: facts.not_run,
+        other_instance: facts.other_instance,
+    }
+}
+
+/// Keeps the connection of a worker that did not run the request, if the rest of its answer comes soon.
+async fn keep_after_refusal(
+    connection: &mut WorkerConnection,
+    facts: &AnswerFacts,
+    headers: &HeaderMap,
+    body: Incoming,
+) {
+    let keep_alive = facts.keep_alive.map(|span| Duration::from_millis(span.0));
+    let rest = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, body.collect()).await;
+    if matches!(rest, Ok(Ok(_))) && !wants_close(headers) {
+        connection.keep(keep_alive);
     }
 }
