--- a/crates/cli/tests/golden_command_line.rs
+++ b/crates/cli/tests/golden_command_line.rs
@@ -1,6 +1,6 @@
 //! What a caller of the program sees today: help, errors, exit codes, and the first line of a log.
 
-#[path = "../../core/tests/golden/mod.rs"]
+#[path = "../../core/tests/support/golden.rs"]
 mod golden;
 
 use std::fmt::Write as _;
@@ -38,7 +38,7 @@
         let output = program(folder.path()).args(&arguments).output().expect("the program runs");
         describe(&mut told, &arguments.join(" "), &output);
     }
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "help.txt", &told);
+    golden::check_text("help.txt", &told);
 }
 
 const SERVING: &str = "[node]\nname = \"a\"\nzone = \"z\"\naddress = \"127.0.0.1\"\n\
@@ -72,7 +72,7 @@
         let output = program(folder.path()).env("STALLMOOR_NODE_FILE", "node.toml").arg(command).output();
         describe(&mut told, &format!("{command}, not enough"), &output.expect("the program runs"));
     }
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "settings.txt", &told);
+    golden::check_text("settings.txt", &told);
 }
 
 /// Answers one call with a status and a body.
@@ -116,7 +116,7 @@
         let output = program(folder.path()).args(arguments).args(["--node", &address]).output();
         describe(&mut told, case, &output.expect("the program runs"));
     }
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "outcomes.txt", &told);
+    golden::check_text("outcomes.txt", &told);
 }
 
 /// The first line of a process's log, with its time and all that is drawn or bound at random replaced.
@@ -158,5 +158,5 @@
         &format!("peer_port = {peers}\ncallers = \"{callers}\"\nreadiness = \"{readiness}\"\n"),
     );
     let lines = format!("{}\n{}\n", first_line("gateway", &gateway, true), first_line("node", NODE, false));
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "first_lines.txt", &lines);
+    golden::check_text("first_lines.txt", &lines);
 }
--- a/crates/core/tests/support/golden.rs
+++ b/crates/core/tests/support/golden.rs
@@ -1,8 +1,10 @@
-//! Golden files: encoded values as lines of `name encoding` in `tests/golden/` of the crate under test.
+//! Golden files in `tests/golden/` of the crate under test: encoded values as lines of `name encoding`, and texts.
 //!
-//! They pin what lies on disks, in the metadata store and on the wire of a running fleet. A file that differs means
-//! that a new version can't read what an earlier one wrote, or the other way round. `STALLMOOR_WRITE_GOLDEN=1` writes
-//! the files instead of comparing them, which is right only for values that are added.
+//! The values pin what lies on disks, in the metadata store and on the wire of a running fleet. A file that differs
+//! means that a new version can't read what an earlier one wrote, or the other way round. The texts pin what users
+//! write and see: settings, configuration, headers, figures, log lines, errors. They describe values by labels of their
+//! own, so that a type or field may be renamed in the code without a change of its file. `STALLMOOR_WRITE_GOLDEN=1`
+//! writes the files instead of comparing them, which is right only for what is added.
 
 // Each crate's tests use a part of this.
 #![allow(dead_code)]
@@ -63,6 +65,18 @@
     stored
 }
 
+/// Compares a text of today's code with a file.
+pub fn check_text(file: &str, today: &str) {
+    let path = golden_path(file);
+    if writes_golden() {
+        fs::create_dir_all(golden_path("")).expect("the folder can be made");
+        fs::write(&path, today).expect("the file can be written");
+    }
+    let stored = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{file} can't be read: {error}"));
+    let same = stored.lines().zip(today.lines()).take_while(|(stored, today)| stored == today).count();
+    assert!(stored == today, "{file} differs from line {}\n--- stored\n{stored}\n--- today\n{today}", same + 1);
+}
+
 /// Checks that today's code encodes each value as the file says, and reads from it that very value.
 pub fn check_bytes<T: Debug + PartialEq>(
     file: &str,
--- a/crates/gateway/tests/golden_journal.rs
+++ b/crates/gateway/tests/golden_journal.rs
@@ -1,6 +1,6 @@
 //! The structured log as it is written today: each event's line, and the names of all fields.
 
-#[path = "../../core/tests/golden/mod.rs"]
+#[path = "../../core/tests/support/golden.rs"]
 mod golden;
 
 use std::collections::BTreeSet;
@@ -40,7 +40,7 @@
     }
     record(LogEvent::NodeStarted, &[Field::text("b", "t \"q\""), Field::number("a", 7_u64), Field::flag("c", true)]);
     let lines = LINES.lock().expect("not poisoned").join("\n") + "\n";
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "events.txt", &lines);
+    golden::check_text("events.txt", &lines);
 }
 
 /// Every `Field::{text,number,flag}("name"` of this crate's sources, as `kind name`.
@@ -55,7 +55,7 @@
     for field in found {
         writeln!(text, "{field}").expect("written to a string");
     }
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "fields.txt", &text);
+    golden::check_text("fields.txt", &text);
 }
 
 fn scan(folder: &Path, found: &mut BTreeSet<String>) {
--- a/crates/gateway/tests/golden_measures.rs
+++ b/crates/gateway/tests/golden_measures.rs
@@ -1,6 +1,6 @@
 //! The figures as they are served today: names, types, labels and the label values of closed lists.
 
-#[path = "../../core/tests/golden/mod.rs"]
+#[path = "../../core/tests/support/golden.rs"]
 mod golden;
 
 use stallmoor_core::serving::jobs::dispatch::RunEnd;
@@ -55,5 +55,5 @@
         let line = format!("# TYPE {} {}", measure.name, measure.kind);
         assert!(text.lines().any(|served| served == line), "{line} is not in\n{text}");
     }
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "measures.txt", &text);
+    golden::check_text("measures.txt", &text);
 }
--- a/crates/gateway/tests/golden_refusals.rs
+++ b/crates/gateway/tests/golden_refusals.rs
@@ -1,6 +1,6 @@
 //! How a gateway answers each kind of refusal, as it is today: status, headers, body.
 
-#[path = "../../core/tests/golden/mod.rs"]
+#[path = "../../core/tests/support/golden.rs"]
 mod golden;
 
 use std::fmt::Write;
@@ -32,5 +32,5 @@
     describe(&mut told, "overloaded, may have run, after 7 ms", refusal::answer(&changed)).await;
     let given = Refusal::new(ErrorKind::UnknownPath, "").with_ran(Ran::Ran).with_retry_after(61_042);
     describe(&mut told, "unknown_path, ran, after 61042 ms", refusal::answer(&given)).await;
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "refusals.txt", &told);
+    golden::check_text("refusals.txt", &told);
 }
--- a/crates/gateway/tests/golden_settings.rs
+++ b/crates/gateway/tests/golden_settings.rs
@@ -1,6 +1,6 @@
 //! The settings file of gateways and storing nodes, and the deploy files that it is made from, as they are today.
 
-#[path = "../../core/tests/golden/mod.rs"]
+#[path = "../../core/tests/support/golden.rs"]
 mod golden;
 
 use std::fmt::Write;
@@ -110,7 +110,7 @@
         describe(&read(MINIMAL)),
         describe(&read(&bare))
     );
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "settings.txt", &described);
+    golden::check_text("settings.txt", &described);
 }
 
 /// Each case changes one place of the full file.
@@ -152,7 +152,7 @@
         let error = ServingSettings::parse(&text, Path::new("node.toml")).expect_err(case);
         writeln!(told, "# {case}\n{}\n", error.to_string().trim_end()).expect("written to a string");
     }
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "settings_errors.txt", &told);
+    golden::check_text("settings_errors.txt", &told);
 }
 
 #[test]
@@ -168,5 +168,5 @@
         let text = std::fs::read_to_string(folder.join(&name)).expect("a text");
         writeln!(all, "==> {name} <==\n{text}").expect("written to a string");
     }
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "deploy.txt", &all);
+    golden::check_text("deploy.txt", &all);
 }
--- a/crates/node/tests/golden_http.rs
+++ b/crates/node/tests/golden_http.rs
@@ -1,6 +1,6 @@
 //! What a node serves on HTTP apart from answers, as it is today: its metrics, and how refusals are answered.
 
-#[path = "../../core/tests/golden/mod.rs"]
+#[path = "../../core/tests/support/golden.rs"]
 mod golden;
 #[allow(dead_code)]
 mod support;
@@ -25,7 +25,7 @@
     let served = fleet.client.get(fleet.caller_address(0), "/metrics").await;
     let kind = served.headers["content-type"].to_str().expect("text");
     let text = String::from_utf8_lossy(&served.body).into_owned();
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "metrics.txt", &format!("{kind}\n{}", without_values(&text)));
+    golden::check_text("metrics.txt", &format!("{kind}\n{}", without_values(&text)));
 }
 
 /// Status, the headers that are stallmoor's own or say when to come back, and the body.
@@ -54,5 +54,5 @@
     for (case, to, method, path, headers, body) in cases {
         describe(&mut told, case, &ready.client.send(method, to, path, &headers, body).await);
     }
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "refusals.txt", &told);
+    golden::check_text("refusals.txt", &told);
 }
--- a/crates/node/tests/golden_settings.rs
+++ b/crates/node/tests/golden_settings.rs
@@ -1,6 +1,6 @@
 //! The settings file of `stallmoor node`, as it is today.
 
-#[path = "../../core/tests/golden/mod.rs"]
+#[path = "../../core/tests/support/golden.rs"]
 mod golden;
 
 use std::fmt::Write;
@@ -83,7 +83,7 @@
 fn a_full_and_a_minimal_file_are_read_as_ever() {
     let read = |text: &str| describe(&parse_settings(&file(text)).expect("the settings are sound"));
     let described = format!("# full\n{}\n# minimal\n{}", read(FULL), read(MINIMAL));
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "settings.txt", &described);
+    golden::check_text("settings.txt", &described);
 }
 
 /// Each case changes one place of the full file; the last has several errors at once.
@@ -115,5 +115,5 @@
         }
         told.push('\n');
     }
-    golden::compare(env!("CARGO_MANIFEST_DIR"), "settings_errors.txt", &told);
+    golden::check_text("settings_errors.txt", &told);
 }
