--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -139,8 +139,6 @@
     leaving: bool,
     /// The prefix cache.
     pub cache: PrefixCache,
-    /// Tokens generated, all classes.
-    pub generated: u64,
     /// Online sequences that were left waiting at the start of an iteration while batch held a slot.
     pub online_behind_batch: u64,
     /// Those of them that still wait.
@@ -158,17 +156,11 @@
             iteration_ends_us: None,
             leaving: false,
             cache: PrefixCache::new(settings.cache_blocks),
-            generated: 0,
             online_behind_batch: 0,
             behind: BTreeSet::new(),
         }
     }
 
-    /// What the engine is like.
-    pub fn settings(&self) -> &EngineSettings {
-        &self.settings
-    }
-
     /// Takes no new work from now on, or does so again.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
@@ -311,7 +303,6 @@
             let text = answer_token(&sequence.request.model, &sequence.request.prompt, place);
             outputs.push(EngineOutput::Token { attempt, place, text });
             sequence.next_token += 1;
-            self.generated += 1;
         }
         if sequence.next_token >= sequence.length {
             outputs.push(EngineOutput::End { attempt, length: sequence.length });
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -11,7 +11,7 @@
 mod engine;
 
 pub use answer::{answer_length, answer_text, answer_token};
-pub use cache::{CacheChange, PrefixCache, prompt_blocks};
+pub use cache::{CacheChange, PrefixCache};
 pub use engine::{
     EngineEmulator, EngineLoad, EngineOutput, EngineRefusal, EngineSettings, SequenceClass, SequenceRequest,
 };
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,5 +1,5 @@
 //! The engine: the emulator in real time behind HTTP, with its faults, its lagging load report, its
-//! late and gappy cache events, fenced orders, and the export and import of cached prefixes.
+//! late and gappy cache events, and fenced orders.
 
 use std::collections::{HashMap, VecDeque};
 use std::fs::{File, OpenOptions};
@@ -16,7 +16,6 @@
 use serde_json::{Value, json};
 use stallmoor_emulator::{
     CacheChange, EngineEmulator, EngineOutput, EngineRefusal, EngineSettings, SequenceClass, SequenceRequest,
-    prompt_blocks,
 };
 use tokio::sync::{Notify, mpsc};
 
@@ -93,18 +92,6 @@
     epoch: u64,
     load: Option<String>,
     unload: Option<String>,
-    role: Option<String>,
-}
-
-#[derive(Deserialize)]
-struct ExportCall {
-    model: String,
-    prompt: String,
-}
-
-#[derive(Deserialize)]
-struct ImportCall {
-    blocks: Vec<u64>,
 }
 
 struct Stream {
@@ -129,7 +116,6 @@
     next_cache_event: u64,
     fence: u64,
     loaded: Vec<String>,
-    role: String,
     random: Xoshiro256PlusPlus,
 }
 
@@ -156,7 +142,6 @@
             next_cache_event: 0,
             fence: 0,
             loaded: Vec::new(),
-            role: "mixed".to_owned(),
             random: Xoshiro256PlusPlus::seed_from_u64(options.seed),
             options,
         };
@@ -190,8 +175,6 @@
             (&Method::POST, ["v1", "generate"]) => self.generate(&call),
             (&Method::GET, ["v1", "load"]) => self.load(&call),
             (&Method::POST, ["v1", "order"]) => self.order(&call),
-            (&Method::POST, ["v1", "kv", "export"]) => self.export(&call),
-            (&Method::POST, ["v1", "kv", "import"]) => self.import(&call),
             _ => whole(StatusCode::NOT_FOUND, ""),
         }
     }
@@ -253,29 +236,7 @@
         if let Some(model) = order.unload {
             state.loaded.retain(|loaded| *loaded != model);
         }
-        if let Some(role) = order.role {
-            state.role = role;
-        }
-        json(StatusCode::OK, &json!({"loaded": state.loaded, "role": state.role}))
-    }
-
-    fn export(&self, call: &Call) -> Answer {
-        let Ok(wanted) = serde_json::from_slice::<ExportCall>(&call.body) else {
-            return whole(StatusCode::BAD_REQUEST, "model and prompt are needed");
-        };
-        let blocks = prompt_blocks(&wanted.model, &wanted.prompt);
-        let held = self.lock().emulator.cache.overlap(&blocks);
-        json(StatusCode::OK, &json!({"blocks": &blocks[..held]}))
-    }
-
-    fn import(&self, call: &Call) -> Answer {
-        let Ok(import) = serde_json::from_slice::<ImportCall>(&call.body) else {
-            return whole(StatusCode::BAD_REQUEST, "blocks are needed");
-        };
-        let mut state = self.lock();
-        state.emulator.cache.store(&import.blocks);
-        state.gather_cache_events();
-        whole(StatusCode::OK, "")
+        json(StatusCode::OK, &json!({"loaded": state.loaded}))
     }
 }
 
--- a/crates/standins/src/key_value.rs
+++ b/crates/standins/src/key_value.rs
@@ -1,5 +1,5 @@
-//! The key-value service: versions, compare-and-swap, leases and watches; with a rate limit, outages,
-//! slowness, answers lost after the effect, and stale reads.
+//! The key-value service: versions and compare-and-swap; with a rate limit, outages, slowness, answers
+//! lost after the effect, and stale reads.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,7 +10,6 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
-use tokio::sync::Notify;
 
 use crate::http::{Answer, Call, json, whole};
 
@@ -39,34 +38,18 @@
     earlier: VecDeque<(u64, String)>,
 }
 
-struct Lease {
-    holder: String,
-    epoch: u64,
-    until: Instant,
-}
-
 struct State {
     values: BTreeMap<String, Stored>,
-    leases: BTreeMap<String, Lease>,
-    epochs: u64,
     faults: KeyValueFaults,
     tokens: f64,
     tokens_at: Instant,
     random: Xoshiro256PlusPlus,
-    calls: u64,
 }
 
 /// The service.
 #[derive(Clone)]
 pub struct KeyValue {
     state: Arc<Mutex<State>>,
-    changed: Arc<Notify>,
-}
-
-#[derive(Deserialize)]
-struct LeaseCall {
-    holder: String,
-    ttl_ms: u64,
 }
 
 impl KeyValue {
@@ -74,32 +57,26 @@
     pub fn new(faults: KeyValueFaults, seed: u64) -> Self {
         let state = State {
             values: BTreeMap::new(),
-            leases: BTreeMap::new(),
-            epochs: 0,
             faults,
             tokens: 1.0,
             tokens_at: Instant::now(),
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
-            calls: 0,
         };
-        Self { state: Arc::new(Mutex::new(state)), changed: Arc::default() }
+        Self { state: Arc::new(Mutex::new(state)) }
     }
 
     /// Serves one call.
     pub async fn handle(self, call: Call) -> Answer {
         let path: Vec<&str> = call.path.iter().map(String::as_str).collect();
-        match (&call.method, path.as_slice()) {
-            (&Method::POST, ["fault"]) => return self.set_faults(&call),
-            (&Method::GET, ["calls"]) => return json(StatusCode::OK, &json!({"calls": self.lock().calls})),
-            _ => {}
+        if let (&Method::POST, ["fault"]) = (&call.method, path.as_slice()) {
+            return self.set_faults(&call);
         }
         if let Some(refusal) = self.refuse().await {
             return refusal;
         }
         match (&call.method, path.as_slice()) {
-            (&Method::GET, ["v1", "keys", key @ ..]) => self.get(&key.join("/"), &call).await,
+            (&Method::GET, ["v1", "keys", key @ ..]) => self.get(&key.join("/")),
             (&Method::PUT, ["v1", "keys", key @ ..]) => self.put(&key.join("/"), &call),
-            (&Method::POST, ["v1", "leases", name]) => self.lease(name, &call),
             _ => whole(StatusCode::NOT_FOUND, ""),
         }
     }
@@ -121,7 +98,6 @@
     async fn refuse(&self) -> Option<Answer> {
         let (outage, slow_ms, limited) = {
             let mut state = self.lock();
-            state.calls += 1;
             let limited = !state.take_token();
             (state.faults.outage, state.faults.slow_ms, limited)
         };
@@ -134,23 +110,10 @@
         limited.then(|| whole(StatusCode::TOO_MANY_REQUESTS, ""))
     }
 
-    async fn get(&self, key: &str, call: &Call) -> Answer {
-        let after = call.parameter("after").and_then(|after| after.parse::<u64>().ok());
-        let wait = call.parameter("wait_ms").and_then(|wait| wait.parse().ok()).unwrap_or(0);
-        let deadline = Instant::now() + Duration::from_millis(wait);
-        loop {
-            let changed = self.changed.notified();
-            let found = self.read(key);
-            let is_news = found.as_ref().is_some_and(|(version, _)| after.is_none_or(|after| *version > after));
-            let left = deadline.saturating_duration_since(Instant::now());
-            if is_news || after.is_none() || left.is_zero() {
-                return match found {
-                    Some((version, value)) => json(StatusCode::OK, &json!({"version": version, "value": value})),
-                    None => whole(StatusCode::NOT_FOUND, ""),
-                };
-            }
-            // Woken or timed out, the loop looks again.
-            let _ = tokio::time::timeout(left, changed).await;
+    fn get(&self, key: &str) -> Answer {
+        match self.read(key) {
+            Some((version, value)) => json(StatusCode::OK, &json!({"version": version, "value": value})),
+            None => whole(StatusCode::NOT_FOUND, ""),
         }
     }
 
@@ -181,37 +144,12 @@
             earlier.truncate(HISTORY);
         }
         state.values.insert(key.to_owned(), Stored { version, value, earlier });
-        self.changed.notify_waiters();
         let share = state.faults.lost_answers;
         if share > 0.0 && state.random.random_bool(share.min(1.0)) {
             return whole(StatusCode::SERVICE_UNAVAILABLE, "");
         }
         json(StatusCode::OK, &json!({"version": version}))
     }
-
-    /// Grants or renews a lease. The epoch grows with each new holder.
-    fn lease(&self, name: &str, call: &Call) -> Answer {
-        let Ok(wanted) = serde_json::from_slice::<LeaseCall>(&call.body) else {
-            return whole(StatusCode::BAD_REQUEST, "holder and ttl_ms are needed");
-        };
-        let mut state = self.lock();
-        let now = Instant::now();
-        let until = now + Duration::from_millis(wanted.ttl_ms);
-        let held = state.leases.get(name).filter(|lease| lease.until > now);
-        let epoch = match held {
-            Some(lease) if lease.holder == wanted.holder => lease.epoch,
-            Some(lease) => {
-                let body = json!({"holder": lease.holder, "epoch": lease.epoch});
-                return json(StatusCode::CONFLICT, &body);
-            }
-            None => {
-                state.epochs += 1;
-                state.epochs
-            }
-        };
-        state.leases.insert(name.to_owned(), Lease { holder: wanted.holder, epoch, until });
-        json(StatusCode::OK, &json!({"epoch": epoch}))
-    }
 }
 
 impl State {
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what the platform gives, for tests and trials: an engine, the key-value service, the
-//! machine list and the weight store.
+//! Stand-ins for what the platform gives, for tests and trials: an engine, the key-value service and
+//! the machine list.
 //!
 //! Each speaks the published protocol over HTTP and has faults that are switched on while it runs, by
 //! `POST /fault` with a JSON object of the fields to change.
@@ -8,4 +8,3 @@
 pub mod http;
 pub mod key_value;
 pub mod machines;
-pub mod weights;
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -11,7 +11,6 @@
 use stallmoor_standins::http;
 use stallmoor_standins::key_value::{KeyValue, KeyValueFaults};
 use stallmoor_standins::machines::MachineDirectory;
-use stallmoor_standins::weights::WeightStore;
 use tokio::net::TcpListener;
 
 fn command() -> Command {
@@ -51,16 +50,11 @@
                 .arg(number("calls-per-second", "Rate limit; 0 for none", "0"))
                 .arg(number("seed", "Decides which calls faults hit", "1")),
         )
-        .subcommand(Command::new("machines").about("The machine list").arg(listen.clone()).arg(number(
+        .subcommand(Command::new("machines").about("The machine list").arg(listen).arg(number(
             "lag-ms",
             "Age of the list, in milliseconds",
             "1000",
         )))
-        .subcommand(Command::new("weights").about("The weight store").arg(listen).arg(number(
-            "fetch-ms",
-            "Time for one model, in milliseconds",
-            "500",
-        )))
 }
 
 fn number(matches: &ArgMatches, name: &str) -> u64 {
@@ -113,13 +107,9 @@
             let service = KeyValue::new(faults, number(arguments, "seed"));
             http::serve(listener, move |call| service.clone().handle(call)).await;
         }
-        "machines" => {
+        _ => {
             let list = MachineDirectory::new(Duration::from_millis(number(arguments, "lag-ms")));
             http::serve(listener, move |call| list.clone().handle(call)).await;
         }
-        _ => {
-            let store = WeightStore::new(Duration::from_millis(number(arguments, "fetch-ms")));
-            http::serve(listener, move |call| store.clone().handle(call)).await;
-        }
     }
 }
