--- a/crates/bench/src/chaos/batch.rs
+++ b/crates/bench/src/chaos/batch.rs
@@ -49,7 +49,7 @@
         let prompts: Vec<String> =
             (0..items).map(|item| format!("item {item} of job {number} of {}", options.seed)).collect();
         let key = format!("chaos-{}-{number}", options.seed);
-        if let Some(id) = submit_until_accepted(&client, &options, &key, &prompts, &mut random).await {
+        if let Some(id) = submit_until_accepted(&client, &key, &prompts, &mut random).await {
             jobs.push(AcceptedJob { id, prompts });
         }
         tokio::time::sleep(Duration::from_millis(random.random_range(1..=2 * MEAN_GAP_MS))).await;
@@ -59,7 +59,6 @@
 
 async fn submit_until_accepted(
     client: &FleetClient,
-    options: &ChaosOptions,
     key: &str,
     prompts: &[String],
     random: &mut Xoshiro256PlusPlus,
@@ -71,8 +70,8 @@
         .map(|(place, prompt)| json!({"custom_id": place.to_string(), "prompt": prompt}).to_string() + "\n")
         .collect();
     for _ in 0..TRIES {
-        let node = options.nodes[random.random_range(0..options.nodes.len())];
-        match client.submit(node, &options.tenant, &options.model, key, lines.clone()).await {
+        let node = client.draw_node(random);
+        match client.submit(node, key, lines.clone()).await {
             Ok(id) => return Some(id),
             Err(refusal) => {
                 let wait = refusal.as_ref().and_then(|refusal: &RefusalSeen| refusal.retry_after_ms).unwrap_or(500);
@@ -89,13 +88,13 @@
         CheckedJobs { jobs: jobs.len(), items: jobs.iter().map(|job| job.prompts.len()).sum(), violations: Vec::new() };
     let deadline = Instant::now() + options.settle;
     for job in jobs {
-        if !wait_complete(client, options, job, deadline).await {
+        if !wait_complete(client, job, deadline).await {
             checked.violations.push(format!("{} is not complete", job.id));
         }
     }
     for job in jobs {
         let mut first: Option<BTreeMap<u64, Value>> = None;
-        for node in &options.nodes {
+        for node in &options.target.nodes {
             let Some(results) = read_patiently(client, *node, &job.id).await else {
                 checked.violations.push(format!("{} is not readable at {node}", job.id));
                 continue;
@@ -115,10 +114,11 @@
     checked
 }
 
-async fn wait_complete(client: &FleetClient, options: &ChaosOptions, job: &AcceptedJob, deadline: Instant) -> bool {
+async fn wait_complete(client: &FleetClient, job: &AcceptedJob, deadline: Instant) -> bool {
+    let nodes = &client.target().nodes;
     let mut place = 0;
     while Instant::now() < deadline {
-        let node = options.nodes[place % options.nodes.len()];
+        let node = nodes[place % nodes.len()];
         place += 1;
         let status = client.get(node, &format!("/v1/batches/{}", job.id)).await;
         if status.is_some_and(|status| status["status"] == "completed") {
@@ -153,7 +153,7 @@
             continue;
         };
         seen[item] += 1;
-        let expected = answer_text(&options.model, prompt, MAX_TOKENS);
+        let expected = answer_text(&options.target.model, prompt, MAX_TOKENS);
         if result["text"].as_str() != Some(&expected) || result["custom_id"].as_str() != Some(&item.to_string()) {
             violations.push(format!("{} item {item}: not the whole answer to its prompt", job.id));
         }
--- a/crates/bench/src/chaos/mod.rs
+++ b/crates/bench/src/chaos/mod.rs
@@ -7,20 +7,19 @@
 mod online;
 mod verdict;
 
-use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::fleet_client::FleetClient;
+use crate::fleet_client::{FleetClient, FleetTarget};
 
 pub use verdict::ChaosVerdict;
 
 /// What to send, and where.
 #[derive(Clone, Debug)]
 pub struct ChaosOptions {
-    /// The nodes' addresses for callers.
-    pub nodes: Vec<SocketAddr>,
+    /// Where to.
+    pub target: FleetTarget,
     /// Files in which engines write down their runs.
     pub runs_files: Vec<PathBuf>,
     /// How long load is sent.
@@ -29,10 +28,6 @@
     pub settle: Duration,
     /// Decides what is sent.
     pub seed: u64,
-    /// The tenant.
-    pub tenant: String,
-    /// The model.
-    pub model: String,
 }
 
 /// Most tokens of each answer.
@@ -41,7 +36,7 @@
 /// Sends load, waits until jobs are complete, and checks.
 pub async fn run(options: ChaosOptions) -> ChaosVerdict {
     let options = Arc::new(options);
-    let client = FleetClient::default();
+    let client = FleetClient::new(options.target.clone());
     let online = tokio::spawn(online::send_questions(client.clone(), options.clone()));
     let batch = tokio::spawn(batch::submit_jobs(client.clone(), options.clone()));
     let questions = online.await.unwrap_or_default();
--- a/crates/bench/src/chaos/online.rs
+++ b/crates/bench/src/chaos/online.rs
@@ -54,14 +54,12 @@
             format!("question {number} of {}, sending {send}", options.seed)
         };
         let question = Question {
-            tenant: options.tenant.clone(),
-            model: options.model.clone(),
             prompt: prompt.clone(),
             session: session.clone(),
             once_key: once.then(|| format!("key-{}-{number}", options.seed)),
             max_tokens: MAX_TOKENS,
         };
-        let node = options.nodes[random.random_range(0..options.nodes.len())];
+        let node = client.draw_node(&mut random);
         let outcome = client.ask(node, &question).await;
         let wait = match &outcome {
             Outcome::Refused(refusal) => refusal.retry_after_ms,
--- a/crates/bench/src/chaos/verdict.rs
+++ b/crates/bench/src/chaos/verdict.rs
@@ -66,7 +66,7 @@
         match outcome {
             Outcome::Answered(answer) => {
                 verdict.answered += 1;
-                if answer.text != answer_text(&options.model, prompt, MAX_TOKENS) {
+                if answer.text != answer_text(&options.target.model, prompt, MAX_TOKENS) {
                     verdict.violations.push(format!("\"{prompt}\": not the whole answer"));
                 }
             }
--- a/crates/bench/src/experiment_command.rs
+++ b/crates/bench/src/experiment_command.rs
@@ -3,14 +3,13 @@
 use std::process::ExitCode;
 
 use clap::builder::PossibleValuesParser;
-use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
+use clap::{Arg, ArgMatches, Command, value_parser};
 use stallmoor_bench::experiment::{self, ExperimentOptions, ExperimentReport, Profile};
 
+use crate::arguments::{json, number, one, print_json};
+
 /// The subcommand.
 pub fn command() -> Command {
-    let number = |name: &'static str, help: &'static str, default: &'static str| {
-        Arg::new(name).long(name).value_name("N").help(help).value_parser(value_parser!(u64)).default_value(default)
-    };
     let shared_fleet = Command::new("shared-fleet")
         .about("Batch throughput against harm to the online tail, with and without batch on the same arrivals")
         .after_help("Example: stallmoor-bench experiment shared-fleet --profile vidyapath --seed 3 --headroom 0.2")
@@ -32,7 +31,7 @@
                 .value_parser(value_parser!(f64))
                 .help("The share of slots that batch leaves free, instead of the profile's"),
         )
-        .arg(Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print JSON and nothing else"));
+        .arg(json());
     Command::new("experiment")
         .about("Experiments on a virtual clock")
         .subcommand_required(true)
@@ -42,20 +41,19 @@
 /// Runs the subcommand.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
     let Some(("shared-fleet", arguments)) = arguments.subcommand() else { return ExitCode::from(2) };
-    let number = |name: &str| arguments.get_one::<u64>(name).copied().unwrap_or(1);
     let name = arguments.get_one::<String>("profile").map_or("", String::as_str);
     let Some(profile) = Profile::parse(name) else { return ExitCode::from(2) };
-    let first = number("seed");
-    for seed in first..first + number("seeds") {
+    let first: u64 = one(arguments, "seed");
+    for seed in first..first + one::<u64>(arguments, "seeds") {
         let options = ExperimentOptions {
             profile,
             seed,
-            seconds: number("seconds"),
+            seconds: one(arguments, "seconds"),
             headroom: arguments.get_one::<f64>("headroom").copied(),
         };
         let report = experiment::run(&options);
         if arguments.get_flag("json") {
-            println!("{}", serde_json::to_string(&report).unwrap_or_default());
+            print_json(&report);
         } else {
             print_report(&report);
         }
--- a/crates/bench/src/fleet_client.rs
+++ b/crates/bench/src/fleet_client.rs
@@ -1,25 +1,35 @@
 //! A client of a running fleet, for load and for checks under failure.
 
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
+use rand::Rng;
+use rand_xoshiro::Xoshiro256PlusPlus;
 use serde_json::{Value, json};
 use stallmoor_clients::HttpCaller;
 
 /// How long one call may take.
 const CALL_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// A question to ask.
+/// Which fleet is called, and as whom.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct FleetTarget {
+    /// The nodes' addresses for callers.
+    pub nodes: Vec<SocketAddr>,
     /// Who asks.
     pub tenant: String,
-    /// The model.
+    /// The model that is asked for.
     pub model: String,
+}
+
+/// A question to ask.
+#[derive(Clone, Debug)]
+pub struct Question {
     /// The prompt.
     pub prompt: String,
     /// The session, if any.
@@ -65,13 +75,29 @@
     pub retry_after_ms: Option<u64>,
 }
 
-/// A client.
-#[derive(Clone, Default)]
+/// A client of one tenant and one model.
+#[derive(Clone)]
 pub struct FleetClient {
+    target: Arc<FleetTarget>,
     caller: HttpCaller,
 }
 
 impl FleetClient {
+    /// A client of a fleet, without connections yet.
+    pub fn new(target: FleetTarget) -> Self {
+        Self { target: Arc::new(target), caller: HttpCaller::default() }
+    }
+
+    /// The fleet.
+    pub fn target(&self) -> &FleetTarget {
+        &self.target
+    }
+
+    /// A node, drawn at random.
+    pub fn draw_node(&self, random: &mut Xoshiro256PlusPlus) -> SocketAddr {
+        self.target.nodes[random.random_range(0..self.target.nodes.len())]
+    }
+
     /// Asks a question as a stream.
     pub async fn ask(&self, node: SocketAddr, question: &Question) -> Outcome {
         let asked = tokio::time::timeout(CALL_TIMEOUT, self.try_ask(node, question)).await;
@@ -80,12 +106,12 @@
 
     async fn try_ask(&self, node: SocketAddr, question: &Question) -> Option<Outcome> {
         let body = json!({
-            "model": question.model,
+            "model": self.target.model,
             "prompt": question.prompt,
             "max_tokens": question.max_tokens,
             "stream": true,
         });
-        let mut headers = vec![("stallmoor-tenant", question.tenant.as_str())];
+        let mut headers = vec![("stallmoor-tenant", self.target.tenant.as_str())];
         if let Some(session) = &question.session {
             headers.push(("stallmoor-session", session));
         }
@@ -93,8 +119,9 @@
             headers.push(("idempotency-key", key));
             headers.push(("stallmoor-repeatable", "false"));
         }
+        let request = request(Method::POST, node, "/v1/completions", &headers, body.to_string())?;
         let sent = Instant::now();
-        let response = self.send(Method::POST, node, "/v1/completions", &headers, body.to_string()).await?;
+        let response = self.caller.send(request).await.ok()?;
         if response.status() != StatusCode::OK {
             let body = response.into_body().collect().await.ok()?.to_bytes();
             return refusal_of(&serde_json::from_slice(&body).ok()?).map(Outcome::Refused);
@@ -107,17 +134,13 @@
     /// # Errors
     ///
     /// The refusal, or `None` if the connection broke.
-    pub async fn submit(
-        &self,
-        node: SocketAddr,
-        tenant: &str,
-        model: &str,
-        key: &str,
-        lines: String,
-    ) -> Result<String, Option<RefusalSeen>> {
-        let headers = [("stallmoor-tenant", tenant), ("idempotency-key", key), ("content-type", "application/jsonl")];
+    pub async fn submit(&self, node: SocketAddr, key: &str, lines: String) -> Result<String, Option<RefusalSeen>> {
+        let FleetTarget { tenant, model, .. } = &*self.target;
+        let headers =
+            [("stallmoor-tenant", tenant.as_str()), ("idempotency-key", key), ("content-type", "application/jsonl")];
         let path = format!("/v1/batches?model={model}&max_tokens=64");
-        let (status, value) = self.call(Method::POST, node, &path, &headers, lines).await.ok_or(None)?;
+        let request = request(Method::POST, node, &path, &headers, lines).ok_or(None)?;
+        let (status, value) = self.call(request).await.ok_or(None)?;
         match value["id"].as_str() {
             Some(id) if status == StatusCode::OK => Ok(id.to_owned()),
             _ => Err(refusal_of(&value)),
@@ -126,7 +149,7 @@
 
     /// Reads JSON from a path.
     pub async fn get(&self, node: SocketAddr, path: &str) -> Option<Value> {
-        let (status, value) = self.call(Method::GET, node, path, &[], String::new()).await?;
+        let (status, value) = self.call(request(Method::GET, node, path, &[], String::new())?).await?;
         (status == StatusCode::OK).then_some(value)
     }
 
@@ -142,38 +165,29 @@
         Some(results)
     }
 
-    async fn call(
-        &self,
-        method: Method,
-        node: SocketAddr,
-        path: &str,
-        headers: &[(&str, &str)],
-        body: String,
-    ) -> Option<(StatusCode, Value)> {
+    async fn call(&self, request: Request<Full<Bytes>>) -> Option<(StatusCode, Value)> {
         let whole = async {
-            let response = self.send(method, node, path, headers, body).await?;
+            let response = self.caller.send(request).await.ok()?;
             let status = response.status();
             let body = response.into_body().collect().await.ok()?.to_bytes();
             Some((status, serde_json::from_slice(&body).unwrap_or(Value::Null)))
         };
         tokio::time::timeout(CALL_TIMEOUT, whole).await.ok().flatten()
     }
+}
 
-    async fn send(
-        &self,
-        method: Method,
-        node: SocketAddr,
-        path: &str,
-        headers: &[(&str, &str)],
-        body: String,
-    ) -> Option<Response<Incoming>> {
-        let mut request = Request::builder().method(method).uri(format!("http://{node}{path}"));
-        for (name, value) in headers {
-            request = request.header(*name, *value);
-        }
-        let request = request.body(Full::new(Bytes::from(body))).ok()?;
-        self.caller.send(request).await.ok()
+fn request(
+    method: Method,
+    node: SocketAddr,
+    path: &str,
+    headers: &[(&str, &str)],
+    body: String,
+) -> Option<Request<Full<Bytes>>> {
+    let mut request = Request::builder().method(method).uri(format!("http://{node}{path}"));
+    for (name, value) in headers {
+        request = request.header(*name, *value);
     }
+    request.body(Full::new(Bytes::from(body))).ok()
 }
 
 /// Reads server-sent events to the end.
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -3,7 +3,6 @@
 //! Requests are sent when they are due, whether or not earlier ones were answered, and times count from
 //! when a request was due. A fleet that falls behind therefore shows it (no coordinated omission).
 
-use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -18,7 +17,7 @@
 use tokio::time::Instant as TokioInstant;
 
 use crate::experiment::Percentiles;
-use crate::fleet_client::{FleetClient, Outcome, Question};
+use crate::fleet_client::{FleetClient, FleetTarget, Outcome, Question};
 
 /// Turns of a session.
 const TURNS: u64 = 4;
@@ -28,8 +27,8 @@
 /// What to send, and where.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// The nodes' addresses for callers.
-    pub nodes: Vec<SocketAddr>,
+    /// Where to.
+    pub target: FleetTarget,
     /// Online requests a second.
     pub rate: f64,
     /// Batch items a second.
@@ -38,10 +37,6 @@
     pub seconds: u64,
     /// Decides what is sent when.
     pub seed: u64,
-    /// The tenant.
-    pub tenant: String,
-    /// The model.
-    pub model: String,
     /// Most tokens of an answer.
     pub max_tokens: u32,
     /// Show a progress bar.
@@ -80,7 +75,7 @@
 /// Sends the load.
 pub async fn run(options: LoadOptions) -> LoadReport {
     let options = Arc::new(options);
-    let client = FleetClient::default();
+    let client = FleetClient::new(options.target.clone());
     let jobs = tokio::spawn(send_jobs(client.clone(), options.clone()));
     let (samples, mut received) = mpsc::unbounded_channel();
     let sent = Arc::new(AtomicU64::new(0));
@@ -159,7 +154,7 @@
             return;
         }
         tokio::time::sleep_until(began + due).await;
-        let node = options.nodes[random.random_range(0..options.nodes.len())];
+        let node = client.draw_node(&mut random);
         let question = question(&options, number);
         number += 1;
         sent.fetch_add(1, Ordering::Relaxed);
@@ -180,8 +175,6 @@
     let turn = number % TURNS;
     let history: String = (0..=turn).map(|turn| format!("turn {turn} of session {session} asks. ")).collect();
     Question {
-        tenant: options.tenant.clone(),
-        model: options.model.clone(),
         prompt: format!("load {} {history}", options.seed),
         session: Some(format!("load-{}-{session}", options.seed)),
         once_key: None,
@@ -202,9 +195,9 @@
         let lines: String = (0..JOB_ITEMS)
             .map(|item| json!({"prompt": format!("load {} job {number} item {item}", options.seed)}).to_string() + "\n")
             .collect();
-        let node = options.nodes[number as usize % options.nodes.len()];
+        let node = options.target.nodes[number as usize % options.target.nodes.len()];
         let key = format!("load-{}-{number}", options.seed);
-        match client.submit(node, &options.tenant, &options.model, &key, lines).await {
+        match client.submit(node, &key, lines).await {
             Ok(_) => accepted += 1,
             Err(_) => failed += 1,
         }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,5 +1,6 @@
 //! `stallmoor-bench`: simulation, experiments and load.
 
+mod arguments;
 mod chaos_command;
 mod experiment_command;
 mod load_command;
@@ -9,7 +10,8 @@
 
 use clap::Command;
 
-fn main() -> ExitCode {
+#[tokio::main]
+async fn main() -> ExitCode {
     let command = Command::new("stallmoor-bench")
         .about("Simulation, experiments and load")
         .subcommand_required(true)
@@ -19,9 +21,9 @@
         .subcommand(load_command::command());
     match command.get_matches().subcommand() {
         Some(("simulate", arguments)) => simulate_command::run(arguments),
-        Some(("load", arguments)) => load_command::run(arguments),
+        Some(("load", arguments)) => load_command::run(arguments).await,
         Some(("experiment", arguments)) => experiment_command::run(arguments),
-        Some(("chaos", arguments)) => chaos_command::run(arguments),
+        Some(("chaos", arguments)) => chaos_command::run(arguments).await,
         _ => ExitCode::from(2),
     }
 }
--- a/crates/bench/src/simulate_command.rs
+++ b/crates/bench/src/simulate_command.rs
@@ -5,17 +5,16 @@
 use std::sync::mpsc;
 use std::time::Instant;
 
-use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
+use clap::{Arg, ArgAction, ArgMatches, Command};
 use stallmoor_bench::simulation::{SimulationOptions, SimulationReport, simulate};
 
+use crate::arguments::{json, number, one, print_json};
+
 /// Violations printed at most.
 const PRINTED_VIOLATIONS: usize = 20;
 
 /// The subcommand.
 pub fn command() -> Command {
-    let number = |name: &'static str, help: &'static str, default: &'static str| {
-        Arg::new(name).long(name).value_name("N").help(help).value_parser(value_parser!(u64)).default_value(default)
-    };
     Command::new("simulate")
         .about("Runs the nodes' decision code on a virtual clock, under failure, and checks what must hold")
         .after_help(
@@ -27,21 +26,20 @@
         .arg(number("first-seed", "The first seed", "1"))
         .arg(number("nodes", "Nodes in each run", "7"))
         .arg(number("minutes", "Minutes to simulate for each seed", "10"))
-        .arg(Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print the report as JSON"))
+        .arg(json())
         .arg(Arg::new("trace").long("trace").action(ArgAction::SetTrue).help("Print the trace's last lines"))
 }
 
 /// Runs the subcommand.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
-    let number = |name: &str| arguments.get_one::<u64>(name).copied().unwrap_or(1);
     let options = SimulationOptions {
-        seed: number("first-seed"),
-        nodes: number("nodes") as usize,
-        minutes: number("minutes"),
+        seed: one(arguments, "first-seed"),
+        nodes: one::<u64>(arguments, "nodes") as usize,
+        minutes: one(arguments, "minutes"),
         trace: arguments.get_flag("trace"),
     };
     let began = Instant::now();
-    let report = run_seeds(options, number("seeds"));
+    let report = run_seeds(options, one(arguments, "seeds"));
     for line in &report.trace {
         println!("{line}");
     }
@@ -49,7 +47,7 @@
         eprintln!("seed {seed}: {violation}");
     }
     if arguments.get_flag("json") {
-        println!("{}", serde_json::to_string(&report).unwrap_or_default());
+        print_json(&report);
     } else {
         print_report(&report, began);
     }
