--- a/crates/bench/src/simulation/callers.rs
+++ b/crates/bench/src/simulation/callers.rs
@@ -10,8 +10,10 @@
 use stallmoor_core::time::Millis;
 use stallmoor_emulator::answer_text;
 
+use super::calls::CallPurpose;
+use super::events::SimEvent;
 use super::oracle;
-use super::world::{CallPurpose, SimEvent, World};
+use super::world::World;
 
 /// The model that everybody asks.
 pub const MODEL: &str = "model";
--- a/crates/bench/src/simulation/engines.rs
+++ b/crates/bench/src/simulation/engines.rs
@@ -10,8 +10,10 @@
 use stallmoor_core::node::{EngineOrder, EngineRequest, Event, MachineReport, OrderOutcome, RequestClass, StreamEvent};
 use stallmoor_emulator::{answer_length, answer_token};
 
+use super::events::SimEvent;
+use super::nodes::ZONES;
 use super::oracle;
-use super::world::{SimEvent, World, ZONES};
+use super::world::World;
 
 /// Engines.
 pub const ENGINES: usize = 6;
--- a/crates/bench/src/simulation/faults.rs
+++ b/crates/bench/src/simulation/faults.rs
@@ -6,9 +6,11 @@
 use stallmoor_core::identity::GroupId;
 
 use super::engines::{ENGINES, EngineAilments};
+use super::events::SimEvent;
 use super::network::Noise;
+use super::nodes::{CrashPoint, ZONES};
 use super::platform::{KeyValueAilments, USUAL_LAG_MS};
-use super::world::{CrashPoint, SimEvent, World, ZONES};
+use super::world::World;
 
 /// The mean time between two failures, in milliseconds.
 const MEAN_GAP_MS: u64 = 6_000;
--- a/crates/bench/src/simulation/jobs.rs
+++ b/crates/bench/src/simulation/jobs.rs
@@ -12,9 +12,11 @@
 use stallmoor_emulator::answer_text;
 
 use super::callers::{MODEL, TENANT};
+use super::calls::CallPurpose;
+use super::events::SimEvent;
 use super::oracle;
 use super::report::LivenessTally;
-use super::world::{CallPurpose, SimEvent, World};
+use super::world::World;
 
 /// Most tokens of an item's answer.
 const MAX_TOKENS: u32 = 48;
--- a/crates/bench/src/simulation/mod.rs
+++ b/crates/bench/src/simulation/mod.rs
@@ -6,7 +6,11 @@
 //!
 //! | module | owns |
 //! |---|---|
-//! | `world` | the queue of events, the clock, and carrying out the nodes' effects |
+//! | `world` | the virtual clock, the queue of events, and one run from its start to its report |
+//! | `events` | what can happen |
+//! | `nodes` | where nodes run: their starts and ends, disks, pauses and clocks |
+//! | `effects` | carrying out what a node wants |
+//! | `calls` | who waits at which node, and who gets the answer |
 //! | `network` | delays, losses, doubles and cuts |
 //! | `platform` | the key-value service and the machine list |
 //! | `engines` | engines with their faults, and their own count of runs |
@@ -19,11 +23,15 @@
 //! | `report` | what a run came to |
 
 mod callers;
+mod calls;
+mod effects;
 mod engines;
+mod events;
 mod faults;
 mod jobs;
 mod liveness;
 mod network;
+mod nodes;
 mod operators;
 mod oracle;
 mod platform;
--- a/crates/bench/src/simulation/operators.rs
+++ b/crates/bench/src/simulation/operators.rs
@@ -9,8 +9,11 @@
 use stallmoor_core::node::{CallerAnswer, CallerCall, OperatorCall};
 
 use super::callers::{MODEL, TENANT};
+use super::calls::CallPurpose;
+use super::events::SimEvent;
+use super::nodes::{ZONES, zone_name};
 use super::oracle;
-use super::world::{CallPurpose, SimEvent, World, ZONES, zone_name};
+use super::world::World;
 
 /// The mean time between two changes, in milliseconds.
 const MEAN_GAP_MS: u64 = 15_000;
