--- a/crates/bench/src/experiment/measure.rs
+++ b/crates/bench/src/experiment/measure.rs
@@ -1,18 +1,8 @@
 //! What is counted, and the report.
 
-use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Percentiles, in milliseconds.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Percentiles {
-    /// The median.
-    pub p50: f64,
-    /// 95 in 100 are lower.
-    pub p95: f64,
-    /// 99 in 100 are lower.
-    pub p99: f64,
-}
+use crate::latency::{LatencyHistogram, Percentiles};
 
 /// What one run came to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -57,12 +47,12 @@
 }
 
 /// What is counted in one run.
-#[derive(Clone, Debug)]
+#[derive(Clone, Debug, Default)]
 pub struct Measured {
     /// First-token times, in microseconds.
-    pub first_token: Histogram<u64>,
+    pub first_token: LatencyHistogram,
     /// Times between tokens, in microseconds.
-    pub between: Histogram<u64>,
+    pub between: LatencyHistogram,
     /// Online requests answered.
     pub online_answered: u64,
     /// Online requests refused or lost.
@@ -87,37 +77,11 @@
     pub load_us: u64,
 }
 
-impl Default for Measured {
-    fn default() -> Self {
-        Self {
-            first_token: new_histogram(),
-            between: new_histogram(),
-            online_answered: 0,
-            online_refused: 0,
-            items: 0,
-            items_late: 0,
-            wasted_tokens: 0,
-            behind_batch: 0,
-            paused: 0,
-            idle_slot_us: 0,
-            batch_slot_us: 0,
-            load_error: (0.0, 0),
-            load_us: 0,
-        }
-    }
-}
-
-/// A histogram in microseconds, up to an hour, of three digits.
-pub fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 3_600_000_000, 3)
-        .unwrap_or_else(|_| unreachable!("the bounds are constant and valid"))
-}
-
 impl Measured {
     /// The report, against the run without batch.
     pub fn report(&self, floor: &Measured) -> RunReport {
-        let (ttft_ms, itl_ms) = (Percentiles::of(&self.first_token), Percentiles::of(&self.between));
-        let (floor_ttft, floor_itl) = (Percentiles::of(&floor.first_token), Percentiles::of(&floor.between));
+        let (ttft_ms, itl_ms) = (self.first_token.percentiles(), self.between.percentiles());
+        let (floor_ttft, floor_itl) = (floor.first_token.percentiles(), floor.between.percentiles());
         let ratio = |own: f64, floor: f64| if floor > 0.0 { own / floor } else { 1.0 };
         let seconds = (self.load_us as f64 / 1_000_000.0).max(1e-9);
         let (error, samples) = self.load_error;
@@ -137,11 +101,3 @@
         }
     }
 }
-
-impl Percentiles {
-    /// The percentiles of a histogram in microseconds.
-    pub fn of(histogram: &Histogram<u64>) -> Self {
-        let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
-        Self { p50: at(0.50), p95: at(0.95), p99: at(0.99) }
-    }
-}
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -7,15 +7,21 @@
 //! |---|---|
 //! | `profile` | the two adopters' fleets and loads |
 //! | `workload` | arrivals, drawn once and used by both runs |
-//! | `world` | the virtual clock, nodes, engines and the network between them |
+//! | `world` | the virtual clock, the queue of events, the nodes and the network between them |
+//! | `callers` | who calls the nodes, and what they see of the answers |
+//! | `engines` | engines and the streams at them |
+//! | `accounting` | what is counted as engines work |
 //! | `measure` | what is counted, and the report |
 
+mod accounting;
+mod callers;
+mod engines;
 mod measure;
 mod profile;
 mod workload;
 mod world;
 
-pub use measure::{ExperimentReport, Percentiles, RunReport, new_histogram};
+pub use measure::{ExperimentReport, RunReport};
 pub use profile::Profile;
 
 use workload::Workload;
--- a/crates/bench/src/experiment_command.rs
+++ b/crates/bench/src/experiment_command.rs
@@ -5,6 +5,7 @@
 use clap::builder::PossibleValuesParser;
 use clap::{Arg, ArgMatches, Command, value_parser};
 use stallmoor_bench::experiment::{self, ExperimentOptions, ExperimentReport, Profile};
+use stallmoor_bench::latency::Percentiles;
 
 use crate::arguments::{json, number, one, print_json};
 
@@ -79,7 +80,7 @@
         "error"
     );
     for (name, run) in [("online-only", &report.online_only), ("with batch", &report.with_batch)] {
-        let triple = |value: experiment::Percentiles| format!("{:.1}/{:.1}/{:.1}", value.p50, value.p95, value.p99);
+        let triple = |value: Percentiles| format!("{:.1}/{:.1}/{:.1}", value.p50, value.p95, value.p99);
         println!(
             "{name:<14} {:>8.1} {:>6.3} {:>24} {:>24} {:>6.3} {:>7} {:>6} {:>7} {:>7} {:>7} {:>6.2}",
             run.batch_items_per_s,
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -7,7 +7,6 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use hdrhistogram::Histogram;
 use indicatif::ProgressBar;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -16,8 +15,8 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant as TokioInstant;
 
-use crate::experiment::Percentiles;
 use crate::fleet_client::{FleetClient, FleetTarget, Outcome, Question};
+use crate::latency::{LatencyHistogram, Percentiles};
 
 /// Turns of a session.
 const TURNS: u64 = 4;
@@ -85,7 +84,7 @@
     } else {
         ProgressBar::hidden()
     };
-    let mut gathered = Gathered::new();
+    let mut gathered = Gathered::default();
     while let Some(sample) = received.recv().await {
         progress.inc(1);
         gathered.add(&sample);
@@ -93,39 +92,35 @@
     progress.finish_and_clear();
     // A sender that panicked has been printed by the runtime; what it sent is counted.
     let _ = sender.await;
-    let (accepted, failed) = jobs.await.unwrap_or_default();
+    let jobs = jobs.await.unwrap_or_default();
     let report = gathered.report;
     LoadReport {
         sent: sent.load(Ordering::Relaxed),
-        ttft_ms: Percentiles::of(&gathered.first_token),
-        itl_ms: Percentiles::of(&gathered.between),
-        jobs: accepted,
-        jobs_failed: failed,
+        ttft_ms: gathered.first_token.percentiles(),
+        itl_ms: gathered.between.percentiles(),
+        jobs: jobs.accepted,
+        jobs_failed: jobs.failed,
         ..report
     }
 }
 
+#[derive(Default)]
 struct Gathered {
     report: LoadReport,
-    first_token: Histogram<u64>,
-    between: Histogram<u64>,
+    first_token: LatencyHistogram,
+    between: LatencyHistogram,
 }
 
 impl Gathered {
-    fn new() -> Self {
-        let histogram = crate::experiment::new_histogram;
-        Self { report: LoadReport::default(), first_token: histogram(), between: histogram() }
-    }
-
     fn add(&mut self, sample: &Sample) {
         match &sample.outcome {
             Outcome::Answered(answer) => {
                 self.report.answered += 1;
                 self.report.tokens += answer.tokens;
                 let first = (sample.waited + answer.first_token).as_micros() as u64;
-                self.first_token.saturating_record(first.max(1));
+                self.first_token.record(first);
                 for gap in &answer.gaps {
-                    self.between.saturating_record((gap.as_micros() as u64).max(1));
+                    self.between.record(gap.as_micros() as u64);
                 }
             }
             Outcome::Refused(_) => self.report.refused += 1,
@@ -182,11 +177,18 @@
     }
 }
 
-/// Submits jobs at the rate asked for. Returns how many were accepted, and how many were not.
-async fn send_jobs(client: FleetClient, options: Arc<LoadOptions>) -> (u64, u64) {
-    let (mut accepted, mut failed) = (0, 0);
+/// Jobs submitted.
+#[derive(Default)]
+struct JobTally {
+    accepted: u64,
+    failed: u64,
+}
+
+/// Submits jobs at the rate asked for.
+async fn send_jobs(client: FleetClient, options: Arc<LoadOptions>) -> JobTally {
+    let mut tally = JobTally::default();
     if options.batch_rate <= 0.0 {
-        return (accepted, failed);
+        return tally;
     }
     let gap = Duration::from_secs_f64(JOB_ITEMS as f64 / options.batch_rate);
     let ends = Instant::now() + Duration::from_secs(options.seconds);
@@ -198,11 +200,11 @@
         let node = options.target.nodes[number as usize % options.target.nodes.len()];
         let key = format!("load-{}-{number}", options.seed);
         match client.submit(node, &key, lines).await {
-            Ok(_) => accepted += 1,
-            Err(_) => failed += 1,
+            Ok(_) => tally.accepted += 1,
+            Err(_) => tally.failed += 1,
         }
         number += 1;
         tokio::time::sleep(gap).await;
     }
-    (accepted, failed)
+    tally
 }
