--- a/crates/gateway/src/callers/server.rs
+++ b/crates/gateway/src/callers/server.rs
@@ -26,11 +26,11 @@
 use crate::adapter::dialect::{BadRequest, JobCall};
 use crate::batch::job_calls::{JobCalls, JobSubmission};
 use crate::http::answer_body::AnswerBody;
-use crate::http::plain_listener::ACCEPT_WAIT;
 use crate::http::refusal;
 use crate::leader::rate_limits::RateLimits;
 use crate::observe::journal::{Field, record};
 use crate::online::{self, OnlineRequest};
+use crate::sockets::accept_next;
 use crate::workers::attempt::WorkerClient;
 
 /// An idle connection is kept this much longer than its callers may use it, so that none is closed while a request is on
@@ -68,17 +68,14 @@
     /// Accepts connections until the process ends.
     pub async fn run(self: Arc<Self>, listener: TcpListener) {
         loop {
-            match listener.accept().await {
-                Ok((stream, _)) => {
-                    tokio::spawn(self.clone().serve(stream));
-                }
-                Err(_) => tokio::time::sleep(ACCEPT_WAIT).await,
-            }
+            let stream = accept_next(&listener).await;
+            tokio::spawn(self.clone().serve(stream));
         }
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
         let _alive = self.alive.clone();
+        // Without it small pieces of an answer leave later; a socket that refuses it is broken, which shows below.
         let _ = stream.set_nodelay(true);
         let bounds = self.bounds();
         let idle = Duration::from_millis(bounds.idle_timeout.0) + IDLE_MARGIN;
@@ -99,7 +96,7 @@
             let _ = stop.wait_for(|phase| *phase >= StopPhase::Closing).await;
         };
         tokio::select! {
-            // How a connection ended was told by the requests that it carried.
+            // How a connection ended shows at the requests that it carried, each of which has its line.
             _ = connection.as_mut() => return,
             () = closing => {}
         }
--- a/crates/gateway/src/http/plain_listener.rs
+++ b/crates/gateway/src/http/plain_listener.rs
@@ -1,7 +1,6 @@
 //! Listeners whose answers need no waiting: readiness, metrics.
 
 use std::convert::Infallible;
-use std::time::Duration;
 
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -12,9 +11,7 @@
 use tokio::net::TcpListener;
 
 use super::answer_body::AnswerBody;
-
-/// The wait after a failed accept: the process is out of descriptors.
-pub(crate) const ACCEPT_WAIT: Duration = Duration::from_millis(20);
+use crate::sockets::accept_next;
 
 /// Answers whether the node takes requests.
 pub async fn serve_readiness(listener: TcpListener, is_ready: impl Fn() -> bool + Clone + Send + 'static) {
@@ -32,10 +29,7 @@
     A: Fn(&Request<Incoming>) -> Response<AnswerBody> + Clone + Send + 'static,
 {
     loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_WAIT).await;
-            continue;
-        };
+        let stream = accept_next(&listener).await;
         let answer = answer.clone();
         let service = service_fn(move |request: Request<Incoming>| {
             let response = answer(&request);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -9,9 +9,9 @@
 //!
 //! | room | owns |
 //! |---|---|
+//! | [`sockets`], [`clock`] | how sockets are set up and connections accepted; the two clocks of a node |
 //! | [`http`] | answers, refusals and plain listeners |
 //! | [`observe`] | log lines and metrics |
-//! | [`sockets`], [`clock`] | how sockets are set up; the two clocks of a node |
 //! | [`adapter`] | what an adapter to a platform brings |
 //! | [`peers`] | messages between nodes |
 //! | [`fleet`] | what this node knows of the fleet |
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -1,4 +1,4 @@
-//! How the sockets of a node are set up.
+//! How the sockets of a node are set up, and how connections are accepted.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,6 +11,9 @@
 const PROBE_AFTER: Duration = Duration::from_secs(1);
 /// Connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
+/// The wait after a failed accept, so that a process that is out of descriptors doesn't spin. Not measured: short against
+/// the time after which callers give up.
+const ACCEPT_WAIT: Duration = Duration::from_millis(20);
 
 /// A connection that finds out by itself that its peer is silent.
 ///
@@ -35,6 +38,26 @@
     socket.listen(BACKLOG)
 }
 
+/// Accepts the next connection. Where that fails, since the process is out of descriptors or the connection broke before,
+/// it is tried again after a short wait, for as long as it takes.
+pub async fn accept_next(listener: &TcpListener) -> TcpStream {
+    let mut has_failed = false;
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => return stream,
+            Err(error) => {
+                // None of the numbered events is about the process's own limits, so this is a plain line. One of a row
+                // is enough: without descriptors each try fails.
+                if !has_failed {
+                    log::warn!("a connection could not be accepted, and further tries are not logged: {error}");
+                }
+                has_failed = true;
+                tokio::time::sleep(ACCEPT_WAIT).await;
+            }
+        }
+    }
+}
+
 fn new_socket(address: SocketAddr) -> std::io::Result<TcpSocket> {
     if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }
 }
--- a/crates/gateway/src/storage/peer_listener.rs
+++ b/crates/gateway/src/storage/peer_listener.rs
@@ -17,9 +17,8 @@
 use crate::fleet::metadata_view::MetadataView;
 use crate::observe::journal::{Field, record};
 use crate::peers::frames::{read_message, write_frame};
+use crate::sockets::accept_next;
 
-/// The wait after a failed accept.
-const ACCEPT_WAIT: Duration = Duration::from_millis(20);
 /// Most answers that wait for one peer.
 const ANSWERS: usize = 4_096;
 /// How long one write may take before the connection is given up.
@@ -47,13 +46,9 @@
 /// are answered from the node's own view of it.
 pub async fn accept_peers(listener: TcpListener, events: mpsc::Sender<PeerEvent>, view: Arc<MetadataView>) {
     loop {
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                let _ = stream.set_nodelay(true);
-                tokio::spawn(serve_peer(stream, events.clone(), view.clone()));
-            }
-            Err(_) => tokio::time::sleep(ACCEPT_WAIT).await,
-        }
+        let stream = accept_next(&listener).await;
+        let _ = stream.set_nodelay(true);
+        tokio::spawn(serve_peer(stream, events.clone(), view.clone()));
     }
 }
 
