--- a/crates/core/src/serving/configuration/mod.rs
+++ b/crates/core/src/serving/configuration/mod.rs
@@ -1,4 +1,7 @@
 //! The configuration that a gateway goes by: routes, services and limits.
+//!
+//! Owns one version of it as typed values. The adapter decodes it from the operator's records and checks it there; a node
+//! replaces it only by a higher version.
 
 pub mod tenant;
 
@@ -53,7 +56,7 @@
     pub prefix: Arc<str>,
     /// Whether and how its requests may run again.
     pub kind: RouteKind,
-    /// The longest time for which a request may be held.
+    /// The longest time that a request may take.
     pub timeout: Millis,
     /// The time to the first piece of the answer that counts as in time.
     pub objective: Millis,
--- a/crates/core/src/serving/configuration/tenant.rs
+++ b/crates/core/src/serving/configuration/tenant.rs
@@ -166,7 +166,7 @@
         }
     }
 
-    /// The tenant that holds a key.
+    /// The tenant that a key belongs to.
     pub fn of_key(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
         self.by_key.get(key)
     }
--- a/crates/core/src/serving/online/attempt.rs
+++ b/crates/core/src/serving/online/attempt.rs
@@ -1,7 +1,7 @@
 //! How an attempt at a worker ended, and what follows from it.
 //!
-//! One place decides whether a request may have run. Only a connection that never came up, a worker's
-//! own word, or a write of which no byte left count as "not run".
+//! One place decides whether a request may have run. Only a connection that was never established, the worker's own
+//! statement, or a write of which no byte left count as "not run".
 
 use crate::serving::configuration::RouteKind;
 
@@ -89,7 +89,8 @@
     pub not_run: u32,
 }
 
-/// Most attempts of one request that ended without running.
+/// Most attempts of one request, in one round, that ended without running, so that a saturated fleet isn't asked worker by
+/// worker. Not measured: enough to pass by the workers that filled up since the last load report.
 const MOST_NOT_RUN: u32 = 6;
 
 impl AttemptLedger {
@@ -117,7 +118,7 @@
         self.not_run = 0;
     }
 
-    /// Whether a promise that the request never runs would be true.
+    /// Whether the request certainly did not run, so that its caller may be told so.
     pub fn certainly_not_run(&self) -> bool {
         self.ran == 0
     }
--- a/crates/core/src/serving/online/event_stream.rs
+++ b/crates/core/src/serving/online/event_stream.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// Gathers bytes until events are whole.
+/// Collects bytes until events are whole.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     pending: Vec<u8>,
--- a/crates/core/src/serving/request.rs
+++ b/crates/core/src/serving/request.rs
@@ -1,4 +1,6 @@
-//! What the decisions need to know of a request.
+//! What the decisions need to know of a request: who waits how long, and which prompt it brings.
+//!
+//! The adapter reads it from the request's head; the body is never looked into.
 
 use std::sync::Arc;
 
--- a/crates/core/src/serving/workers/health.rs
+++ b/crates/core/src/serving/workers/health.rs
@@ -69,6 +69,15 @@
         }
     }
 
+    /// The first event of a stream came after `took` from the worker that was chosen for it. It counts in the service's
+    /// times only if the worker had a free slot, or it would include the time in the queue.
+    pub fn first_event(&mut self, service: &str, choice: &Choice, took: Millis, now: Timestamp) {
+        self.succeeded(&choice.id, took, now);
+        if choice.load < choice.slots {
+            self.service_times(service).note_first(took);
+        }
+    }
+
     /// The mean time to the first event over all workers, in milliseconds.
     pub fn mean_first_event(&self) -> Millis {
         Millis(self.mean_first.value() as u64)
--- a/crates/core/src/serving/workers/service_times.rs
+++ b/crates/core/src/serving/workers/service_times.rs
@@ -10,7 +10,7 @@
 /// seconds of a service's requests at one node.
 const LEAST_WEIGHT: f64 = 0.05;
 /// A longer time than this, in milliseconds, counts as this long: it shows a fault, not the service. Not measured:
-/// twice what a request usually may take.
+/// above what a sound worker takes.
 const LONGEST_MS: f64 = 10_000.0;
 
 /// What was learned of a service.
@@ -18,13 +18,13 @@
 pub struct ServiceTimes {
     /// From sending a request to its first event, at a worker with a free slot, in milliseconds.
     first: LearnedMean,
-    /// For which a request has a slot, in milliseconds.
-    hold: LearnedMean,
+    /// For which a request takes up a slot, in milliseconds.
+    in_slot: LearnedMean,
 }
 
 impl Default for ServiceTimes {
     fn default() -> Self {
-        Self { first: LearnedMean::unknown(LEAST_WEIGHT), hold: LearnedMean::unknown(LEAST_WEIGHT) }
+        Self { first: LearnedMean::unknown(LEAST_WEIGHT), in_slot: LearnedMean::unknown(LEAST_WEIGHT) }
     }
 }
 
@@ -38,16 +38,16 @@
         self.first.note(sample(took));
     }
 
-    /// A request held its slot for this time.
-    pub fn note_hold(&mut self, took: Millis) {
-        self.hold.note(sample(took));
+    /// A request took up its slot for this time.
+    pub fn note_in_slot(&mut self, took: Millis) {
+        self.in_slot.note(sample(took));
     }
 
     /// How long the first event of a request should take that is the `waiting`th to wait for one of `slots` slots, 0
     /// if one is free. `None` while too little is known.
     pub fn expected_first(&self, waiting: u32, slots: u32) -> Option<Millis> {
-        let (first, hold) = (self.first.value()?, self.hold.value()?);
-        let between_ends = hold / f64::from(slots.max(1));
+        let (first, in_slot) = (self.first.value()?, self.in_slot.value()?);
+        let between_ends = in_slot / f64::from(slots.max(1));
         Some(Millis((first + f64::from(waiting) * between_ends).round() as u64))
     }
 }
--- a/crates/core/src/serving/workers/table.rs
+++ b/crates/core/src/serving/workers/table.rs
@@ -13,7 +13,7 @@
 use crate::moving_mean::MovingMean;
 use crate::time::{Millis, Timestamp};
 
-/// A worker that is gone is remembered for this long, in milliseconds: one that stated that it drains must not come back
+/// A worker that is gone is remembered for this long, in milliseconds: one that stated that it drains must not return
 /// by an older record. Not measured: far longer than a record may be on its way.
 const GONE_REMEMBERED: Millis = Millis(60_000);
 
--- a/crates/core/tests/worker_choice.rs
+++ b/crates/core/tests/worker_choice.rs
@@ -429,13 +429,13 @@
     assert_eq!(times.expected_first(0, 6), None, "nothing is known yet");
     times.note_first(Millis(20));
     assert_eq!(times.expected_first(3, 6), None);
-    times.note_hold(Millis(600));
+    times.note_in_slot(Millis(600));
     assert_eq!(times.expected_first(0, 6), Some(Millis(20)));
     assert_eq!(times.expected_first(3, 6), Some(Millis(320)), "a slot of six is free every 100 ms");
     for _ in 0..30 {
-        times.note_hold(Millis(600));
+        times.note_in_slot(Millis(600));
     }
-    times.note_hold(Millis(u64::MAX));
+    times.note_in_slot(Millis(u64::MAX));
     let later = times.expected_first(1, 6).expect("it is known");
     assert!(later < Millis(700), "one absurd value moves the mean a little: {later:?}");
 }
@@ -445,7 +445,7 @@
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
     table.service_times(SERVICE).note_first(Millis(20));
-    table.service_times(SERVICE).note_hold(Millis(800));
+    table.service_times(SERVICE).note_in_slot(Millis(800));
     let mut expected = |requests: u32, batch: u32| {
         let told = WorkerReport { worker: id("one"), requests, self_reported: None, ejected_by: 0, batch };
         table.apply_report(&LoadReport { workers: vec![told], ..LoadReport::default() }, at(0));
@@ -505,3 +505,40 @@
     assert_eq!(table.overfull(at(10)), vec![WorkerCount { worker: id("one"), requests: 3 }], "nobody waits for batch");
     assert!(table.choose_for_batch(&ask(&[], &[]), 0, at(10), &mut random()).is_none());
 }
+
+#[test]
+fn a_first_event_counts_in_the_services_times_only_if_its_worker_had_a_free_slot() {
+    let expected_after = |load: u32| {
+        let mut table = WorkerTable::default();
+        table.upsert(worker("one", "a"));
+        table.service_times(SERVICE).note_in_slot(Millis(800));
+        table.set_shared_loads(&[WorkerCount { worker: id("one"), requests: load }], at(0));
+        let choice = table.choose(&ask(&[], &[]), at(0), &mut random()).expect("there is one");
+        table.first_event(SERVICE, &choice, Millis(30), at(100));
+        table.set_shared_loads(&[], at(100));
+        let choice = table.choose(&ask(&[], &[]), at(100), &mut random()).expect("there is one");
+        table.expected_first(SERVICE, &choice)
+    };
+    assert_eq!(expected_after(7), Some(Millis(30)));
+    assert_eq!(expected_after(8), None, "the time in the queue is not the service's");
+}
+
+#[test]
+fn the_end_of_an_attempt_says_what_is_believed_of_its_worker() {
+    let chosen_after = |end: AttemptEnd, millis: u64| {
+        let mut table = WorkerTable::default();
+        table.upsert(worker("one", "a"));
+        table.upsert(worker("three", "b"));
+        table.attempt_ended(&id("one"), end, at(0));
+        choose(&table, millis)
+    };
+    for end in [AttemptEnd::Broken, AttemptEnd::Silent, AttemptEnd::Failed { status: 500 }] {
+        assert_eq!(chosen_after(end, 299), Some(id("three")), "{end:?}: ejected");
+        assert_eq!(chosen_after(end, 300), Some(id("one")), "{end:?}");
+    }
+    assert_eq!(chosen_after(AttemptEnd::NotConnected, 1_199), Some(id("three")), "each try costs the time to connect");
+    assert_eq!(chosen_after(AttemptEnd::NotConnected, 1_200), Some(id("one")));
+    assert_eq!(chosen_after(AttemptEnd::NotRun { other_instance: false }, 1_999), Some(id("three")), "full");
+    assert_eq!(chosen_after(AttemptEnd::NotRun { other_instance: false }, 2_000), Some(id("one")));
+    assert_eq!(chosen_after(AttemptEnd::NotRun { other_instance: true }, 2_000), Some(id("three")), "gone for good");
+}
--- a/crates/gateway/src/callers/server.rs
+++ b/crates/gateway/src/callers/server.rs
@@ -1,4 +1,7 @@
 //! The listener for callers.
+//!
+//! Owns the callers' connections: it reads requests, has them admitted (`stallmoor_core::serving::online::admission`, tenants'
+//! limits) and hands them to [`online`] or to the calls about batch jobs.
 
 use std::convert::Infallible;
 use std::sync::Arc;
--- a/crates/gateway/src/http/answer_body.rs
+++ b/crates/gateway/src/http/answer_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! The body of an answer to a caller: whole, or in pieces as they come from a worker.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,7 +7,8 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// Pieces of a stream that wait for a caller that reads slowly.
+/// Most pieces of a stream that wait for a caller that reads slowly; the worker's connection isn't read meanwhile. Not
+/// measured: some hundred events, a few kilobytes a request.
 const PIECES: usize = 32;
 
 /// The answer could not be completed; the connection is closed so that it does not look whole.
--- a/crates/gateway/src/http/refusal.rs
+++ b/crates/gateway/src/http/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals of the gateway's own, by the one table of kinds.
+//! Refusals of the gateway's own, by the table of kinds in [`ErrorKind`].
 
 use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER, WWW_AUTHENTICATE};
 use hyper::{Response, StatusCode};
@@ -6,7 +6,7 @@
 
 use crate::http::answer_body::AnswerBody;
 
-/// The answer for a refusal. One that promises that the request did not run says when to come back.
+/// The answer for a refusal, with `Retry-After` in seconds where a retry may help.
 pub fn answer(refusal: &Refusal) -> Response<AnswerBody> {
     let status = StatusCode::from_u16(refusal.kind.answer().status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let body = serde_json::json!({
--- a/crates/gateway/src/online/stream.rs
+++ b/crates/gateway/src/online/stream.rs
@@ -1,4 +1,7 @@
 //! The stream of an answer: passed on as it comes, and taken up at another worker where it breaks.
+//!
+//! Owns the task that reads from a worker and writes to the caller; what an event means and how long one is awaited is
+//! decided by the request's state.
 
 use std::time::Duration;
 
@@ -63,7 +66,7 @@
             }
         }
         self.log_end(how);
-        // A caller that is gone does not need to hear of it.
+        // A caller that is gone needs no sign that the answer broke off.
         let _ = sender.send(Err(Aborted)).await;
     }
 
@@ -96,7 +99,7 @@
                 Ok(Some(Err(_))) => return StreamEnd::Broken(AttemptEnd::Broken),
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
                 Ok(None) => {
-                    self.note_hold(began);
+                    self.note_slot_time(began);
                     return finish_stream(answer, &splitter);
                 }
             };
@@ -137,19 +140,16 @@
     fn note_first_event(&self, answer: &OpenAnswer) {
         let now = self.now();
         let took = now.since(answer.sent_at);
-        let found_slot = self.last_choice.as_ref().is_some_and(|choice| choice.load < choice.slots);
-        let mut workers = self.client.view.workers();
-        workers.succeeded(&answer.worker, took, now);
-        if found_slot {
-            workers.service_times(&self.service).note_first(took);
+        if let Some(choice) = &self.last_choice {
+            self.client.view.workers().first_event(&self.service, choice, took, now);
         }
     }
 
-    /// A stream that was read from its first event on held its slot since then.
-    fn note_hold(&self, began: Option<Timestamp>) {
+    /// A stream that was read from its first event on took up its slot since then.
+    fn note_slot_time(&self, began: Option<Timestamp>) {
         if let Some(began) = began.filter(|_| self.state.is_undivided()) {
             let took = self.now().since(began);
-            self.client.view.workers().service_times(&self.service).note_hold(took);
+            self.client.view.workers().service_times(&self.service).note_in_slot(took);
         }
     }
 
--- a/crates/gateway/src/workers/attempt.rs
+++ b/crates/gateway/src/workers/attempt.rs
@@ -1,4 +1,7 @@
 //! One attempt at one worker: from a connection to the head of the answer.
+//!
+//! Owns the count of requests at each worker and reports to the worker table how an attempt ended; what follows from that
+//! is decided there.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +21,8 @@
 use crate::fleet::fleet_view::FleetView;
 use crate::workers::connections::{ConnectionPool, NoConnection, SendFailure, WorkerConnection};
 
-/// How long the rest of a refusal may take before its connection is given up.
+/// How long the rest of a refusal may take before its connection is closed instead of kept. Not measured: a refusal's body
+/// comes with its head.
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(50);
 /// What it takes to talk to workers.
 pub struct WorkerClient {
--- a/crates/gateway/src/workers/connections.rs
+++ b/crates/gateway/src/workers/connections.rs
@@ -1,4 +1,8 @@
 //! Kept connections to workers.
+//!
+//! Owns every connection of this node to a worker and their number; how many there may be is decided in
+//! `stallmoor_core::serving::workers::connection_limit`. A connection serves one request at a time and is kept only after
+//! an answer that was read whole.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,13 +19,17 @@
 
 use crate::sockets::connect_tuned;
 
-/// How long a connection attempt may take.
+/// How long a connection attempt may take, for a request that meets a worker whose machine is gone. Not measured: several
+/// ways between zones; each try of such a worker costs a request this long.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle connections are reused for this long where the worker does not say.
-const USUAL_IDLE: Duration = Duration::from_secs(4);
-/// The share of the worker's own idle time for which a connection is reused, in percent.
+/// Idle connections are reused for this long where the worker does not say how long it keeps them. Not measured: shorter
+/// than servers usually do.
+const DEFAULT_IDLE: Duration = Duration::from_secs(4);
+/// The share of the worker's own idle time for which a connection is reused, in percent, so that none is used after the
+/// worker closed it. Not measured: the rest is more than a way to the worker.
 const IDLE_PERCENT: u32 = 75;
-/// How long a connection may take to become free after an answer.
+/// How long a connection may take to become free after an answer, before it is closed. Not measured: the HTTP library
+/// needs a moment.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A connection that serves one request now.
@@ -175,9 +183,9 @@
     }
 
     /// The answer was whole: the connection may serve another request within `keep_alive`, where the
-    /// worker told that.
+    /// worker stated that.
     pub fn keep(&mut self, keep_alive: Option<Duration>) {
-        self.keep = Some(keep_alive.map_or(USUAL_IDLE, |span| span * IDLE_PERCENT / 100));
+        self.keep = Some(keep_alive.map_or(DEFAULT_IDLE, |span| span * IDLE_PERCENT / 100));
     }
 }
 
