--- /dev/null
+++ b/crates/core/src/serving/leader/search.rs
@@ -0,0 +1,158 @@
+//! The tries of one request to the job table, until its leader answers or the time is over.
+
+use std::net::SocketAddr;
+
+use crate::identity::NodeId;
+use crate::peer_message::GroupRefusal;
+use crate::serving::jobs::directory::StorageDirectory;
+use crate::serving::jobs::request::{JobsAnswer, JobsRequest};
+use crate::time::{Millis, Timestamp};
+
+/// Longest wait for one node's answer, in milliseconds, beyond what the request itself asks to wait: a silent node
+/// costs a request no more than this before the next one is tried. Not measured: between two and three of them fit
+/// into the 2.5 s for which a submission is tried.
+const TRY_TIMEOUT: Millis = Millis(900);
+/// The wait after a node that knows no leader, in milliseconds: a group that elects one isn't asked without rest. Not
+/// measured: small against an election's least time-out of 1 s.
+const NO_LEADER_WAIT: Millis = Millis(60);
+/// The wait after a connection that failed, in milliseconds: a machine that refuses connections isn't asked without
+/// rest. Not measured: short, since the next try is at another node.
+const LINK_FAILURE_WAIT: Millis = Millis(10);
+
+/// Nobody answered in time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NoLeader {
+    /// The request may have reached a leader all the same.
+    pub may_have_arrived: bool,
+}
+
+/// The node to ask.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LeaderTarget {
+    /// The node.
+    pub node: NodeId,
+    /// Its address.
+    pub address: SocketAddr,
+}
+
+/// The next step of a search.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SearchStep {
+    /// Ask a node.
+    Ask {
+        /// Which.
+        target: LeaderTarget,
+        /// How long its answer is waited for.
+        timeout: Millis,
+    },
+    /// No storing node is known: wait.
+    Wait(Millis),
+    /// The time is over.
+    GiveUp(NoLeader),
+}
+
+/// How a try ended.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum TryOutcome {
+    /// The node answered.
+    Answered(JobsAnswer),
+    /// The node refused.
+    Refused(GroupRefusal),
+    /// The request was not sent.
+    NotSent,
+    /// The request may have arrived; there is no answer.
+    NoAnswer,
+}
+
+/// What follows from a try.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum SearchVerdict {
+    /// The leader answered. It is the node that was asked.
+    Done(JobsAnswer),
+    /// Try again.
+    Retry {
+        /// Who leads, as far as the try showed.
+        leader: Option<NodeId>,
+        /// The wait before the next try.
+        wait: Millis,
+    },
+}
+
+/// The search of one request for the leader.
+///
+/// Invariant: a refusal says that nothing was taken by the try that it answers, and by no earlier one. So once a try
+/// may have reached a leader, an answer that says so becomes [`JobsAnswer::Unsure`].
+#[derive(Clone, Copy, Debug)]
+pub struct LeaderSearch {
+    until: Timestamp,
+    /// What the request itself asks to wait.
+    hold: Millis,
+    tries: usize,
+    may_have_arrived: bool,
+}
+
+impl LeaderSearch {
+    /// A search that is given up at `until`.
+    pub fn new(request: &JobsRequest, until: Timestamp) -> Self {
+        let hold = match request {
+            JobsRequest::Read { wait, .. } => *wait,
+            _ => Millis(0),
+        };
+        Self { until, hold, tries: 0, may_have_arrived: false }
+    }
+
+    /// The next step. `leader` is who led last, as far as this node knows.
+    pub fn next(
+        &mut self,
+        leader: Option<NodeId>,
+        storage: &StorageDirectory,
+        zone: &str,
+        now: Timestamp,
+    ) -> SearchStep {
+        let left = self.until.since(now);
+        if left == Millis(0) {
+            return SearchStep::GiveUp(NoLeader { may_have_arrived: self.may_have_arrived });
+        }
+        let target = self.target(leader, storage, zone);
+        self.tries += 1;
+        match target {
+            Some(target) => SearchStep::Ask { target, timeout: (TRY_TIMEOUT + self.hold).min(left) },
+            None => SearchStep::Wait(NO_LEADER_WAIT),
+        }
+    }
+
+    /// The leader if it is known, else each storing node in turn, those of the zone first.
+    fn target(&self, leader: Option<NodeId>, storage: &StorageDirectory, zone: &str) -> Option<LeaderTarget> {
+        let known = leader.and_then(|leader| storage.of_node(leader));
+        let record = known.or_else(|| {
+            let mut records: Vec<_> = storage.records().collect();
+            records.sort_by_key(|record| &*record.zone != zone);
+            let count = records.len().max(1);
+            records.get(self.tries % count).copied()
+        })?;
+        Some(LeaderTarget { node: record.node, address: record.address })
+    }
+
+    /// Takes the outcome of a try at a node.
+    pub fn tried(&mut self, node: NodeId, outcome: TryOutcome) -> SearchVerdict {
+        match outcome {
+            TryOutcome::Answered(JobsAnswer::Unsure) => {
+                self.may_have_arrived = true;
+                SearchVerdict::Retry { leader: None, wait: NO_LEADER_WAIT }
+            }
+            TryOutcome::Answered(answer) => {
+                let is_unsure = self.may_have_arrived && answer.took_nothing();
+                SearchVerdict::Done(if is_unsure { JobsAnswer::Unsure } else { answer })
+            }
+            TryOutcome::Refused(GroupRefusal::NotLeader { leader: Some(leader), .. }) if leader != node => {
+                SearchVerdict::Retry { leader: Some(leader), wait: Millis(0) }
+            }
+            TryOutcome::Refused(_) => SearchVerdict::Retry { leader: None, wait: NO_LEADER_WAIT },
+            TryOutcome::NotSent => SearchVerdict::Retry { leader: None, wait: LINK_FAILURE_WAIT },
+            TryOutcome::NoAnswer => {
+                self.may_have_arrived = true;
+                SearchVerdict::Retry { leader: None, wait: LINK_FAILURE_WAIT }
+            }
+        }
+    }
+}
--- a/crates/core/src/serving/mod.rs
+++ b/crates/core/src/serving/mod.rs
@@ -7,13 +7,17 @@
 //! | [`workers`] | the workers: their load, which of them serves a request or an item, which are ejected |
 //! | [`online`] | the attempts of an online request, and the events of its answer |
 //! | [`jobs`] | batch jobs: their replicated table, the dispatch of items, who holds the table |
+//! | [`leader`] | a gateway's dealings with the job table's leader: who is asked, how often loads are exchanged |
 //! | [`quota`] | tenants' limits over all gateways |
 //! | [`relay`] | the metadata store's changes, passed on between nodes |
+//! | [`stopping`] | the times of a planned stop |
 
 pub mod configuration;
 pub mod jobs;
+pub mod leader;
 pub mod online;
 pub mod quota;
 pub mod relay;
 pub mod request;
+pub mod stopping;
 pub mod workers;
--- a/crates/gateway/src/batch/job_calls.rs
+++ b/crates/gateway/src/batch/job_calls.rs
@@ -11,6 +11,7 @@
 use stallmoor_core::serving::configuration::tenant::CallerIdentity;
 use stallmoor_core::serving::jobs::command::{JobKey, Submission};
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
+use stallmoor_core::serving::leader::search::NoLeader;
 use stallmoor_core::serving::request::RequestFacts;
 use stallmoor_core::time::{Millis, Timestamp};
 
@@ -18,7 +19,7 @@
 use crate::fleet::fleet_view::FleetView;
 use crate::http::answer_body::AnswerBody;
 use crate::http::refusal;
-use crate::leader::client::{LeaderClient, NoLeader};
+use crate::leader::client::LeaderClient;
 use crate::observe::journal::{Field, record};
 use crate::observe::measures;
 
--- a/crates/gateway/src/leader/client.rs
+++ b/crates/gateway/src/leader/client.rs
@@ -1,32 +1,24 @@
-//! Requests to the job table's leader, wherever it is.
+//! Requests to the job table's leader, wherever it is. Which node is asked, and when it is given up, is decided by
+//! [`LeaderSearch`].
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
 use stallmoor_core::identity::NodeId;
-use stallmoor_core::peer_message::GroupRefusal;
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
+use stallmoor_core::serving::leader::search::{
+    LeaderSearch, LeaderTarget, NoLeader, SearchStep, SearchVerdict, TryOutcome,
+};
 use stallmoor_core::time::{Millis, Timestamp};
 
 use crate::fleet::fleet_view::FleetView;
 use crate::peers::peer_link::{LinkFailure, PeerLinks};
 
-/// How long one node's answer is waited for, beyond what the request itself asks to wait.
-const TRY_TIMEOUT: Duration = Duration::from_millis(900);
-/// The wait after every node refused.
-const ROUND_WAIT: Duration = Duration::from_millis(60);
-
-/// Why there is no answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoLeader {
-    /// The request may have reached a leader all the same.
-    pub may_have_arrived: bool,
-}
-
 /// Finds the leader and asks it.
 pub struct LeaderClient {
     view: Arc<FleetView>,
     links: PeerLinks,
+    /// Who led last. All requests share it.
     leader: Mutex<Option<NodeId>>,
 }
 
@@ -45,78 +37,51 @@
     ///
     /// [`NoLeader`]: nobody answered in time.
     pub async fn ask(&self, request: JobsRequest, until: Timestamp) -> Result<JobsAnswer, NoLeader> {
-        let mut may_have_arrived = false;
-        let mut turn = 0;
+        let mut search = LeaderSearch::new(&request, until);
         loop {
-            let left = until.since(self.view.clock.now());
-            if left == Millis(0) {
-                return Err(NoLeader { may_have_arrived });
-            }
-            let Some(target) = self.target(turn) else {
-                tokio::time::sleep(ROUND_WAIT).await;
-                turn += 1;
-                continue;
-            };
-            let timeout = (TRY_TIMEOUT + own_wait(&request)).min(Duration::from_millis(left.0));
-            match self.links.ask(target.address, request.clone(), timeout).await {
-                Ok(Ok(JobsAnswer::Unsure)) => {
-                    may_have_arrived = true;
-                    self.forget_leader();
-                    tokio::time::sleep(ROUND_WAIT).await;
+            let (target, timeout) = match self.next_step(&mut search) {
+                SearchStep::Ask { target, timeout } => (target, timeout),
+                SearchStep::Wait(span) => {
+                    sleep(span).await;
+                    continue;
                 }
-                Ok(Ok(answer)) => {
-                    self.set_leader(target.node);
-                    let is_unsure = may_have_arrived && answer.took_nothing();
-                    return Ok(if is_unsure { JobsAnswer::Unsure } else { answer });
+                SearchStep::GiveUp(failure) => return Err(failure),
+            };
+            let outcome = self.try_node(target, request.clone(), timeout).await;
+            match search.tried(target.node, outcome) {
+                SearchVerdict::Done(answer) => {
+                    self.set_leader(Some(target.node));
+                    return Ok(answer);
                 }
-                Ok(Err(GroupRefusal::NotLeader { leader: Some(leader), .. })) if leader != target.node => {
+                SearchVerdict::Retry { leader, wait } => {
                     self.set_leader(leader);
-                }
-                Ok(Err(_)) => {
-                    self.forget_leader();
-                    tokio::time::sleep(ROUND_WAIT).await;
-                }
-                Err(failure) => {
-                    may_have_arrived |= failure == LinkFailure::NoAnswer;
-                    self.forget_leader();
-                    tokio::time::sleep(Duration::from_millis(10)).await;
+                    if wait > Millis(0) {
+                        sleep(wait).await;
+                    }
                 }
             }
-            turn += 1;
         }
     }
 
-    /// The leader if it is known, else each storing node in turn, those of the zone first.
-    fn target(&self, turn: usize) -> Option<Target> {
+    fn next_step(&self, search: &mut LeaderSearch) -> SearchStep {
         let leader = *self.leader.lock().unwrap_or_else(PoisonError::into_inner);
-        let storage = self.view.storage();
-        if let Some(record) = leader.and_then(|leader| storage.of_node(leader)) {
-            return Some(Target { node: record.node, address: record.address });
-        }
-        let mut records: Vec<_> = storage.records().collect();
-        records.sort_by_key(|record| record.zone != self.view.zone);
-        let count = records.len().max(1);
-        let record = records.get(turn % count)?;
-        Some(Target { node: record.node, address: record.address })
+        search.next(leader, &self.view.storage(), &self.view.zone, self.view.clock.now())
     }
 
-    fn set_leader(&self, node: NodeId) {
-        *self.leader.lock().unwrap_or_else(PoisonError::into_inner) = Some(node);
+    async fn try_node(&self, target: LeaderTarget, request: JobsRequest, timeout: Millis) -> TryOutcome {
+        match self.links.ask(target.address, request, Duration::from_millis(timeout.0)).await {
+            Ok(Ok(answer)) => TryOutcome::Answered(answer),
+            Ok(Err(refusal)) => TryOutcome::Refused(refusal),
+            Err(LinkFailure::NotSent) => TryOutcome::NotSent,
+            Err(LinkFailure::NoAnswer) => TryOutcome::NoAnswer,
+        }
     }
 
-    fn forget_leader(&self) {
-        *self.leader.lock().unwrap_or_else(PoisonError::into_inner) = None;
+    fn set_leader(&self, leader: Option<NodeId>) {
+        *self.leader.lock().unwrap_or_else(PoisonError::into_inner) = leader;
     }
 }
 
-struct Target {
-    node: NodeId,
-    address: std::net::SocketAddr,
-}
-
-fn own_wait(request: &JobsRequest) -> Duration {
-    match request {
-        JobsRequest::Read { wait, .. } => Duration::from_millis(wait.0),
-        _ => Duration::ZERO,
-    }
+async fn sleep(span: Millis) {
+    tokio::time::sleep(Duration::from_millis(span.0)).await;
 }
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -21,6 +21,7 @@
 use stallmoor_core::serving::jobs::directory::StorageRecord;
 use stallmoor_core::serving::jobs::node::JobsNode;
 use stallmoor_core::serving::jobs::table::JobTable;
+use stallmoor_core::serving::stopping::{GatewayStop, HAND_OVER_TIMEOUT};
 use stallmoor_storage::{FolderOwner, ReplicaFolder, StorageError};
 use tokio::sync::{mpsc, watch};
 
@@ -34,7 +35,7 @@
 use crate::fleet::metadata_watch::MetadataWatch;
 use crate::http::plain_listener::serve_readiness;
 use crate::leader::client::LeaderClient;
-use crate::leader::load_exchange::share_loads;
+use crate::leader::load_exchange::exchange_loads;
 use crate::leader::rate_limits::{RateLimits, share_limits};
 use crate::observe::journal::{Field, record};
 use crate::observe::measures;
@@ -49,13 +50,6 @@
 use crate::workers::attempt::WorkerClient;
 use crate::workers::connections::ConnectionPool;
 
-/// For how long a leaving gateway still takes new connections: its callers are told within two
-/// questions a second apart.
-const LEAVING: Duration = Duration::from_millis(2_600);
-/// What is left of the grace when the process ends at the latest.
-const GRACE_MARGIN: Duration = Duration::from_millis(400);
-/// How long a storing node hands its leadership over before it stops all the same.
-const HAND_OVER: Duration = Duration::from_millis(1_500);
 /// The group that holds the job table.
 const JOBS_GROUP: GroupId = GroupId(0);
 /// Messages of peers that wait.
@@ -188,7 +182,7 @@
         client: LeaderClient::new(common.view.clone(), id),
     };
     let jobs = Arc::new(jobs);
-    tokio::spawn(share_loads(common.view.clone(), jobs.clone(), id));
+    tokio::spawn(exchange_loads(common.view.clone(), jobs.clone(), id));
     let limits = Arc::new(RateLimits::new(common.view.clone(), &settings.node.name));
     tokio::spawn(share_limits(limits.clone(), jobs.clone()));
     let (stop, stopping) = watch::channel(StopPhase::Serving);
@@ -206,11 +200,10 @@
     wait_for_stop(signals, settings_path).await;
     record(LogEvent::NodeStopping, &[]);
     // Callers hear first that the node leaves; connections that come meanwhile are served.
-    let grace = Duration::from_secs_f64(settings.stop.grace_s).saturating_sub(GRACE_MARGIN);
-    let leaving = LEAVING.min(grace / 2);
-    let ends_at = tokio::time::Instant::now() + grace;
+    let times = GatewayStop::within(settings.stop.grace());
+    let ends_at = tokio::time::Instant::now() + Duration::from_millis(times.ends_after.0);
     let _ = stop.send(StopPhase::Leaving);
-    tokio::time::sleep(leaving).await;
+    tokio::time::sleep(Duration::from_millis(times.leaving.0)).await;
     accepting.abort();
     let _ = stop.send(StopPhase::Closing);
     // Every connection holds a sender; the channel ends with the last of them.
@@ -295,7 +288,7 @@
     }
     record(LogEvent::NodeStopping, &[]);
     let _ = stop.send(true);
-    if let Ok(ended) = tokio::time::timeout(HAND_OVER, service).await {
+    if let Ok(ended) = tokio::time::timeout(Duration::from_millis(HAND_OVER_TIMEOUT.0), service).await {
         ended.context(DiskSnafu)?;
     }
     record(LogEvent::NodeStopped, &[]);
--- a/crates/gateway/src/process/settings.rs
+++ b/crates/gateway/src/process/settings.rs
@@ -215,6 +215,13 @@
     pub grace_s: f64,
 }
 
+impl StopTable {
+    /// How long a planned stop may take.
+    pub fn grace(&self) -> Millis {
+        Millis((self.grace_s * 1_000.0) as u64)
+    }
+}
+
 impl Default for StopTable {
     fn default() -> Self {
         Self { grace_s: 8.0 }
