--- a/crates/core/src/serving/quota/message.rs
+++ b/crates/core/src/serving/quota/message.rs
@@ -1,4 +1,4 @@
-//! What gateways and the leader tell each other of tenants' limits.
+//! Reports of gateways to the leader on tenants' limits, and their answers.
 
 use std::sync::Arc;
 
@@ -7,19 +7,22 @@
 use crate::serving::configuration::tenant::{MilliRequests, TenantName};
 use crate::time::Millis;
 
-/// Reports that the leader bears in a second.
+/// Reports that the leader handles in a second: bounds its processor time. Not measured alone: 320 gateways at three
+/// times the limit 0.964 of what one bucket lets through (simulation).
 const REPORTS_PER_S: u64 = 300;
-/// The shortest time between two reports of a gateway.
+/// The shortest time between two reports of a gateway, in milliseconds: saves the leader's processor where there are
+/// few gateways. Not measured: 30 gateways make 300 reports a second.
 const LEAST_INTERVAL: Millis = Millis(100);
-/// The longest time between two reports of a gateway.
+/// The longest time between two reports of a gateway, in milliseconds: keeps levels fresh where there are many
+/// gateways. Not measured: a level is gone by for a second at least.
 const LONGEST_INTERVAL: Millis = Millis(1_000);
 
-/// What a gateway has let through.
+/// What a gateway has admitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaReport {
     /// The gateway's machine. A process that was started again there takes the place of the one before.
     pub machine: Arc<str>,
-    /// Tenants that asked something of late.
+    /// Tenants that asked for something of late.
     pub tenants: Vec<TenantUsage>,
 }
 
@@ -28,13 +31,13 @@
 pub struct TenantUsage {
     /// The tenant.
     pub tenant: TenantName,
-    /// Requests let through since the gateway's process started.
+    /// Requests admitted since the gateway's process started.
     pub spent: u64,
-    /// Those of them that were let through in the last [`super::LATEST`].
+    /// Those of them that were admitted in the last [`super::RECENT_WINDOW`].
     pub latest: u64,
     /// Requests asked for in a second, refused ones too, smoothed.
     pub asked_per_s: MilliRequests,
-    /// The same of all gateways, as this one was told it last. A new leader sees by it whether some are out of reach.
+    /// The same of all gateways, as the leader answered it last. A new leader sees by it whether some are out of reach.
     pub known_per_s: MilliRequests,
 }
 
@@ -48,7 +51,7 @@
 }
 
 impl QuotaLevels {
-    /// The time between two reports of one gateway: as short as the leader can bear.
+    /// The time between two reports of one gateway: as short as the leader can handle.
     pub fn interval(&self) -> Millis {
         Millis(u64::from(self.gateways) * 1_000 / REPORTS_PER_S).clamp(LEAST_INTERVAL, LONGEST_INTERVAL)
     }
@@ -59,7 +62,7 @@
 pub struct TenantLevel {
     /// The tenant.
     pub tenant: TenantName,
-    /// Requests that may be let through at once. Negative after too many were.
+    /// Requests that may be admitted at once. Negative after too many were.
     pub level: MilliRequests,
     /// Requests asked for in a second at all gateways.
     pub asked_per_s: MilliRequests,
--- a/crates/core/tests/quota_simulation.rs
+++ b/crates/core/tests/quota_simulation.rs
@@ -152,7 +152,7 @@
                     mail.push_back((now + DELAY_MS, Mail::News { gateway, report, news, sent_at }));
                 }
                 Mail::News { gateway, report, news, sent_at } if !is_cut(gateway) => {
-                    limiters[gateway].hear(&report, &news, at(sent_at));
+                    limiters[gateway].apply(&report, &news, at(sent_at));
                     heard_at[gateway] = now;
                     unanswered[gateway] = None;
                 }
@@ -161,7 +161,7 @@
         }
         for gateway in 0..day.gateways {
             if unanswered[gateway].is_some_and(|since| now >= since + PATIENCE_MS) {
-                limiters[gateway].lose();
+                limiters[gateway].report_failed();
             }
             if limiters[gateway].next_report(at(reported_at[gateway])) <= at(now) {
                 reported_at[gateway] = now;
@@ -184,8 +184,8 @@
             let gateway = random.random_range(0..day.used);
             let ask = TenantAsk { tenant: &name, limit, has_waited: false };
             match limiters[gateway].admit(&ask, random.random(), at(now)) {
-                Admission::Through => passed.push_back(now),
-                Admission::Untold => waiting.push_back((now, gateway)),
+                Admission::Admitted => passed.push_back(now),
+                Admission::AwaitLevel => waiting.push_back((now, gateway)),
                 Admission::Refused(_) => {}
             }
         }
@@ -194,7 +194,7 @@
                 return true;
             }
             let ask = TenantAsk { tenant: &name, limit, has_waited: true };
-            if limiters[*gateway].admit(&ask, random.random(), at(now)) == Admission::Through {
+            if limiters[*gateway].admit(&ask, random.random(), at(now)) == Admission::Admitted {
                 passed.push_back(now);
             }
             false
@@ -269,12 +269,12 @@
     let exchange = |limiter: &mut RateLimiter, leader: &mut RateCoordinator, now: u64| {
         let report = limiter.report(at(now));
         let news = leader.report(NodeId(1), &report, |_| Some(limit), at(now));
-        limiter.hear(&report, &news, at(now));
+        limiter.apply(&report, &news, at(now));
         leader.tick(at(now));
     };
     for now in (2_000..3_000).step_by(50) {
         let ask = TenantAsk { tenant: &name, limit, has_waited: false };
-        if limiter.admit(&ask, 0.5, at(now)) == Admission::Untold {
+        if limiter.admit(&ask, 0.5, at(now)) == Admission::AwaitLevel {
             exchange(&mut limiter, &mut leader, now);
             limiter.admit(&TenantAsk { has_waited: true, ..ask }, 0.5, at(now));
         }
@@ -288,6 +288,35 @@
     assert_eq!((leader.tenants(), leader.exhausted()), (0, 0), "it is idle and not reported any more");
 }
 
+#[test]
+fn a_report_is_due_early_for_a_tenant_without_a_level_and_else_at_the_interval() {
+    let name = TenantName::new("tenant");
+    let mut limiter = RateLimiter::new(Arc::from("gateway"));
+    assert_eq!(limiter.due_report(at(0), at(5_000)), None, "nothing is asked for, so there is nothing to report");
+    let ask = TenantAsk { tenant: &name, limit: limit(100.0, 100.0), has_waited: false };
+    assert_eq!(limiter.admit(&ask, 0.5, at(5_000)), Admission::AwaitLevel);
+    assert_eq!(limiter.due_report(at(4_980), at(5_019)), None, "two reports are 40 ms apart at the least");
+    let report = limiter.due_report(at(4_980), at(5_020)).expect("the leader has not answered for the tenant");
+    let mut leader = RateCoordinator::default();
+    leader.open(at(0));
+    let levels = leader.report(NodeId(1), &report, |_| Some(ask.limit), at(5_022));
+    limiter.apply(&report, &levels, at(5_025));
+    assert_eq!(limiter.admit(&ask, 0.5, at(5_030)), Admission::Admitted);
+    assert_eq!(limiter.due_report(at(5_020), at(5_119)), None);
+    assert!(limiter.due_report(at(5_020), at(5_120)).is_some(), "one gateway reports every 100 ms");
+}
+
+#[test]
+fn a_report_without_an_answer_lets_requests_wait_no_longer() {
+    let name = TenantName::new("tenant");
+    let mut limiter = RateLimiter::new(Arc::from("gateway"));
+    let ask = TenantAsk { tenant: &name, limit: limit(100.0, 160.0), has_waited: false };
+    assert_eq!(limiter.admit(&ask, 0.5, at(0)), Admission::AwaitLevel);
+    limiter.report_failed();
+    let admitted = (0..20).filter(|_| limiter.admit(&ask, 0.5, at(250)) == Admission::Admitted).count();
+    assert_eq!(admitted, 10, "a sixteenth of the burst");
+}
+
 fn days() -> impl Strategy<Value = Day> {
     let tenants = (2usize..60, 0.05f64..1.0, 2.0f64..120.0, 0.2f64..1.5, 0.2f64..5.0);
     let faults = (0usize..20, 2_000u64..6_000, 1_000u64..9_000, prop::option::of(2_000u64..14_000), any::<u64>());
--- a/crates/gateway/src/leader/rate_limits.rs
+++ b/crates/gateway/src/leader/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Keeping to tenants' limits: deciding on requests, and exchanging with the job table's leader what is left.
+//! Keeping to tenants' limits: each request is put to [`RateLimiter`], and its reports go to the job table's leader.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -7,37 +7,32 @@
 use stallmoor_core::error::{ErrorKind, Refusal};
 use stallmoor_core::serving::configuration::tenant::{CallerIdentity, RateLimit, TenantName};
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
-use stallmoor_core::serving::quota::limiter::{Admission, OverLimit, RateLimiter, TenantAsk};
+use stallmoor_core::serving::quota::limiter::{
+    Admission, DUE_CHECK_INTERVAL, FIRST_ANSWER_WAIT, OverLimit, REPORT_TIMEOUT, RateLimiter, TenantAsk,
+};
 use stallmoor_core::serving::quota::message::QuotaReport;
-use stallmoor_core::time::{Millis, Timestamp};
+use stallmoor_core::time::Timestamp;
 use tokio::sync::{Notify, watch};
 
 use crate::batch::job_calls::JobCalls;
 use crate::fleet::fleet_view::FleetView;
 use crate::observe::measures;
 
-/// How long a request waits for the leader's first word of its tenant: a few ways between zones.
-const FIRST_WORD: Duration = Duration::from_millis(60);
-/// How long the leader's answer to a report is waited for.
-const ANSWER_TIMEOUT: Millis = Millis(250);
-/// The time between two looks whether a report is due.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
-
 /// The limits at one gateway.
 pub struct RateLimits {
     view: Arc<FleetView>,
     limiter: Mutex<RateLimiter>,
-    /// Told when a report is wanted at once.
-    wanted: Notify,
+    /// Notified when a request waits for a report.
+    report_needed: Notify,
     /// Counts the reports that were answered, or not in time.
-    heard: watch::Sender<u64>,
+    reports_done: watch::Sender<u64>,
 }
 
 impl RateLimits {
-    /// Limits of a gateway on a machine of that name, which let nothing through yet.
+    /// Limits of a gateway on a machine of that name, which have admitted nothing yet.
     pub fn new(view: Arc<FleetView>, machine: &str) -> Self {
         let limiter = Mutex::new(RateLimiter::new(Arc::from(machine)));
-        Self { view, limiter, wanted: Notify::new(), heard: watch::Sender::new(0) }
+        Self { view, limiter, report_needed: Notify::new(), reports_done: watch::Sender::new(0) }
     }
 
     /// Decides on a request.
@@ -48,16 +43,16 @@
     pub async fn admit(&self, identity: &CallerIdentity) -> Result<(), Refusal> {
         let Some(tenant) = identity.tenant() else { return Ok(()) };
         let Some(limit) = self.limit_of(tenant) else { return Ok(()) };
-        let mut heard = self.heard.subscribe();
+        let mut reports = self.reports_done.subscribe();
         let mut admission = self.decide(tenant, limit, false);
-        if admission == Admission::Untold {
-            self.wanted.notify_one();
-            // Without the leader's word this gateway's own part of the limit has to do.
-            let _ = tokio::time::timeout(FIRST_WORD, heard.changed()).await;
+        if admission == Admission::AwaitLevel {
+            self.report_needed.notify_one();
+            // Without an answer this gateway's own part of the limit has to do.
+            let _ = tokio::time::timeout(Duration::from_millis(FIRST_ANSWER_WAIT.0), reports.changed()).await;
             admission = self.decide(tenant, limit, true);
         }
         match admission {
-            Admission::Through | Admission::Untold => Ok(()),
+            Admission::Admitted | Admission::AwaitLevel => Ok(()),
             Admission::Refused(over) => Err(refuse(tenant, over)),
         }
     }
@@ -79,23 +74,21 @@
     /// The report that is due, if there is one.
     fn due_report(&self, last: Timestamp) -> Option<QuotaReport> {
         let now = self.view.clock.now();
-        let mut limiter = self.limiter();
-        let is_due = limiter.next_report(last) <= now;
-        is_due.then(|| limiter.report(now)).filter(|report| !report.tenants.is_empty())
+        self.limiter().due_report(last, now)
     }
 
     /// Waits until a report may be due.
     async fn rest(&self) {
         let is_idle = self.limiter().is_idle();
         tokio::select! {
-            () = self.wanted.notified() => {}
-            () = tokio::time::sleep(LOOK_INTERVAL), if !is_idle => {}
+            () = self.report_needed.notified() => {}
+            () = tokio::time::sleep(Duration::from_millis(DUE_CHECK_INTERVAL.0)), if !is_idle => {}
         }
     }
 }
 
 /// Exchanges with the leader until the process ends.
-pub async fn share_limits(limits: Arc<RateLimits>, jobs: Arc<JobCalls>) {
+pub async fn exchange_limits(limits: Arc<RateLimits>, jobs: Arc<JobCalls>) {
     let clock = limits.view.clock;
     let mut last = Timestamp::default();
     loop {
@@ -103,12 +96,13 @@
         let Some(report) = limits.due_report(last) else { continue };
         last = clock.now();
         let request = JobsRequest::ReportQuota(report.clone());
-        match jobs.client.ask(request, last + ANSWER_TIMEOUT).await {
-            Ok(JobsAnswer::Quota(news)) => limits.limiter().hear(&report, &news, clock.now()),
+        match jobs.client.ask(request, last + REPORT_TIMEOUT).await {
+            // Its levels count from the answer's arrival.
+            Ok(JobsAnswer::Quota(levels)) => limits.limiter().apply(&report, &levels, clock.now()),
             // The gateway's own part of the limits has to do.
-            Ok(_) | Err(_) => limits.limiter().lose(),
+            Ok(_) | Err(_) => limits.limiter().report_failed(),
         }
-        limits.heard.send_modify(|count| *count += 1);
+        limits.reports_done.send_modify(|count| *count += 1);
     }
 }
 
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -36,7 +36,7 @@
 use crate::http::plain_listener::serve_readiness;
 use crate::leader::client::LeaderClient;
 use crate::leader::load_exchange::exchange_loads;
-use crate::leader::rate_limits::{RateLimits, share_limits};
+use crate::leader::rate_limits::{RateLimits, exchange_limits};
 use crate::observe::journal::{Field, record};
 use crate::observe::measures;
 use crate::process::settings::ServingSettings;
@@ -184,7 +184,7 @@
     let jobs = Arc::new(jobs);
     tokio::spawn(exchange_loads(common.view.clone(), jobs.clone(), id));
     let limits = Arc::new(RateLimits::new(common.view.clone(), &settings.node.name));
-    tokio::spawn(share_limits(limits.clone(), jobs.clone()));
+    tokio::spawn(exchange_limits(limits.clone(), jobs.clone()));
     let (stop, stopping) = watch::channel(StopPhase::Serving);
     let (alive, mut all_closed) = mpsc::channel(1);
     let server =
