--- a/crates/core/src/serving/leader/search.rs
+++ b/crates/core/src/serving/leader/search.rs
@@ -156,3 +156,14 @@
         }
     }
 }
+
+/// Whether an answer is of the kind that an exchange of loads or limits asks for. One that is not counts as none: the
+/// exchange's fallback is the same, and the next one may go to another node. What the answer to any other request means
+/// is for whoever made it.
+pub fn is_expected(request: &JobsRequest, answer: &JobsAnswer) -> bool {
+    match request {
+        JobsRequest::ReportLoad(_) | JobsRequest::AggregateLoad(_) => matches!(answer, JobsAnswer::Loads(_)),
+        JobsRequest::ReportQuota(_) => matches!(answer, JobsAnswer::Quota(_)),
+        _ => true,
+    }
+}
--- a/crates/core/tests/leader_rules.rs
+++ b/crates/core/tests/leader_rules.rs
@@ -11,7 +11,10 @@
 use stallmoor_core::serving::jobs::directory::{StorageDirectory, StorageRecord};
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
 use stallmoor_core::serving::leader::load_schedule::{LoadPartner, LoadSchedule, PlacementRate};
-use stallmoor_core::serving::leader::search::{LeaderSearch, NoLeader, SearchStep, SearchVerdict, TryOutcome};
+use stallmoor_core::serving::leader::search::{
+    LeaderSearch, NoLeader, SearchStep, SearchVerdict, TryOutcome, is_expected,
+};
+use stallmoor_core::serving::quota::message::{QuotaLevels, QuotaReport};
 use stallmoor_core::serving::relay::choice::rank_relays;
 use stallmoor_core::serving::stopping::GatewayStop;
 use stallmoor_core::serving::workers::{LoadReport, WorkerId, WorkerReport};
@@ -126,6 +129,20 @@
     }
 }
 
+#[test]
+fn an_exchange_expects_an_answer_of_its_own_kind() {
+    let loads = JobsAnswer::Loads(LoadReport::default());
+    let levels = JobsAnswer::Quota(QuotaLevels::default());
+    let quota_report = JobsRequest::ReportQuota(QuotaReport::default());
+    for report in [load_request(), JobsRequest::AggregateLoad(LoadReport::default())] {
+        assert!(is_expected(&report, &loads));
+        assert!(!is_expected(&report, &levels));
+        assert!(!is_expected(&report, &JobsAnswer::Accepted));
+    }
+    assert!(is_expected(&quota_report, &levels));
+    assert!(!is_expected(&quota_report, &loads));
+}
+
 fn gathered(nodes: u32, reporters: u32) -> LoadReport {
     LoadReport { nodes, reporters, ..LoadReport::default() }
 }
--- a/crates/gateway/src/leader/client.rs
+++ b/crates/gateway/src/leader/client.rs
@@ -12,6 +12,7 @@
 use stallmoor_core::time::{Millis, Timestamp};
 
 use crate::fleet::fleet_view::FleetView;
+use crate::leader::log_unexpected;
 use crate::peers::peer_link::{LinkFailure, PeerLinks};
 
 /// Finds the leader and asks it.
@@ -50,6 +51,7 @@
             let outcome = self.try_node(target, request.clone(), timeout).await;
             match search.tried(target.node, outcome) {
                 SearchVerdict::Done(answer) => {
+                    log_unexpected(target.address, &request, &answer);
                     self.set_leader(Some(target.node));
                     return Ok(answer);
                 }
--- a/crates/gateway/src/leader/load_exchange.rs
+++ b/crates/gateway/src/leader/load_exchange.rs
@@ -12,6 +12,7 @@
 
 use crate::batch::job_calls::JobCalls;
 use crate::fleet::fleet_view::FleetView;
+use crate::leader::log_unexpected;
 use crate::peers::peer_link::PeerLinks;
 
 /// Exchanges loads until the process ends.
@@ -60,6 +61,7 @@
         let until = self.view.clock.now() + EXCHANGE_TIMEOUT;
         match self.jobs.client.ask(JobsRequest::ReportLoad(own), until).await {
             Ok(JobsAnswer::Loads(gathered)) => Some(gathered),
+            // The client has logged a wrong answer; without a leader loads age out.
             Ok(_) | Err(_) => None,
         }
     }
@@ -67,9 +69,15 @@
     async fn ask_aggregator(&self, aggregator: NodeId, own: LoadReport) -> Option<LoadReport> {
         let address = self.view.storage().of_node(aggregator).map(|record| record.address)?;
         let within = Duration::from_millis(EXCHANGE_TIMEOUT.0);
-        match self.links.ask(address, JobsRequest::AggregateLoad(own), within).await {
+        let request = JobsRequest::AggregateLoad(own);
+        match self.links.ask(address, request.clone(), within).await {
             Ok(Ok(JobsAnswer::Loads(gathered))) => Some(gathered),
-            Ok(_) | Err(_) => None,
+            Ok(Ok(answer)) => {
+                log_unexpected(address, &request, &answer);
+                None
+            }
+            // One that refuses or is silent is avoided for a while, which needs no line: another one is asked.
+            Ok(Err(_)) | Err(_) => None,
         }
     }
 }
--- a/crates/gateway/src/leader/rate_limits.rs
+++ b/crates/gateway/src/leader/rate_limits.rs
@@ -99,7 +99,7 @@
         match jobs.client.ask(request, last + REPORT_TIMEOUT).await {
             // Its levels count from the answer's arrival.
             Ok(JobsAnswer::Quota(levels)) => limits.limiter().apply(&report, &levels, clock.now()),
-            // The gateway's own part of the limits has to do.
+            // The gateway's own part of the limits has to do. The client has logged a wrong answer.
             Ok(_) | Err(_) => limits.limiter().report_failed(),
         }
         limits.reports_done.send_modify(|count| *count += 1);
