--- a/crates/core/src/serving/relay/item.rs
+++ b/crates/core/src/serving/relay/item.rs
@@ -27,7 +27,7 @@
 
 /// What is under a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ItemState {
+pub enum KeyState {
     /// A value.
     Present(Arc<[u8]>),
     /// Nothing: the key was removed, or never was.
@@ -42,7 +42,7 @@
     /// The key.
     pub key: Arc<str>,
     /// What is under it.
-    pub state: ItemState,
+    pub state: KeyState,
     /// The revision of its last change; 0 if it never was.
     pub revision: Revision,
 }
@@ -51,8 +51,8 @@
     /// The value, if there is one.
     pub fn value(&self) -> Option<&[u8]> {
         match &self.state {
-            ItemState::Present(value) => Some(value),
-            ItemState::Removed | ItemState::Lapsed => None,
+            KeyState::Present(value) => Some(value),
+            KeyState::Removed | KeyState::Lapsed => None,
         }
     }
 }
--- a/crates/core/src/serving/relay/mirror.rs
+++ b/crates/core/src/serving/relay/mirror.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::item::{ItemState, MetadataItem, Revision};
+use super::item::{KeyState, MetadataItem, Revision};
 use super::message::ChangeSet;
 use crate::time::{Millis, Timestamp};
 
@@ -21,17 +21,17 @@
 }
 
 impl MissingKeys {
-    fn state(self) -> ItemState {
+    fn state(self) -> KeyState {
         match self {
-            Self::Removed => ItemState::Removed,
-            Self::MayHaveLapsed => ItemState::Lapsed,
+            Self::Removed => KeyState::Removed,
+            Self::MayHaveLapsed => KeyState::Lapsed,
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct StoredState {
-    state: ItemState,
+    state: KeyState,
     revision: Revision,
 }
 
@@ -77,7 +77,7 @@
         let mut changed = self.take(listed);
         // Items may be newer than the revision up to which they are complete.
         let is_missing = |key: &Arc<str>, stored: &StoredState| {
-            matches!(stored.state, ItemState::Present(_)) && stored.revision <= at && !present.contains(key)
+            matches!(stored.state, KeyState::Present(_)) && stored.revision <= at && !present.contains(key)
         };
         let gone: Vec<MetadataItem> = self
             .items
@@ -106,7 +106,7 @@
         let at = self.at?;
         let is_whole = since < self.removals_from;
         let is_included =
-            |stored: &StoredState| if is_whole { stored.state != ItemState::Removed } else { stored.revision > since };
+            |stored: &StoredState| if is_whole { stored.state != KeyState::Removed } else { stored.revision > since };
         let items = self
             .items
             .iter()
@@ -123,8 +123,8 @@
     /// All keys that have a value.
     pub fn present(&self) -> impl Iterator<Item = (&Arc<str>, &[u8])> {
         self.items.iter().filter_map(|(key, stored)| match &stored.state {
-            ItemState::Present(value) => Some((key, &**value)),
-            ItemState::Removed | ItemState::Lapsed => None,
+            KeyState::Present(value) => Some((key, &**value)),
+            KeyState::Removed | KeyState::Lapsed => None,
         })
     }
 
@@ -150,7 +150,7 @@
 
     /// Forgets the oldest removals where there are many.
     fn trim_tombstones(&mut self) {
-        let is_tombstone = |stored: &StoredState| !matches!(stored.state, ItemState::Present(_));
+        let is_tombstone = |stored: &StoredState| !matches!(stored.state, KeyState::Present(_));
         let mut tombstones: Vec<Revision> =
             self.items.values().filter(|stored| is_tombstone(stored)).map(|stored| stored.revision).collect();
         if tombstones.len() <= MAX_TOMBSTONES {
--- a/crates/core/tests/relay_answers.rs
+++ b/crates/core/tests/relay_answers.rs
@@ -5,7 +5,7 @@
 use stallmoor_core::identity::NodeId;
 use stallmoor_core::serving::relay::bounds::WatchBounds;
 use stallmoor_core::serving::relay::choice::RelayChoice;
-use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::item::{KeyState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::message::{ChangeSet, ChangesAnswer};
 use stallmoor_core::serving::relay::outage::FailedCall;
 use stallmoor_core::serving::relay::policy::{ViewState, WatchPolicy, WatchRole, WatchStep};
@@ -21,7 +21,7 @@
 fn answer(base: Option<u64>, upto: u64, keys: &[&str]) -> ChangesAnswer {
     let item = |key: &&str| MetadataItem {
         key: Arc::from(*key),
-        state: ItemState::Present(Arc::from(*b"value")),
+        state: KeyState::Present(Arc::from(*b"value")),
         revision: Revision(upto),
     };
     let items = keys.iter().map(item).collect();
--- a/crates/core/tests/relay_mirror.rs
+++ b/crates/core/tests/relay_mirror.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::item::{KeyState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::mirror::{Mirror, MissingKeys};
 use stallmoor_core::time::{Millis, Timestamp};
 
@@ -32,7 +32,7 @@
         Self { past: vec![BTreeMap::new()], ..Self::default() }
     }
 
-    fn record(&mut self, key: Arc<str>, state: ItemState) {
+    fn record(&mut self, key: Arc<str>, state: KeyState) {
         self.history.push(MetadataItem { key, state, revision: Revision(self.revision) });
         self.past.push(self.items.iter().map(|(key, (_, revision))| (key.clone(), *revision)).collect());
     }
@@ -41,20 +41,20 @@
         self.revision += 1;
         let value: Arc<[u8]> = Arc::from(self.revision.to_le_bytes());
         self.items.insert(key(number), (value.clone(), self.revision));
-        self.record(key(number), ItemState::Present(value));
+        self.record(key(number), KeyState::Present(value));
     }
 
     fn remove(&mut self, number: u8) {
         if self.items.remove(&key(number)).is_some() {
             self.revision += 1;
-            self.record(key(number), ItemState::Removed);
+            self.record(key(number), KeyState::Removed);
         }
     }
 
     fn list(&self) -> Vec<MetadataItem> {
         let item = |(key, (value, revision)): (&Arc<str>, &(Arc<[u8]>, u64))| MetadataItem {
             key: key.clone(),
-            state: ItemState::Present(value.clone()),
+            state: KeyState::Present(value.clone()),
             revision: Revision(*revision),
         };
         self.items.iter().map(item).collect()
@@ -118,8 +118,8 @@
     fn tell(&mut self, news: Vec<MetadataItem>) {
         for item in news {
             match item.state {
-                ItemState::Present(_) => self.told.insert(item.key, item.revision.0),
-                ItemState::Removed | ItemState::Lapsed => self.told.remove(&item.key),
+                KeyState::Present(_) => self.told.insert(item.key, item.revision.0),
+                KeyState::Removed | KeyState::Lapsed => self.told.remove(&item.key),
             };
         }
     }
@@ -138,8 +138,8 @@
             let (told, held) = (self.told.get(&key), past.get(&key));
             let is_newer = store.history.iter().any(|item| {
                 let state_agrees = match (&item.state, told) {
-                    (ItemState::Present(_), Some(told)) => *told == item.revision.0,
-                    (ItemState::Removed, None) => true,
+                    (KeyState::Present(_), Some(told)) => *told == item.revision.0,
+                    (KeyState::Removed, None) => true,
                     _ => false,
                 };
                 item.key == key && item.revision > at && state_agrees
@@ -204,10 +204,10 @@
 }
 
 fn present(number: u8, revision: u64) -> MetadataItem {
-    MetadataItem { key: key(number), state: ItemState::Present(Arc::from([1])), revision: Revision(revision) }
+    MetadataItem { key: key(number), state: KeyState::Present(Arc::from([1])), revision: Revision(revision) }
 }
 
-fn states(news: &[MetadataItem]) -> Vec<ItemState> {
+fn states(news: &[MetadataItem]) -> Vec<KeyState> {
     news.iter().map(|item| item.state.clone()).collect()
 }
 
@@ -216,7 +216,7 @@
     let mut mirror = Mirror::default();
     mirror.replace(vec![present(1, 1), present(2, 2)], Revision(2), MissingKeys::Removed);
     let news = mirror.replace(vec![present(1, 1)], Revision(5), MissingKeys::Removed);
-    assert_eq!(states(&news), [ItemState::Removed]);
+    assert_eq!(states(&news), [KeyState::Removed]);
 }
 
 #[test]
@@ -224,14 +224,14 @@
     let mut mirror = Mirror::default();
     mirror.replace(vec![present(1, 1), present(2, 2)], Revision(2), MissingKeys::Removed);
     let news = mirror.replace(vec![present(1, 1)], Revision(5), MissingKeys::MayHaveLapsed);
-    assert_eq!(states(&news), [ItemState::Lapsed]);
+    assert_eq!(states(&news), [KeyState::Lapsed]);
     assert_eq!(mirror.replace(vec![present(1, 1)], Revision(6), MissingKeys::MayHaveLapsed), [], "it is told once");
     let mut asker = Mirror::default();
     asker.replace(vec![present(1, 1), present(2, 2)], Revision(2), MissingKeys::Removed);
     let changes = mirror.changes_since(Revision(2)).expect("it was listed");
     assert_eq!(changes.base, None, "removals before the last list are not all known");
     let news = asker.replace(changes.items, changes.at, MissingKeys::Removed);
-    assert_eq!(states(&news), [ItemState::Lapsed]);
+    assert_eq!(states(&news), [KeyState::Lapsed]);
 }
 
 #[test]
@@ -251,7 +251,7 @@
     mirror.replace(Vec::new(), Revision(0), MissingKeys::Removed);
     let removed = |number: u64| MetadataItem {
         key: Arc::from(format!("old-{number}")),
-        state: ItemState::Removed,
+        state: KeyState::Removed,
         revision: Revision(number),
     };
     mirror.advance((1..=2_000).map(removed).collect(), Revision(2_000));
--- a/crates/core/tests/relay_simulation.rs
+++ b/crates/core/tests/relay_simulation.rs
@@ -12,7 +12,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stallmoor_core::identity::NodeId;
 use stallmoor_core::serving::relay::bounds::WatchBounds;
-use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::item::{KeyState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::message::ChangesAnswer;
 use stallmoor_core::serving::relay::mirror::{Mirror, MissingKeys};
 use stallmoor_core::serving::relay::outage::{FailedCall, RecordGrace};
@@ -136,10 +136,10 @@
         let leaving = self.records.iter().min_by_key(|(_, revision)| **revision).map(|(key, _)| key.clone());
         let leaving = leaving.filter(|_| self.records.len() > 3 && self.random.random::<f64>() < 0.6);
         let (key, state) = match leaving {
-            Some(key) => (key, ItemState::Removed),
-            None => (Arc::from(format!("worker-{}", self.revision)), ItemState::Present(Arc::from([]))),
+            Some(key) => (key, KeyState::Removed),
+            None => (Arc::from(format!("worker-{}", self.revision)), KeyState::Present(Arc::from([]))),
         };
-        if state == ItemState::Removed {
+        if state == KeyState::Removed {
             self.records.remove(&key);
             self.left.push((key.clone(), self.now));
         } else {
@@ -151,7 +151,7 @@
     fn listed(&self) -> Vec<MetadataItem> {
         let present = |(key, revision): (&Arc<str>, &u64)| MetadataItem {
             key: key.clone(),
-            state: ItemState::Present(Arc::from([])),
+            state: KeyState::Present(Arc::from([])),
             revision: Revision(*revision),
         };
         self.records.iter().map(present).collect()
@@ -372,8 +372,8 @@
         for item in news {
             let id = WorkerId(item.key.clone());
             match (&item.state, grace.lapsed_until) {
-                (ItemState::Present(_), _) => drop(self.workers.upsert(record(&item.key))),
-                (ItemState::Lapsed, Some(until)) => drop(self.workers.miss(&id, until, now)),
+                (KeyState::Present(_), _) => drop(self.workers.upsert(record(&item.key))),
+                (KeyState::Lapsed, Some(until)) => drop(self.workers.miss(&id, until, now)),
                 _ => drop(self.workers.remove(&id, grace.removed_until, now)),
             }
         }
--- a/crates/gateway/src/adapter/metadata.rs
+++ b/crates/gateway/src/adapter/metadata.rs
@@ -6,7 +6,7 @@
 
 use stallmoor_core::serving::configuration::GatewayConfiguration;
 use stallmoor_core::serving::jobs::members::DrainState;
-use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::item::{KeyState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::outage::RecordGrace;
 use stallmoor_core::serving::workers::{WorkerId, WorkerRecord};
 use stallmoor_core::time::{Millis, Timestamp};
@@ -61,9 +61,9 @@
 impl FleetUpdate {
     /// What a worker without a record means to this node. A record that lapsed for another node is gone for this one
     /// unless its own view allows for a lapse.
-    pub fn without_record(worker: WorkerId, state: &ItemState, grace: &RecordGrace) -> Self {
+    pub fn without_record(worker: WorkerId, state: &KeyState, grace: &RecordGrace) -> Self {
         match (state, grace.lapsed_until) {
-            (ItemState::Lapsed, Some(until)) => Self::WorkerMissing { worker, until },
+            (KeyState::Lapsed, Some(until)) => Self::WorkerMissing { worker, until },
             _ => Self::WorkerGone { worker, usable_until: grace.removed_until },
         }
     }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -11,7 +11,8 @@
     origin: Instant,
 }
 
-/// The clock starts above zero, so that spans before the start can be told from none.
+/// The clock starts here, in milliseconds, so that spans before the start can be distinguished from none. Not measured: longer
+/// than any span that is subtracted right after a start.
 const ORIGIN_MILLIS: u64 = 1_000_000;
 
 impl NodeClock {
--- a/crates/gateway/src/process/settings.rs
+++ b/crates/gateway/src/process/settings.rs
@@ -8,6 +8,20 @@
 use stallmoor_core::serving::relay::bounds::WatchBounds;
 use stallmoor_core::time::Millis;
 
+/// The bounds on a change of the configuration and on a draining worker where the file names none, in milliseconds. Not
+/// measured: deploy files name them; the default is the usual bound of those.
+const DEFAULT_CHANGE_MS: f64 = 2_000.0;
+/// The contact bound where the file names none, in milliseconds. Not measured: as the bounds on changes.
+const DEFAULT_CONTACT_MS: f64 = 3_000.0;
+/// The time between two writes of a worker's record where the file names none, in milliseconds. Not measured: as the
+/// bounds on changes.
+const DEFAULT_HEARTBEAT_MS: f64 = 1_200.0;
+/// How long results are kept where the file does not say, in seconds. Not measured: ten minutes are many times the time
+/// by which results are due.
+const DEFAULT_RESULTS_KEPT_S: f64 = 600.0;
+/// How long a planned stop may take where the file does not say, in seconds. Not measured: as the bounds on changes.
+const DEFAULT_GRACE_S: f64 = 8.0;
+
 /// Why settings can't be used.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
@@ -102,35 +116,35 @@
     /// The address of the metadata store.
     pub address: SocketAddr,
     /// A change of the configuration must be in force within this time, in milliseconds.
-    #[serde(default = "MetadataTable::usual_config_ms")]
+    #[serde(default = "MetadataTable::default_config_ms")]
     pub config_ms: f64,
     /// A worker that leaves must get no requests after this time, in milliseconds.
-    #[serde(default = "MetadataTable::usual_drain_ms")]
+    #[serde(default = "MetadataTable::default_drain_ms")]
     pub drain_ms: f64,
     /// A node that had no way to the store must be up to date this long after it has one again, in
     /// milliseconds.
-    #[serde(default = "MetadataTable::usual_contact_ms")]
+    #[serde(default = "MetadataTable::default_contact_ms")]
     pub contact_ms: f64,
     /// A worker writes its record about this often, in milliseconds.
-    #[serde(default = "MetadataTable::usual_heartbeat_ms")]
+    #[serde(default = "MetadataTable::default_heartbeat_ms")]
     pub heartbeat_ms: f64,
 }
 
 impl MetadataTable {
-    fn usual_config_ms() -> f64 {
-        2_000.0
+    fn default_config_ms() -> f64 {
+        DEFAULT_CHANGE_MS
     }
 
-    fn usual_drain_ms() -> f64 {
-        2_000.0
+    fn default_drain_ms() -> f64 {
+        DEFAULT_CHANGE_MS
     }
 
-    fn usual_contact_ms() -> f64 {
-        3_000.0
+    fn default_contact_ms() -> f64 {
+        DEFAULT_CONTACT_MS
     }
 
-    fn usual_heartbeat_ms() -> f64 {
-        1_200.0
+    fn default_heartbeat_ms() -> f64 {
+        DEFAULT_HEARTBEAT_MS
     }
 
     /// The times in which the node must know of changes.
@@ -178,7 +192,7 @@
 #[serde(deny_unknown_fields)]
 pub struct JobsTable {
     /// How long a job's results are kept, from its submission on, in seconds.
-    #[serde(default = "JobsTable::usual_results_kept")]
+    #[serde(default = "JobsTable::default_results_kept")]
     pub results_kept_s: f64,
     /// Bytes of the disk, in megabytes (1,000,000 bytes); 0 if there is no known end.
     #[serde(default)]
@@ -186,8 +200,8 @@
 }
 
 impl JobsTable {
-    const fn usual_results_kept() -> f64 {
-        600.0
+    const fn default_results_kept() -> f64 {
+        DEFAULT_RESULTS_KEPT_S
     }
 
     /// How long results are kept, from the submission on.
@@ -203,7 +217,7 @@
 
 impl Default for JobsTable {
     fn default() -> Self {
-        Self { results_kept_s: Self::usual_results_kept(), disk_mb: 0.0 }
+        Self { results_kept_s: Self::default_results_kept(), disk_mb: 0.0 }
     }
 }
 
@@ -224,7 +238,7 @@
 
 impl Default for StopTable {
     fn default() -> Self {
-        Self { grace_s: 8.0 }
+        Self { grace_s: DEFAULT_GRACE_S }
     }
 }
 
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -14,7 +14,7 @@
 use stallmoor_core::serving::jobs::directory::StorageRecord;
 use stallmoor_core::serving::jobs::members::DrainState;
 use stallmoor_core::serving::jobs::pair::{PairRecord, PairState};
-use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::item::{KeyState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::outage::RecordGrace;
 use stallmoor_core::time::Millis;
 use stallmoor_gateway::adapter::metadata::{BoxFuture, FleetUpdate, ItemsAt, MetadataStore, PutOutcome, ReadFailure};
@@ -112,7 +112,7 @@
 
     let view = Arc::new(FleetView::new(NodeClock::start(), Arc::from("zone-1"), 1));
     for row in &stored {
-        let state = ItemState::Present(Arc::from(row.text.as_bytes()));
+        let state = KeyState::Present(Arc::from(row.text.as_bytes()));
         let item = MetadataItem { key: Arc::from(&*row.name), state, revision: Revision(1) };
         view.apply(&FleetUpdate::OwnItem(item));
     }
--- a/crates/gateway/tests/metadata_relay.rs
+++ b/crates/gateway/tests/metadata_relay.rs
@@ -9,7 +9,7 @@
 use stallmoor_core::serving::jobs::directory::StorageRecord;
 use stallmoor_core::serving::jobs::members::DrainState;
 use stallmoor_core::serving::relay::bounds::WatchBounds;
-use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::item::{KeyState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::outage::RecordGrace;
 use stallmoor_core::time::Millis;
 use stallmoor_gateway::adapter::metadata::{BoxFuture, FleetUpdate, ItemsAt, MetadataStore, PutOutcome, ReadFailure};
@@ -31,7 +31,7 @@
 impl Contents {
     fn item(&self) -> MetadataItem {
         let revision = *self.0.borrow();
-        let state = ItemState::Present(Arc::from(revision.to_le_bytes()));
+        let state = KeyState::Present(Arc::from(revision.to_le_bytes()));
         MetadataItem { key: Arc::from("key"), state, revision: Revision(revision) }
     }
 
--- a/crates/gateway/tests/missing_records.rs
+++ b/crates/gateway/tests/missing_records.rs
@@ -10,7 +10,7 @@
 use stallmoor_core::identity::NodeId;
 use stallmoor_core::serving::jobs::members::DrainState;
 use stallmoor_core::serving::relay::bounds::WatchBounds;
-use stallmoor_core::serving::relay::item::{ItemState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::item::{KeyState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::outage::RecordGrace;
 use stallmoor_core::serving::workers::{WorkerId, WorkerRecord};
 use stallmoor_core::time::Millis;
@@ -126,7 +126,7 @@
 }
 
 fn item(worker: &str, is_written: bool, revision: u64) -> MetadataItem {
-    let state = if is_written { ItemState::Present(Arc::from([])) } else { ItemState::Removed };
+    let state = if is_written { KeyState::Present(Arc::from([])) } else { KeyState::Removed };
     MetadataItem { key: Arc::from(worker), state, revision: Revision(revision) }
 }
 
@@ -162,8 +162,8 @@
     fn interpret(&self, item: &MetadataItem, grace: &RecordGrace) -> Option<FleetUpdate> {
         let worker = WorkerId(item.key.clone());
         Some(match &item.state {
-            ItemState::Present(_) => FleetUpdate::Worker(record(&worker.0)),
-            ItemState::Removed | ItemState::Lapsed => FleetUpdate::without_record(worker, &item.state, grace),
+            KeyState::Present(_) => FleetUpdate::Worker(record(&worker.0)),
+            KeyState::Removed | KeyState::Lapsed => FleetUpdate::without_record(worker, &item.state, grace),
         })
     }
 
--- a/crates/wire/tests/support/mod.rs
+++ b/crates/wire/tests/support/mod.rs
@@ -23,7 +23,7 @@
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
 use stallmoor_core::serving::jobs::table::{ListedResult, ResultPage};
 use stallmoor_core::serving::quota::message::{QuotaLevels, QuotaReport, TenantLevel, TenantUsage};
-use stallmoor_core::serving::relay::item::{ItemState as MetadataState, MetadataItem, Revision};
+use stallmoor_core::serving::relay::item::{KeyState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::message::{ChangeSet, ChangesAnswer, ChangesRequest};
 use stallmoor_core::serving::workers::{LoadReport, WorkerId, WorkerReport};
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
@@ -260,9 +260,9 @@
 fn changes_messages() -> Vec<NamedMessage> {
     let item = |key: &str, state, revision| MetadataItem { key: Arc::from(key), state, revision: Revision(revision) };
     let items = vec![
-        item("present", MetadataState::Present(Arc::from(b"a value".as_slice())), 300),
-        item("removed", MetadataState::Removed, 301),
-        item("lapsed", MetadataState::Lapsed, 0),
+        item("present", KeyState::Present(Arc::from(b"a value".as_slice())), 300),
+        item("removed", KeyState::Removed, 301),
+        item("lapsed", KeyState::Lapsed, 0),
     ];
     let changes = |base| ChangesAnswer {
         changes: ChangeSet { base, at: Revision(301), items: items.clone() },
