--- a/crates/core/tests/leader_rules.rs
+++ b/crates/core/tests/leader_rules.rs
@@ -148,7 +148,8 @@
 }
 
 fn busy() -> LoadReport {
-    let worker = WorkerReport { worker: WorkerId(Arc::from("w1")), requests: 1, told: None, failing: 0, batch: 0 };
+    let worker =
+        WorkerReport { worker: WorkerId(Arc::from("w1")), requests: 1, self_reported: None, ejected_by: 0, batch: 0 };
     LoadReport { workers: vec![worker], ..LoadReport::default() }
 }
 
--- a/crates/gateway/src/leader/load_exchange.rs
+++ b/crates/gateway/src/leader/load_exchange.rs
@@ -26,7 +26,7 @@
         match exchange.exchange(partner, own.clone()).await {
             Some(gathered) => {
                 schedule.answered(partner, &gathered);
-                view.workers().hear(&gathered, view.clock.now());
+                view.workers().apply_report(&gathered, view.clock.now());
             }
             None => schedule.failed(partner, view.clock.now()),
         }
