--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -5,13 +5,14 @@
 
 use std::sync::Arc;
 
-use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
+use ractor::{ActorRef, RpcReplyPort};
 use stallmoor_clients::{Engines, KeyValueService, MachineList};
 use stallmoor_core::identity::EngineName;
 use stallmoor_core::log_event::{LogEvent, Severity};
 use stallmoor_core::node::{Effect, EngineOrder, Event, KeyValueCall, KeyValueOperation, Node};
 use stallmoor_storage::{Store, StoreWrite};
 
+use crate::actor::MessageHandler;
 use crate::callers::CallerRegistry;
 use crate::clock::SystemClock;
 use crate::events::EventSender;
@@ -26,10 +27,7 @@
     pub done: RpcReplyPort<bool>,
 }
 
-/// The actor.
-pub struct NodeDriver;
-
-/// What it drives.
+/// The actor's state: the decision code and everything it acts through.
 pub struct DriverState {
     /// The decision code.
     pub node: Node,
@@ -53,33 +51,17 @@
     pub engines: Arc<dyn Engines>,
 }
 
-impl Actor for NodeDriver {
-    type Msg = EventBatch;
-    type State = DriverState;
-    type Arguments = DriverState;
-
-    async fn pre_start(
-        &self,
-        _myself: ActorRef<Self::Msg>,
-        arguments: Self::Arguments,
-    ) -> Result<Self::State, ActorProcessingErr> {
-        Ok(arguments)
-    }
+impl MessageHandler for DriverState {
+    type Message = EventBatch;
 
-    async fn handle(
-        &self,
-        _myself: ActorRef<Self::Msg>,
-        batch: Self::Msg,
-        state: &mut Self::State,
-    ) -> Result<(), ActorProcessingErr> {
+    fn handle(&mut self, batch: EventBatch) {
         let mut effects = Vec::new();
         for event in batch.events {
-            effects.extend(state.node.handle(event, state.clock.read()));
+            effects.extend(self.node.handle(event, self.clock.read()));
         }
-        let goes_on = state.persist(&effects) && state.carry_out(effects);
+        let goes_on = self.persist(&effects) && self.carry_out(effects);
         // The other side only waits while the node runs.
         let _ = batch.done.send(goes_on);
-        Ok(())
     }
 }
 
--- a/crates/node/src/running.rs
+++ b/crates/node/src/running.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ractor::{Actor, ActorRef, SpawnErr};
+use ractor::{ActorRef, SpawnErr};
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use snafu::{ResultExt, Snafu};
@@ -17,14 +17,15 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, watch};
 
+use crate::actor;
 use crate::callers::CallerRegistry;
 use crate::clock::SystemClock;
-use crate::driver::{DriverState, EventBatch, NodeDriver, log_event};
+use crate::driver::{DriverState, EventBatch, log_event};
 use crate::events::EventSender;
 use crate::http::{HttpService, serve};
 use crate::settings::NodeFileSettings;
-use crate::streams::{EngineStreams, StreamsState};
-use crate::transport::{PeerTransport, TransportState, accept_peers, receive_datagrams};
+use crate::streams::StreamsState;
+use crate::transport::{TransportState, accept_peers, receive_datagrams};
 
 /// Time between two ticks of the decision code.
 const TICK: Duration = Duration::from_millis(25);
@@ -112,9 +113,9 @@
     let engines = Arc::new(HttpEngines::new(caller.clone()));
     let socket = Arc::new(socket);
     let streams_state = StreamsState::new(engines.clone(), events.clone());
-    let (streams, _) = Actor::spawn(None, EngineStreams, streams_state).await.context(SpawnSnafu)?;
+    let streams = actor::spawn(streams_state).await.context(SpawnSnafu)?;
     let transport_state = TransportState::new(socket.clone());
-    let (transport, _) = Actor::spawn(None, PeerTransport, transport_state).await.context(SpawnSnafu)?;
+    let transport = actor::spawn(transport_state).await.context(SpawnSnafu)?;
     let driver_state = DriverState {
         node,
         store: disk.store,
@@ -127,7 +128,7 @@
         machines: Arc::new(HttpMachineList::new(settings.machine_list, caller)),
         engines,
     };
-    let (driver, _) = Actor::spawn(None, NodeDriver, driver_state).await.context(SpawnSnafu)?;
+    let driver = actor::spawn(driver_state).await.context(SpawnSnafu)?;
 
     let (stopped_sender, stopped) = watch::channel(false);
     tokio::spawn(feed_driver(driver, queue, stopped_sender));
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -3,12 +3,12 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use ractor::{Actor, ActorProcessingErr, ActorRef};
 use stallmoor_clients::Engines;
 use stallmoor_core::identity::AttemptId;
 use stallmoor_core::node::{EngineRequest, Event};
 use tokio::task::JoinHandle;
 
+use crate::actor::MessageHandler;
 use crate::events::EventSender;
 
 /// Ended streams are cleared away after this many starts.
@@ -22,10 +22,7 @@
     Cancel(AttemptId),
 }
 
-/// The actor.
-pub struct EngineStreams;
-
-/// What it needs and holds.
+/// The actor's state: the streams that run, and what each needs.
 pub struct StreamsState {
     engines: Arc<dyn Engines>,
     events: EventSender,
@@ -61,33 +58,17 @@
     }
 }
 
-impl Actor for EngineStreams {
-    type Msg = StreamCommand;
-    type State = StreamsState;
-    type Arguments = StreamsState;
-
-    async fn pre_start(
-        &self,
-        _myself: ActorRef<Self::Msg>,
-        arguments: Self::Arguments,
-    ) -> Result<Self::State, ActorProcessingErr> {
-        Ok(arguments)
-    }
+impl MessageHandler for StreamsState {
+    type Message = StreamCommand;
 
-    async fn handle(
-        &self,
-        _myself: ActorRef<Self::Msg>,
-        message: Self::Msg,
-        state: &mut Self::State,
-    ) -> Result<(), ActorProcessingErr> {
-        match message {
-            StreamCommand::Start(request) => state.start(request),
+    fn handle(&mut self, command: StreamCommand) {
+        match command {
+            StreamCommand::Start(request) => self.start(request),
             StreamCommand::Cancel(attempt) => {
-                if let Some(task) = state.running.remove(&attempt) {
+                if let Some(task) = self.running.remove(&attempt) {
                     task.abort();
                 }
             }
         }
-        Ok(())
     }
 }
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -8,7 +8,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ractor::{Actor, ActorProcessingErr, ActorRef};
 use stallmoor_core::log_event::LogEvent;
 use stallmoor_core::node::Event;
 use stallmoor_core::peer_message::PeerMessage;
@@ -16,6 +15,7 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::mpsc;
 
+use crate::actor::MessageHandler;
 use crate::driver::log_event;
 use crate::events::EventSender;
 
@@ -40,10 +40,7 @@
     pub message: PeerMessage,
 }
 
-/// The actor that sends to peers.
-pub struct PeerTransport;
-
-/// What it holds.
+/// The state of the actor that sends to peers.
 pub struct TransportState {
     socket: Arc<UdpSocket>,
     peers: HashMap<SocketAddr, mpsc::Sender<Vec<u8>>>,
@@ -69,27 +66,11 @@
     }
 }
 
-impl Actor for PeerTransport {
-    type Msg = Outgoing;
-    type State = TransportState;
-    type Arguments = TransportState;
-
-    async fn pre_start(
-        &self,
-        _myself: ActorRef<Self::Msg>,
-        arguments: Self::Arguments,
-    ) -> Result<Self::State, ActorProcessingErr> {
-        Ok(arguments)
-    }
+impl MessageHandler for TransportState {
+    type Message = Outgoing;
 
-    async fn handle(
-        &self,
-        _myself: ActorRef<Self::Msg>,
-        message: Self::Msg,
-        state: &mut Self::State,
-    ) -> Result<(), ActorProcessingErr> {
-        state.send(&message);
-        Ok(())
+    fn handle(&mut self, outgoing: Outgoing) {
+        self.send(&outgoing);
     }
 }
 
