--- /dev/null
+++ b/crates/core/src/node/batch_demand.rs
@@ -0,0 +1,98 @@
+//! Asking the stewards of engines for room, and taking the limits they grant.
+//!
+//! Owns which engines are asked, and for how much. Relies on `batch_flow` for the jobs that could start.
+
+use std::collections::BTreeMap;
+
+use super::batch_flow::RunnableJob;
+use super::machine::Node;
+use crate::hashing::{hash_bytes, hash_parts, rendezvous};
+use crate::identity::EngineName;
+use crate::log_event::LogEvent;
+use crate::node::scheduling::{EngineLimit, StreamEnd};
+use crate::peer_message::{CreditMessage, PeerMessage};
+use crate::time::Millis;
+
+/// Most engines asked by one node for one service.
+const MOST_ENGINES_ASKED: usize = 24;
+/// Most startable items counted as demand.
+const MOST_DEMAND: u32 = 4_096;
+
+impl Node {
+    pub(super) fn ask_for_room(&mut self) {
+        let Some(fleet) = self.fleet() else { return };
+        if self.stopping.is_some() {
+            return;
+        }
+        let jobs = self.runnable_jobs(&fleet);
+        let mut wanted: BTreeMap<EngineName, u32> = BTreeMap::new();
+        for service in fleet.services.keys() {
+            let demand = self.startable_items(&jobs, service);
+            if demand > 0 {
+                for engine in self.engines_to_ask(service) {
+                    wanted.insert(engine, demand);
+                }
+            }
+        }
+        for engine in self.batch.dispatcher.engines_in_use() {
+            wanted.entry(engine.clone()).or_insert(0);
+        }
+        let no_longer: Vec<EngineName> =
+            self.batch.asked.iter().filter(|engine| !wanted.contains_key(*engine)).cloned().collect();
+        for engine in no_longer {
+            self.send_ask(&engine, 0);
+        }
+        self.batch.asked = wanted.keys().cloned().collect();
+        for (engine, demand) in wanted {
+            let want = demand + self.batch.dispatcher.streams_at(&engine) as u32;
+            self.send_ask(&engine, want);
+        }
+    }
+
+    pub(super) fn release_asks(&mut self) {
+        for engine in std::mem::take(&mut self.batch.asked) {
+            self.send_ask(&engine, 0);
+        }
+    }
+
+    fn send_ask(&mut self, engine: &EngineName, want: u32) {
+        let from = self.settings.id;
+        let message = CreditMessage::Ask { engine: engine.clone(), from, want };
+        self.send(self.steward_of(engine), PeerMessage::Credit(message));
+    }
+
+    fn startable_items(&self, jobs: &[RunnableJob], service: &str) -> u32 {
+        let now = self.clock.now;
+        let mut demand = 0;
+        for job in jobs.iter().filter(|job| &*job.service == service) {
+            if self.batch.dispatcher.has_startable(job.job, job.item_count, now) {
+                let left = self.groups.get(job.job.group).and_then(|hosted| hosted.state.job(job.job));
+                demand += left.map_or(0, |held| job.item_count - held.completed);
+            }
+        }
+        demand.min(MOST_DEMAND)
+    }
+
+    /// Usable engines of a service; where there are many, a part that differs from node to node.
+    fn engines_to_ask(&self, service: &str) -> Vec<EngineName> {
+        let now = self.clock.now;
+        let usable = self.engines.of_service(service).filter(|(_, state)| state.is_usable(now));
+        let key = hash_parts(&[b"ask", &self.settings.id.0.to_le_bytes()]);
+        let names = usable.map(|(name, _)| name);
+        rendezvous(key, names, |name| hash_bytes(name.0.as_bytes()), MOST_ENGINES_ASKED).into_iter().cloned().collect()
+    }
+
+    pub(super) fn on_batch_grant(&mut self, engine: EngineName, limit: u32, lifetime: Millis) {
+        let until = self.clock.now + lifetime;
+        self.batch.dispatcher.granted(engine.clone(), EngineLimit { limit, until });
+        let excess = self.batch.dispatcher.excess(&engine);
+        if !excess.is_empty() {
+            self.counters.batch_paused += excess.len() as u64;
+            self.log(LogEvent::BatchYielded, format!("{} streams at {engine}", excess.len()));
+        }
+        for attempt in excess {
+            self.stop_stream(attempt, StreamEnd::Paused);
+        }
+        self.batch.is_dirty = true;
+    }
+}
--- a/crates/core/src/node/batch_flow.rs
+++ b/crates/core/src/node/batch_flow.rs
@@ -1,4 +1,7 @@
 //! Running batch items within the limits that stewards grant.
+//!
+//! Owns the streams of batch items and the results on their way to the groups. Relies on `batch_demand`
+//! for the limits, and on the groups that this node leads for the jobs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,25 +9,18 @@
 use super::event::StreamEvent;
 use super::group_client::{GroupReply, Purpose};
 use super::machine::Node;
-use crate::hashing::{hash_bytes, hash_parts, rendezvous};
 use crate::identity::{AttemptId, EngineName, JobId};
-use crate::log_event::LogEvent;
 use crate::node::configuration::FleetConfiguration;
 use crate::node::partition::{Command, CommandOutcome, CompletedItem, ItemResult, ItemVerdict};
-use crate::node::scheduling::{BatchDispatcher, EngineLimit, JobRank, StreamEnd};
-use crate::peer_message::{CreditMessage, PeerMessage};
+use crate::node::scheduling::{BatchDispatcher, JobRank, StreamEnd};
 use crate::time::{Millis, Timestamp, UnixMillis};
 
 /// Time between two asks for room.
 const ASK_INTERVAL: Millis = Millis(400);
-/// Most engines asked by one node for one service.
-const MOST_ENGINES_ASKED: usize = 24;
 /// A batch stream that brings nothing for this long counts as lost.
 const SILENCE_TIMEOUT: Millis = Millis(20_000);
 /// How long recording results is tried before the items are run again.
 const RECORD_TIMEOUT: Millis = Millis(10_000);
-/// Most startable items counted as demand.
-const MOST_DEMAND: u32 = 4_096;
 /// Time between two sweeps of state beyond its retention.
 const FORGET_INTERVAL: Millis = Millis(600_000);
 
@@ -38,7 +34,8 @@
     pub(super) next_notice: Timestamp,
     next_ask: Timestamp,
     next_forget: Timestamp,
-    asked: BTreeSet<EngineName>,
+    /// Engines whose steward knows a demand of this node.
+    pub(super) asked: BTreeSet<EngineName>,
     results: BTreeMap<JobId, Vec<CompletedItem>>,
 }
 
@@ -58,13 +55,13 @@
 }
 
 /// A running job as scheduling sees it.
-struct RunnableJob {
-    job: JobId,
-    item_count: u32,
-    service: std::sync::Arc<str>,
-    tenant: std::sync::Arc<str>,
-    weight: u32,
-    deadline: UnixMillis,
+pub(super) struct RunnableJob {
+    pub(super) job: JobId,
+    pub(super) item_count: u32,
+    pub(super) service: std::sync::Arc<str>,
+    pub(super) tenant: std::sync::Arc<str>,
+    pub(super) weight: u32,
+    pub(super) deadline: UnixMillis,
 }
 
 impl Node {
@@ -121,7 +118,7 @@
         started
     }
 
-    fn runnable_jobs(&self, fleet: &FleetConfiguration) -> Vec<RunnableJob> {
+    pub(super) fn runnable_jobs(&self, fleet: &FleetConfiguration) -> Vec<RunnableJob> {
         let mut jobs = Vec::new();
         for (_, hosted) in self.groups.led() {
             for (id, job) in hosted.state.running_jobs() {
@@ -221,7 +218,7 @@
         }
     }
 
-    fn stop_stream(&mut self, attempt: AttemptId, end: StreamEnd) {
+    pub(super) fn stop_stream(&mut self, attempt: AttemptId, end: StreamEnd) {
         self.effects.push(Effect::CancelStream { attempt });
         self.batch.dispatcher.ended(attempt, end, self.clock.now);
     }
@@ -343,85 +340,6 @@
         self.batch.is_dirty = true;
     }
 
-    // Asking for room.
-
-    fn ask_for_room(&mut self) {
-        let Some(fleet) = self.fleet() else { return };
-        if self.stopping.is_some() {
-            return;
-        }
-        let jobs = self.runnable_jobs(&fleet);
-        let mut wanted: BTreeMap<EngineName, u32> = BTreeMap::new();
-        for service in fleet.services.keys() {
-            let demand = self.startable_items(&jobs, service);
-            if demand > 0 {
-                for engine in self.engines_to_ask(service) {
-                    wanted.insert(engine, demand);
-                }
-            }
-        }
-        for engine in self.batch.dispatcher.engines_in_use() {
-            wanted.entry(engine.clone()).or_insert(0);
-        }
-        let no_longer: Vec<EngineName> =
-            self.batch.asked.iter().filter(|engine| !wanted.contains_key(*engine)).cloned().collect();
-        for engine in no_longer {
-            self.send_ask(&engine, 0);
-        }
-        self.batch.asked = wanted.keys().cloned().collect();
-        for (engine, demand) in wanted {
-            let want = demand + self.batch.dispatcher.streams_at(&engine) as u32;
-            self.send_ask(&engine, want);
-        }
-    }
-
-    fn release_asks(&mut self) {
-        for engine in std::mem::take(&mut self.batch.asked) {
-            self.send_ask(&engine, 0);
-        }
-    }
-
-    fn send_ask(&mut self, engine: &EngineName, want: u32) {
-        let from = self.settings.id;
-        let message = CreditMessage::Ask { engine: engine.clone(), from, want };
-        self.send(self.steward_of(engine), PeerMessage::Credit(message));
-    }
-
-    fn startable_items(&self, jobs: &[RunnableJob], service: &str) -> u32 {
-        let now = self.clock.now;
-        let mut demand = 0;
-        for job in jobs.iter().filter(|job| &*job.service == service) {
-            if self.batch.dispatcher.has_startable(job.job, job.item_count, now) {
-                let left = self.groups.get(job.job.group).and_then(|hosted| hosted.state.job(job.job));
-                demand += left.map_or(0, |held| job.item_count - held.completed);
-            }
-        }
-        demand.min(MOST_DEMAND)
-    }
-
-    /// Usable engines of a service; where there are many, a part that differs from node to node.
-    fn engines_to_ask(&self, service: &str) -> Vec<EngineName> {
-        let now = self.clock.now;
-        let usable = self.engines.of_service(service).filter(|(_, state)| state.is_usable(now));
-        let key = hash_parts(&[b"ask", &self.settings.id.0.to_le_bytes()]);
-        let names = usable.map(|(name, _)| name);
-        rendezvous(key, names, |name| hash_bytes(name.0.as_bytes()), MOST_ENGINES_ASKED).into_iter().cloned().collect()
-    }
-
-    pub(super) fn on_batch_grant(&mut self, engine: EngineName, limit: u32, lifetime: Millis) {
-        let until = self.clock.now + lifetime;
-        self.batch.dispatcher.granted(engine.clone(), EngineLimit { limit, until });
-        let excess = self.batch.dispatcher.excess(&engine);
-        if !excess.is_empty() {
-            self.counters.batch_paused += excess.len() as u64;
-            self.log(LogEvent::BatchYielded, format!("{} streams at {engine}", excess.len()));
-        }
-        for attempt in excess {
-            self.stop_stream(attempt, StreamEnd::Paused);
-        }
-        self.batch.is_dirty = true;
-    }
-
     // Retention.
 
     fn forget_old_state(&mut self) {
--- /dev/null
+++ b/crates/core/src/node/group_requests.rs
@@ -0,0 +1,113 @@
+//! Requests to the groups that this node hosts, and their answers.
+//!
+//! Owns who waits for which entry of a log. Relies on `groups` to apply what is committed.
+
+use super::machine::Node;
+use crate::identity::{GroupId, NodeId};
+use crate::node::partition::CommandOutcome;
+use crate::peer_message::{GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody, PeerMessage};
+use crate::replication::{ProposalError, Replica, Term};
+use crate::time::Timestamp;
+
+/// Someone who waits for a command to be applied.
+pub(super) struct Waiting {
+    pub(super) term: Term,
+    request: u64,
+    from: NodeId,
+    pub(super) applied: Option<(Timestamp, CommandOutcome)>,
+}
+
+impl Node {
+    pub(super) fn on_group_request(&mut self, request: GroupRequest) {
+        let now = self.clock.now;
+        let Some(hosted) = self.groups.hosted.get_mut(&request.group) else {
+            let leader = self.directory.get(request.group).and_then(|entry| entry.leader);
+            let refusal = GroupRefusal::NotLeader { term: Term(0), leader };
+            self.answer_group_request(request.from, request.id, request.group, Err(refusal));
+            return;
+        };
+        match request.body {
+            // The groups of this node hold no pass-through jobs, and it keeps no view of a metadata store.
+            GroupRequestBody::Jobs(_) | GroupRequestBody::Changes(_) => {
+                let result = Err(GroupRefusal::Busy);
+                self.answer_group_request(request.from, request.id, request.group, result);
+            }
+            GroupRequestBody::Query(query) => {
+                let result = if hosted.replica.may_answer_reads(now) {
+                    Ok(GroupAnswerBody::Answer(hosted.state.query(&query)))
+                } else {
+                    Err(refusal_of(&hosted.replica))
+                };
+                self.answer_group_request(request.from, request.id, request.group, result);
+            }
+            GroupRequestBody::Command(command) => {
+                let term = hosted.replica.term();
+                match hosted.replica.propose(command.encode(), now) {
+                    Ok(index) => {
+                        let waiting = Waiting { term, request: request.id, from: request.from, applied: None };
+                        hosted.waiting.insert(index, waiting);
+                    }
+                    Err(ProposalError::NotLeader(_)) => {
+                        let refusal = refusal_of(&hosted.replica);
+                        self.answer_group_request(request.from, request.id, request.group, Err(refusal));
+                    }
+                    Err(ProposalError::Busy) => {
+                        let result = Err(GroupRefusal::Busy);
+                        self.answer_group_request(request.from, request.id, request.group, result);
+                    }
+                }
+                self.settle_group(request.group);
+            }
+        }
+    }
+
+    fn answer_group_request(
+        &mut self,
+        to: NodeId,
+        id: u64,
+        group: GroupId,
+        result: Result<GroupAnswerBody, GroupRefusal>,
+    ) {
+        self.send(to, PeerMessage::GroupAnswer(GroupAnswer { id, group, result }));
+    }
+
+    /// Whoever waits at a deposed leader is told to ask again elsewhere.
+    pub(super) fn drop_waiting(&mut self, group: GroupId) {
+        let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
+        let refusal = refusal_of(&hosted.replica);
+        let waiting = std::mem::take(&mut hosted.waiting);
+        for waiting in waiting.into_values() {
+            self.answer_group_request(waiting.from, waiting.request, group, Err(refusal));
+        }
+    }
+
+    /// An outcome is told once every replica that answers holds it, or after a short wait.
+    pub(super) fn answer_waiting(&mut self, group: GroupId) {
+        let now = self.clock.now;
+        let wait = self.settings.replication.acknowledge_wait;
+        let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
+        let mut ready = Vec::new();
+        for (index, waiting) in &hosted.waiting {
+            let Some((applied_at, _)) = &waiting.applied else { break };
+            let waited = now.since(*applied_at) >= wait;
+            if !waited && !hosted.replica.is_held_by_all_answering(*index, now) {
+                break;
+            }
+            ready.push(*index);
+        }
+        let answered: Vec<Waiting> = ready.iter().filter_map(|index| hosted.waiting.remove(index)).collect();
+        for waiting in answered {
+            if let Some((_, outcome)) = waiting.applied {
+                let result = Ok(GroupAnswerBody::Outcome(outcome));
+                self.answer_group_request(waiting.from, waiting.request, group, result);
+            }
+        }
+    }
+}
+
+fn refusal_of(replica: &Replica) -> GroupRefusal {
+    if replica.is_leader() {
+        return GroupRefusal::Busy;
+    }
+    GroupRefusal::NotLeader { term: replica.term(), leader: replica.leader() }
+}
--- a/crates/core/src/node/groups.rs
+++ b/crates/core/src/node/groups.rs
@@ -1,5 +1,8 @@
-//! The replicas that this node hosts: feeding them, applying what they commit, and answering those
-//! who asked.
+//! The replicas that this node hosts: feeding them, carrying out what they want, and applying what they
+//! commit.
+//!
+//! Owns the replicas and their state machines. Relies on `group_requests` to answer those who asked, and
+//! on `group_repair` to replace lost members.
 
 use std::collections::BTreeMap;
 
@@ -7,18 +10,18 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 use super::effect::Effect;
+use super::group_requests::Waiting;
 use super::machine::Node;
 use super::settings::NodeSettings;
 use super::status::GroupStatus;
 use crate::identity::{GroupId, JobId, NodeId};
 use crate::log_event::LogEvent;
-use crate::node::control::{DirectoryEntry, REPLICAS_PER_GROUP};
+use crate::node::control::DirectoryEntry;
 use crate::node::partition::{Command, CommandOutcome, JobPhase, PartitionState};
-use crate::peer_message::{GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody, PeerMessage};
+use crate::peer_message::PeerMessage;
 use crate::replication::{
-    EntryPayload, GroupMembership, LogIndex, MembershipChange, PersistedReplica, ProposalError, REPAIR_DELAY,
-    RepairInput, Replica, ReplicaEffect, ReplicaHealth, ReplicaSettings, ReplicationMessage, Snapshot, StoreCandidate,
-    Term, plan_repair,
+    EntryPayload, GroupMembership, LogIndex, PersistedReplica, Replica, ReplicaEffect, ReplicaSettings,
+    ReplicationMessage, Snapshot,
 };
 use crate::time::{Millis, Timestamp};
 
@@ -26,22 +29,11 @@
 const REPAIR_INTERVAL: Millis = Millis(1_000);
 /// A log may grow to this many times its limit while a follower is behind.
 const COMPACT_PATIENCE: usize = 4;
-/// A learner is caught up when it misses at most this many entries.
-const CAUGHT_UP_ENTRIES: u64 = 16;
-
-/// Someone who waits for a command to be applied.
-struct Waiting {
-    term: Term,
-    request: u64,
-    from: NodeId,
-    applied: Option<(Timestamp, CommandOutcome)>,
-}
-
 /// One hosted replica with its state machine.
 pub(super) struct HostedGroup {
     pub(super) replica: Replica,
     pub(super) state: PartitionState,
-    waiting: BTreeMap<LogIndex, Waiting>,
+    pub(super) waiting: BTreeMap<LogIndex, Waiting>,
     was_leader: bool,
 }
 
@@ -49,7 +41,7 @@
 pub(super) struct GroupHost {
     id: NodeId,
     settings: ReplicaSettings,
-    hosted: BTreeMap<GroupId, HostedGroup>,
+    pub(super) hosted: BTreeMap<GroupId, HostedGroup>,
     random: Xoshiro256PlusPlus,
     next_repair: Timestamp,
 }
@@ -162,61 +154,8 @@
         self.settle_group(group);
     }
 
-    pub(super) fn on_group_request(&mut self, request: GroupRequest) {
-        let now = self.clock.now;
-        let Some(hosted) = self.groups.hosted.get_mut(&request.group) else {
-            let leader = self.directory.get(request.group).and_then(|entry| entry.leader);
-            let refusal = GroupRefusal::NotLeader { term: Term(0), leader };
-            self.answer_group_request(request.from, request.id, request.group, Err(refusal));
-            return;
-        };
-        match request.body {
-            // The groups of this node hold no pass-through jobs, and it keeps no view of a metadata store.
-            GroupRequestBody::Jobs(_) | GroupRequestBody::Changes(_) => {
-                let result = Err(GroupRefusal::Busy);
-                self.answer_group_request(request.from, request.id, request.group, result);
-            }
-            GroupRequestBody::Query(query) => {
-                let result = if hosted.replica.may_answer_reads(now) {
-                    Ok(GroupAnswerBody::Answer(hosted.state.query(&query)))
-                } else {
-                    Err(refusal_of(&hosted.replica))
-                };
-                self.answer_group_request(request.from, request.id, request.group, result);
-            }
-            GroupRequestBody::Command(command) => {
-                let term = hosted.replica.term();
-                match hosted.replica.propose(command.encode(), now) {
-                    Ok(index) => {
-                        let waiting = Waiting { term, request: request.id, from: request.from, applied: None };
-                        hosted.waiting.insert(index, waiting);
-                    }
-                    Err(ProposalError::NotLeader(_)) => {
-                        let refusal = refusal_of(&hosted.replica);
-                        self.answer_group_request(request.from, request.id, request.group, Err(refusal));
-                    }
-                    Err(ProposalError::Busy) => {
-                        let result = Err(GroupRefusal::Busy);
-                        self.answer_group_request(request.from, request.id, request.group, result);
-                    }
-                }
-                self.settle_group(request.group);
-            }
-        }
-    }
-
-    fn answer_group_request(
-        &mut self,
-        to: NodeId,
-        id: u64,
-        group: GroupId,
-        result: Result<GroupAnswerBody, GroupRefusal>,
-    ) {
-        self.send(to, PeerMessage::GroupAnswer(GroupAnswer { id, group, result }));
-    }
-
     /// Carries out what a replica wants, applies what it committed, and answers those who wait.
-    fn settle_group(&mut self, group: GroupId) {
+    pub(super) fn settle_group(&mut self, group: GroupId) {
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let effects = hosted.replica.take_effects();
         for effect in effects {
@@ -268,16 +207,6 @@
         self.batch.is_dirty = true;
     }
 
-    /// Whoever waits at a deposed leader is told to ask again elsewhere.
-    fn drop_waiting(&mut self, group: GroupId) {
-        let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
-        let refusal = refusal_of(&hosted.replica);
-        let waiting = std::mem::take(&mut hosted.waiting);
-        for waiting in waiting.into_values() {
-            self.answer_group_request(waiting.from, waiting.request, group, Err(refusal));
-        }
-    }
-
     fn apply_committed(&mut self, group: GroupId) {
         let now = self.clock.now;
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
@@ -327,29 +256,6 @@
         }
     }
 
-    /// An outcome is told once every replica that answers holds it, or after a short wait.
-    fn answer_waiting(&mut self, group: GroupId) {
-        let now = self.clock.now;
-        let wait = self.settings.replication.acknowledge_wait;
-        let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
-        let mut ready = Vec::new();
-        for (index, waiting) in &hosted.waiting {
-            let Some((applied_at, _)) = &waiting.applied else { break };
-            let waited = now.since(*applied_at) >= wait;
-            if !waited && !hosted.replica.is_held_by_all_answering(*index, now) {
-                break;
-            }
-            ready.push(*index);
-        }
-        let answered: Vec<Waiting> = ready.iter().filter_map(|index| hosted.waiting.remove(index)).collect();
-        for waiting in answered {
-            if let Some((_, outcome)) = waiting.applied {
-                let result = Ok(GroupAnswerBody::Outcome(outcome));
-                self.answer_group_request(waiting.from, waiting.request, group, result);
-            }
-        }
-    }
-
     /// Bounds the log. While a follower is behind, the log is kept a while longer, so that it can
     /// catch up without a snapshot.
     fn compact_group(&mut self, group: GroupId) {
@@ -364,76 +270,6 @@
         }
     }
 
-    // Repair.
-
-    fn repair_groups(&mut self) {
-        let candidates: Vec<StoreCandidate> = self
-            .membership
-            .present()
-            .filter(|member| member.stores)
-            .map(|member| StoreCandidate { node: member.id, zone: member.zone.clone() })
-            .collect();
-        for group in self.groups.ids() {
-            let Some(hosted) = self.groups.get(group) else { continue };
-            if !hosted.replica.is_established_leader() {
-                continue;
-            }
-            let membership = hosted.replica.membership().clone();
-            let health: Vec<ReplicaHealth> =
-                membership.members().map(|node| self.replica_health(hosted, node)).collect();
-            let input = RepairInput {
-                group,
-                leader: self.settings.id,
-                wanted: REPLICAS_PER_GROUP,
-                membership: &membership,
-                health: &health,
-                candidates: &candidates,
-            };
-            if let Some(step) = plan_repair(&input) {
-                self.change_membership(group, step.0);
-            }
-        }
-    }
-
-    fn replica_health(&self, hosted: &HostedGroup, node: NodeId) -> ReplicaHealth {
-        let now = self.clock.now;
-        let is_own = node == self.settings.id;
-        let gone_since = match self.membership.member(node) {
-            Some(member) if member.is_present() => None,
-            Some(_) => self.membership.changed_at(node),
-            None => Some(Timestamp::default()),
-        };
-        let progress = hosted.replica.progress(node);
-        let matched = progress.map_or(0, |progress| progress.matched.0);
-        let answers = progress.and_then(|progress| progress.last_answer).is_some_and(|at| now.since(at) < REPAIR_DELAY);
-        let is_gone = gone_since.is_some_and(|since| now.since(since) >= REPAIR_DELAY);
-        ReplicaHealth {
-            node,
-            is_lost: !is_own && is_gone && !answers,
-            is_caught_up: matched + CAUGHT_UP_ENTRIES >= hosted.replica.commit().0 && answers,
-        }
-    }
-
-    fn change_membership(&mut self, group: GroupId, change: MembershipChange) {
-        let now = self.clock.now;
-        let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
-        if hosted.replica.propose_membership(change, now).is_err() {
-            return;
-        }
-        match change {
-            MembershipChange::AddLearner(node) => {
-                self.log(LogEvent::ReplicaAdded, format!("group {group}: {node} learns"));
-            }
-            MembershipChange::Promote(node) => {
-                self.log(LogEvent::ReplicaAdded, format!("group {group}: {node} votes"));
-            }
-            MembershipChange::Remove(node) => {
-                self.log(LogEvent::ReplicaRemoved, format!("group {group}: {node}"));
-            }
-        }
-        self.settle_group(group);
-    }
-
     /// Hands over every group that this node leads. Returns whether it leads none any more.
     pub(super) fn hand_over_leadership(&mut self) -> bool {
         let now = self.clock.now;
@@ -459,10 +295,3 @@
         leads_none
     }
 }
-
-fn refusal_of(replica: &Replica) -> GroupRefusal {
-    if replica.is_leader() {
-        return GroupRefusal::Busy;
-    }
-    GroupRefusal::NotLeader { term: replica.term(), leader: replica.leader() }
-}
--- a/crates/core/src/node/machine.rs
+++ b/crates/core/src/node/machine.rs
@@ -1,6 +1,6 @@
 //! The node as a whole: its parts, and the way from an event to the part that handles it.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -20,7 +20,8 @@
 use super::key_value_flow::KeyValueState;
 use super::online_flow::{OnlineState, refusal_before_mark};
 use super::settings::NodeSettings;
-use super::status::{FleetStatus, NodeCounters, NodeStatus};
+use super::status::NodeCounters;
+use super::status_flow::StatusGathering;
 use super::stopping::StopState;
 use super::upload::JobUpload;
 use crate::error::{ErrorKind, Refusal};
@@ -35,10 +36,7 @@
 use crate::node::scheduling::Steward;
 use crate::peer_message::{CreditMessage, PeerMessage};
 use crate::replication::PersistedReplica;
-use crate::time::{Millis, Timestamp};
-
-/// How long a fleet status waits for silent nodes.
-const STATUS_TIMEOUT: Millis = Millis(1_000);
+use crate::time::Timestamp;
 
 /// What a storing node's disk holds at its start.
 #[derive(Clone, Debug, Default)]
@@ -49,13 +47,6 @@
     pub configuration: Option<(Manifest, PartContents)>,
 }
 
-/// A fleet status that waits for answers.
-pub(super) struct StatusGathering {
-    waiting: BTreeSet<NodeId>,
-    gathered: Vec<NodeStatus>,
-    deadline: Timestamp,
-}
-
 /// One node.
 pub struct Node {
     pub(super) settings: NodeSettings,
@@ -80,7 +71,7 @@
     pub(super) stewards: BTreeMap<EngineName, Steward>,
     pub(super) stopping: Option<StopState>,
     pub(super) counters: NodeCounters,
-    status_gatherings: BTreeMap<CallerId, StatusGathering>,
+    pub(super) status_gatherings: BTreeMap<CallerId, StatusGathering>,
     /// Messages from this node to itself, handled before the event ends.
     loopback: VecDeque<PeerMessage>,
 }
@@ -189,7 +180,7 @@
         self.tick_online();
         self.tick_stewards();
         self.tick_batch();
-        self.tick_status();
+        self.finish_status_gatherings();
         self.tick_stop();
     }
 
@@ -348,78 +339,4 @@
             self.tell_leaving_facts(member.id);
         }
     }
-
-    // Status.
-
-    /// Whether a fleet status is being gathered.
-    pub(super) fn gathers_status(&self) -> bool {
-        !self.status_gatherings.is_empty()
-    }
-
-    /// How this node is.
-    pub fn status(&self) -> NodeStatus {
-        NodeStatus {
-            node: self.settings.id.to_string(),
-            zone: self.settings.zone.to_string(),
-            caller_address: self.settings.caller_address.to_string(),
-            stores: self.settings.stores,
-            ready: self.is_ready(),
-            stopping: self.stopping.is_some(),
-            configuration_revision: self.configuration.revision(),
-            configuration_digest: format!("{:016x}", self.configuration.digest()),
-            members_present: self.membership.present().count(),
-            online_requests: self.online.requests.len(),
-            batch_streams: self.batch.dispatcher.streams().count(),
-            groups: self.groups.statuses(),
-            counters: self.counters,
-        }
-    }
-
-    fn begin_fleet_status(&mut self, caller: CallerId) {
-        let others: BTreeSet<NodeId> =
-            self.membership.present().map(|member| member.id).filter(|id| *id != self.settings.id).collect();
-        let from = self.settings.id;
-        for node in &others {
-            self.send(*node, PeerMessage::StatusRequest { from, id: caller.0 });
-        }
-        let gathering = StatusGathering {
-            waiting: others,
-            gathered: vec![self.status()],
-            deadline: self.clock.now + STATUS_TIMEOUT,
-        };
-        self.status_gatherings.insert(caller, gathering);
-        self.finish_status_gatherings();
-    }
-
-    fn on_status_answer(&mut self, caller: CallerId, status: NodeStatus) {
-        if let Some(gathering) = self.status_gatherings.get_mut(&caller) {
-            let answered = gathering.waiting.iter().find(|id| id.to_string() == status.node).copied();
-            if let Some(id) = answered {
-                gathering.waiting.remove(&id);
-                gathering.gathered.push(status);
-            }
-        }
-        self.finish_status_gatherings();
-    }
-
-    fn tick_status(&mut self) {
-        self.finish_status_gatherings();
-    }
-
-    fn finish_status_gatherings(&mut self) {
-        let now = self.clock.now;
-        let done: Vec<CallerId> = self
-            .status_gatherings
-            .iter()
-            .filter(|(_, gathering)| gathering.waiting.is_empty() || now >= gathering.deadline)
-            .map(|(caller, _)| *caller)
-            .collect();
-        for caller in done {
-            let Some(gathering) = self.status_gatherings.remove(&caller) else { continue };
-            let silent = gathering.waiting.iter().map(NodeId::to_string).collect();
-            let mut nodes = gathering.gathered;
-            nodes.sort_by(|left, right| left.node.cmp(&right.node));
-            self.answer(caller, CallerAnswer::FleetStatus(FleetStatus { nodes, silent }));
-        }
-    }
 }
--- a/crates/core/src/node/membership/mod.rs
+++ b/crates/core/src/node/membership/mod.rs
@@ -8,8 +8,10 @@
 //! Added: a full exchange when a node joins and now and then after, and a probe of a dead or seed
 //! node now and then, so that two halves of a cut find each other again.
 
+mod dissemination;
 mod member;
 mod message;
+mod probing;
 mod swim;
 
 pub use member::{Member, MemberStatus};
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -19,11 +19,15 @@
 //! | module | owns |
 //! |---|---|
 //! | `callers` | what callers and operators ask, and the answers |
-//! | `online_flow` | an online request from admission to its last piece |
+//! | `online_flow` | online requests: admission, answers, refusals |
+//! | `online_attempts` | their attempts at engines, and what follows a failure |
 //! | `online_records` | marks of not-repeatable requests, and session records |
 //! | `upload` | taking in a batch job |
 //! | `batch_flow` | running batch items within granted limits |
+//! | `batch_demand` | asking stewards for room, and the limits they grant |
 //! | `groups` | the replicas that this node hosts |
+//! | `group_requests` | requests to those replicas, and their answers |
+//! | `group_repair` | replacing lost members of the groups this node leads |
 //! | `group_client` | requests to groups, wherever they are |
 //! | `configuration_flow` | accepting, spreading and taking configuration |
 //! | `engines_flow` | polling engines and the machine list, spreading what leaves |
@@ -32,6 +36,7 @@
 //! | `founding_flow` | founding and finding groups |
 //! | `key_value_flow` | calls to the key-value service, within its rate limit |
 //! | `steward_flow` | dividing an engine between batch holders |
+//! | `status_flow` | the status of this node and of the fleet |
 //! | `stopping` | the planned stop |
 
 pub mod configuration;
@@ -42,6 +47,7 @@
 pub mod routing;
 pub mod scheduling;
 
+mod batch_demand;
 mod batch_flow;
 mod callers;
 mod configuration_flow;
@@ -52,13 +58,17 @@
 mod event;
 mod founding_flow;
 mod group_client;
+mod group_repair;
+mod group_requests;
 mod groups;
 mod key_value_flow;
 mod machine;
+mod online_attempts;
 mod online_flow;
 mod online_records;
 mod settings;
 mod status;
+mod status_flow;
 mod steward_flow;
 mod stopping;
 mod upload;
--- /dev/null
+++ b/crates/core/src/node/status_flow.rs
@@ -0,0 +1,93 @@
+//! How this node is, and how the fleet is: a fleet status asks every present node and answers once all
+//! have replied or the wait is over.
+//!
+//! Owns the gatherings under way. Relies on the membership for whom to ask.
+
+use std::collections::BTreeSet;
+
+use super::event::CallerAnswer;
+use super::machine::Node;
+use super::status::{FleetStatus, NodeStatus};
+use crate::identity::{CallerId, NodeId};
+use crate::peer_message::PeerMessage;
+use crate::time::{Millis, Timestamp};
+
+/// How long a fleet status waits for silent nodes.
+const STATUS_TIMEOUT: Millis = Millis(1_000);
+
+/// A fleet status that waits for answers.
+pub(super) struct StatusGathering {
+    waiting: BTreeSet<NodeId>,
+    gathered: Vec<NodeStatus>,
+    deadline: Timestamp,
+}
+
+impl Node {
+    /// Whether a fleet status is being gathered.
+    pub(super) fn gathers_status(&self) -> bool {
+        !self.status_gatherings.is_empty()
+    }
+
+    /// How this node is.
+    pub fn status(&self) -> NodeStatus {
+        NodeStatus {
+            node: self.settings.id.to_string(),
+            zone: self.settings.zone.to_string(),
+            caller_address: self.settings.caller_address.to_string(),
+            stores: self.settings.stores,
+            ready: self.is_ready(),
+            stopping: self.stopping.is_some(),
+            configuration_revision: self.configuration.revision(),
+            configuration_digest: format!("{:016x}", self.configuration.digest()),
+            members_present: self.membership.present().count(),
+            online_requests: self.online.requests.len(),
+            batch_streams: self.batch.dispatcher.streams().count(),
+            groups: self.groups.statuses(),
+            counters: self.counters,
+        }
+    }
+
+    pub(super) fn begin_fleet_status(&mut self, caller: CallerId) {
+        let others: BTreeSet<NodeId> =
+            self.membership.present().map(|member| member.id).filter(|id| *id != self.settings.id).collect();
+        let from = self.settings.id;
+        for node in &others {
+            self.send(*node, PeerMessage::StatusRequest { from, id: caller.0 });
+        }
+        let gathering = StatusGathering {
+            waiting: others,
+            gathered: vec![self.status()],
+            deadline: self.clock.now + STATUS_TIMEOUT,
+        };
+        self.status_gatherings.insert(caller, gathering);
+        self.finish_status_gatherings();
+    }
+
+    pub(super) fn on_status_answer(&mut self, caller: CallerId, status: NodeStatus) {
+        if let Some(gathering) = self.status_gatherings.get_mut(&caller) {
+            let answered = gathering.waiting.iter().find(|id| id.to_string() == status.node).copied();
+            if let Some(id) = answered {
+                gathering.waiting.remove(&id);
+                gathering.gathered.push(status);
+            }
+        }
+        self.finish_status_gatherings();
+    }
+
+    pub(super) fn finish_status_gatherings(&mut self) {
+        let now = self.clock.now;
+        let done: Vec<CallerId> = self
+            .status_gatherings
+            .iter()
+            .filter(|(_, gathering)| gathering.waiting.is_empty() || now >= gathering.deadline)
+            .map(|(caller, _)| *caller)
+            .collect();
+        for caller in done {
+            let Some(gathering) = self.status_gatherings.remove(&caller) else { continue };
+            let silent = gathering.waiting.iter().map(NodeId::to_string).collect();
+            let mut nodes = gathering.gathered;
+            nodes.sort_by(|left, right| left.node.cmp(&right.node));
+            self.answer(caller, CallerAnswer::FleetStatus(FleetStatus { nodes, silent }));
+        }
+    }
+}
