--- a/crates/core/tests/worker_choice.rs
+++ b/crates/core/tests/worker_choice.rs
@@ -1,4 +1,4 @@
-//! Rules of requests that pass through: routes, attempts, whole events, and the choice of a worker.
+//! The choice of a worker: records, ejection, loads, load reports, and what attempts say of the workers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,13 +7,7 @@
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stallmoor_core::retry_budget::RetryBudget;
-use stallmoor_core::serving::configuration::{
-    CallerBounds, GatewayConfiguration, Route, RouteKind, RouteTarget, Service,
-};
-use stallmoor_core::serving::online::RETRY_LIMITS;
-use stallmoor_core::serving::online::attempt::{AttemptEnd, AttemptLedger};
-use stallmoor_core::serving::online::event_stream::{EventSplitter, WholeEvent};
+use stallmoor_core::serving::online::attempt::AttemptEnd;
 use stallmoor_core::serving::request::{PrefixLink, PromptPart, chain_prefix};
 use stallmoor_core::serving::workers::load_in_transit::{CostSlope, level_after};
 use stallmoor_core::serving::workers::service_times::ServiceTimes;
@@ -23,8 +17,6 @@
 };
 use stallmoor_core::time::{Millis, Timestamp};
 
-mod support;
-
 const SERVICE: &str = "service";
 
 fn at(millis: u64) -> Timestamp {
@@ -59,115 +51,6 @@
     table.choose(&ask(&[], &[]), at(millis), &mut random()).map(|choice| choice.id)
 }
 
-fn route(name: &str, host: &str, prefix: &str) -> Route {
-    Route {
-        name: Arc::from(name),
-        host: Arc::from(host),
-        prefix: Arc::from(prefix),
-        kind: RouteKind::Stream { resumable: true },
-        timeout: Millis(5_000),
-        objective: Millis(200),
-        gap_target: Some(Millis(250)),
-        max_attempts: 2,
-        targets: vec![RouteTarget { service: Arc::from(SERVICE), weight: 1 }],
-        due: Millis(0),
-        give_up_after: None,
-        queued_token_limit: None,
-        is_public: false,
-    }
-}
-
-#[test]
-fn the_longest_prefix_of_the_host_takes_the_request() {
-    let routes = vec![route("short", "h", "/a/"), route("long", "h", "/a/b/"), route("other", "g", "/a/b/c/")];
-    let service = Service { name: Arc::from(SERVICE), max_connections: 10, slots: 8, cache_tokens: 0 };
-    let configuration = GatewayConfiguration::new(3, routes, vec![service], CallerBounds::default());
-    let found = |host: &str, path: &str| configuration.route_for(host, path).map(|route| route.name.to_string());
-    assert_eq!(found("h", "/a/b/c/d").as_deref(), Some("long"));
-    assert_eq!(found("h", "/a/c").as_deref(), Some("short"));
-    assert_eq!(found("h", "/ab"), None);
-    assert_eq!(found("x", "/a/"), None);
-}
-
-#[test]
-fn a_request_that_may_have_run_is_never_promised_and_runs_again_only_where_it_may() {
-    let stream = RouteKind::Stream { resumable: false };
-    let mut ledger = AttemptLedger::default();
-    ledger.note(AttemptEnd::NotRun { other_instance: false });
-    ledger.note(AttemptEnd::NotConnected);
-    assert!(ledger.certainly_not_run());
-    assert!(ledger.may_try_again(stream, 1), "attempts that did not run don't count as runs");
-    ledger.note(AttemptEnd::Broken);
-    assert!(!ledger.certainly_not_run());
-    assert!(!ledger.may_try_again(stream, 5), "at most once");
-    assert!(ledger.may_try_again(RouteKind::Repeatable, 2));
-    assert!(!ledger.may_try_again(RouteKind::Repeatable, 1), "no more workers than allowed");
-}
-
-#[test]
-fn attempts_that_never_run_come_to_an_end() {
-    let mut ledger = AttemptLedger::default();
-    let mut attempts = 0;
-    while ledger.may_try_again(RouteKind::Repeatable, 2) {
-        ledger.note(AttemptEnd::NotRun { other_instance: false });
-        attempts += 1;
-        assert!(attempts < 20);
-    }
-    assert!(ledger.certainly_not_run());
-}
-
-#[test]
-fn a_storm_of_moves_runs_out_of_budget() {
-    let mut budget = RetryBudget::new(RETRY_LIMITS);
-    let mut moves = 0;
-    for _ in 0..1_000 {
-        budget.deposit();
-        if budget.has_token() {
-            budget.withdraw();
-            moves += 1;
-        }
-    }
-    assert!((20..60).contains(&moves), "{moves} moves of 1,000 requests");
-}
-
-proptest! {
-    #![proptest_config(support::fuzz_config())]
-
-    /// However the bytes are cut up, the same whole events come out, and nothing is lost.
-    #[test]
-    fn events_are_whole_however_the_bytes_arrive(
-        events in prop::collection::vec((0..500_u64, "[ -~]{0,40}", any::<bool>()), 1..12),
-        tail in "[a-z]{0,10}",
-        cuts in prop::collection::vec(1..40_usize, 1..60),
-    ) {
-        let mut bytes = Vec::new();
-        for (number, data, carriage) in &events {
-            let end = if *carriage { "\r\n" } else { "\n" };
-            bytes.extend_from_slice(format!("id: {number}{end}data: {data}{end}{end}").as_bytes());
-        }
-        bytes.extend_from_slice(tail.as_bytes());
-        let mut splitter = EventSplitter::default();
-        let mut whole: Vec<WholeEvent> = Vec::new();
-        let mut rest = &bytes[..];
-        for cut in cuts.iter().cycle() {
-            if rest.is_empty() {
-                break;
-            }
-            let (piece, further) = rest.split_at((*cut).min(rest.len()));
-            whole.extend(splitter.push(piece));
-            rest = further;
-        }
-        prop_assert_eq!(whole.len(), events.len());
-        for (event, (number, data, _)) in whole.iter().zip(&events) {
-            prop_assert_eq!(event.id, Some(*number));
-            prop_assert_eq!(event.data(), data.clone());
-        }
-        let mut all: Vec<u8> = whole.iter().flat_map(|event| event.bytes.clone()).collect();
-        all.extend_from_slice(splitter.pending());
-        prop_assert_eq!(all, bytes);
-    }
-}
-
 #[test]
 fn a_draining_worker_never_takes_requests_again() {
     let mut table = WorkerTable::default();
@@ -211,7 +94,7 @@
 }
 
 #[test]
-fn records_that_lapsed_while_the_store_was_away_may_come_back_for_two_seconds() {
+fn records_that_lapsed_while_the_store_was_away_may_be_written_again_for_two_seconds() {
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
     table.upsert(worker("three", "a"));
@@ -230,7 +113,7 @@
 }
 
 #[test]
-fn a_worker_that_leaves_does_not_come_back_with_the_store() {
+fn a_worker_that_leaves_does_not_return_with_the_store() {
     let mut table = WorkerTable::default();
     table.upsert(WorkerRecord { draining: true, ..worker("one", "a") });
     assert_eq!(table.miss(&id("one"), at(2_000), at(0)), None);
@@ -249,7 +132,7 @@
     table.miss(&id("lapsed"), at(2_000), at(0));
     table.remove(&id("vanished"), at(1_000), at(0));
     table.upsert(worker("removed", "a"));
-    assert_eq!(choose(&table, 10), Some(id("vanished")), "one that was draining does not come back");
+    assert_eq!(choose(&table, 10), Some(id("vanished")), "one that was draining does not return");
     table.remove(&id("removed"), at(1_000), at(0));
     table.forget_gone(at(59_999));
     assert!(["removed", "lapsed", "vanished", "stays"].iter().all(|name| table.record(&id(name)).is_some()));
@@ -259,7 +142,7 @@
 }
 
 #[test]
-fn a_failing_worker_is_passed_over_and_returns() {
+fn a_failing_worker_is_ejected_and_returns() {
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
     table.upsert(worker("three", "b"));
@@ -274,7 +157,7 @@
 }
 
 #[test]
-fn a_prompt_goes_where_its_parts_are_held_unless_that_worker_is_full() {
+fn a_prompt_goes_where_its_parts_are_cached_unless_that_worker_is_full() {
     let part = |name: &str, tokens| PromptPart { id: Arc::from(name), tokens };
     let prefix = chain_prefix("m", &[part("shared", 4_000), part("session", 2_000), part("own", 100)]);
     let mut table = WorkerTable::default();
@@ -293,20 +176,20 @@
 }
 
 #[test]
-fn gathered_loads_steer_away_from_what_other_nodes_use() {
+fn shared_loads_steer_away_from_what_other_nodes_use() {
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
     table.upsert(worker("three", "a"));
     table.set_shared_loads(&[WorkerCount { worker: id("one"), requests: 6 }], at(0));
     assert_eq!(choose(&table, 10), Some(id("three")));
     table.reported(&id("three"), WorkerLoad { running: 8, waiting: 4 }, at(10));
-    assert_eq!(choose(&table, 15), Some(id("one")), "a report is newer than what was gathered");
+    assert_eq!(choose(&table, 15), Some(id("one")), "the worker's own word is newer than the shared loads");
     table.set_shared_loads(&[WorkerCount { worker: id("one"), requests: 6 }], at(20));
-    assert_eq!(choose(&table, 25), Some(id("three")), "what was gathered is newer than a report");
+    assert_eq!(choose(&table, 25), Some(id("three")), "the shared loads are newer than the worker's own word");
 }
 
 #[test]
-fn a_worker_that_had_no_room_is_left_alone_until_loads_are_gathered_again() {
+fn a_worker_that_had_no_room_is_left_alone_until_the_next_report() {
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
     table.upsert(worker("three", "a"));
@@ -317,17 +200,17 @@
 }
 
 #[test]
-fn what_a_worker_told_one_node_counts_at_every_node() {
+fn what_a_worker_reported_to_one_node_counts_at_every_node() {
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
     table.upsert(worker("three", "a"));
-    let told = WorkerReport { worker: id("one"), requests: 0, self_reported: Some(12), ejected_by: 0, batch: 0 };
-    table.apply_report(&LoadReport { workers: vec![told], ..LoadReport::default() }, at(0));
+    let report = WorkerReport { worker: id("one"), requests: 0, self_reported: Some(12), ejected_by: 0, batch: 0 };
+    table.apply_report(&LoadReport { workers: vec![report], ..LoadReport::default() }, at(0));
     assert_eq!(choose(&table, 10), Some(id("three")));
 }
 
 #[test]
-fn nodes_exchange_loads_as_often_as_the_leader_can_bear() {
+fn nodes_exchange_loads_as_often_as_the_leader_can_serve() {
     let interval = |reporters| LoadReport { reporters, ..LoadReport::default() }.interval();
     assert_eq!(interval(0), Millis(40));
     assert_eq!(interval(6), Millis(40));
@@ -336,46 +219,46 @@
         let per_s = u64::from(reporters) * 1_000 / interval(reporters).0;
         assert!((800..=1_000).contains(&per_s), "{per_s} exchanges a second of {reporters}");
     }
-    assert_eq!(interval(u32::MAX), Millis(400), "news are believed for a second");
+    assert_eq!(interval(u32::MAX), Millis(400), "reports are believed for a second");
 }
 
 #[test]
-fn a_worker_that_failed_two_other_nodes_is_passed_over_unless_it_told_somebody_something() {
+fn a_worker_that_failed_two_other_nodes_is_ejected_unless_it_reported_its_load_to_any() {
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
     table.upsert(worker("three", "b"));
-    let hear = |table: &mut WorkerTable, ejected_by, self_reported, millis| {
-        let news = WorkerReport { worker: id("one"), requests: 0, self_reported, ejected_by, batch: 0 };
-        table.apply_report(&LoadReport { workers: vec![news], ..LoadReport::default() }, at(millis));
+    let apply = |table: &mut WorkerTable, ejected_by, self_reported, millis| {
+        let report = WorkerReport { worker: id("one"), requests: 0, self_reported, ejected_by, batch: 0 };
+        table.apply_report(&LoadReport { workers: vec![report], ..LoadReport::default() }, at(millis));
     };
-    hear(&mut table, 1, None, 0);
+    apply(&mut table, 1, None, 0);
     assert_eq!(choose(&table, 10), Some(id("one")), "one node may be cut off itself");
-    hear(&mut table, 2, Some(1), 20);
+    apply(&mut table, 2, Some(1), 20);
     assert_eq!(choose(&table, 30), Some(id("one")), "it answers somebody");
-    hear(&mut table, 2, None, 40);
+    apply(&mut table, 2, None, 40);
     assert_eq!(choose(&table, 50), Some(id("three")));
-    assert_eq!(table.own_report(at(50)), vec![], "hearsay is not passed on");
-    assert_eq!(choose(&table, 600), Some(id("one")), "old news are forgotten");
-    hear(&mut table, 2, None, 700);
+    assert_eq!(table.own_report(at(50)), vec![], "what others reported is not reported again");
+    assert_eq!(choose(&table, 600), Some(id("one")), "old reports are forgotten");
+    apply(&mut table, 2, None, 700);
     table.succeeded(&id("one"), Millis(50), at(710));
     assert_eq!(choose(&table, 720), Some(id("one")), "own success counts more");
     table.failed(&id("one"), false, at(800));
-    assert_eq!(table.own_report(at(810)).iter().map(|news| news.ejected_by).collect::<Vec<_>>(), vec![1]);
+    assert_eq!(table.own_report(at(810)).iter().map(|report| report.ejected_by).collect::<Vec<_>>(), vec![1]);
 }
 
-/// Nodes that choose by the same gathered loads, a little old, must not all choose the same worker.
+/// Nodes that choose by the same reports, a little old, must not all choose the same worker.
 #[test]
-fn nodes_with_the_same_news_spread_their_requests() {
+fn nodes_with_the_same_reports_spread_their_requests() {
     const WORKERS: usize = 20;
     const NODES: u64 = 40;
     let mut counts: BTreeMap<WorkerId, u32> = BTreeMap::new();
     for node in 0..NODES {
         let mut table = WorkerTable::default();
-        let mut news = Vec::new();
+        let mut workers = Vec::new();
         for place in 0..WORKERS {
             let name = format!("worker-{place}");
             table.upsert(worker(&name, "a"));
-            news.push(WorkerReport {
+            workers.push(WorkerReport {
                 worker: id(&name),
                 requests: u32::from(place > 0) * 3,
                 self_reported: None,
@@ -384,7 +267,7 @@
             });
         }
         table.apply_report(
-            &LoadReport { workers: news, placed_per_s: 400, reporters: NODES as u32, ..LoadReport::default() },
+            &LoadReport { workers, placed_per_s: 400, reporters: NODES as u32, ..LoadReport::default() },
             at(0),
         );
         let mut random = Xoshiro256PlusPlus::seed_from_u64(node);
@@ -399,7 +282,7 @@
 proptest! {
     /// Raising workers to the level takes just as many requests as were to be placed.
     #[test]
-    fn the_level_of_unseen_requests_takes_all_of_them(
+    fn the_level_of_requests_in_transit_takes_all_of_them(
         loads in proptest::collection::vec(0_u32..30, 1..40),
         requests in 1.0_f64..500.0,
     ) {
@@ -447,8 +330,8 @@
     table.service_times(SERVICE).note_first(Millis(20));
     table.service_times(SERVICE).note_in_slot(Millis(800));
     let mut expected = |requests: u32, batch: u32| {
-        let told = WorkerReport { worker: id("one"), requests, self_reported: None, ejected_by: 0, batch };
-        table.apply_report(&LoadReport { workers: vec![told], ..LoadReport::default() }, at(0));
+        let report = WorkerReport { worker: id("one"), requests, self_reported: None, ejected_by: 0, batch };
+        table.apply_report(&LoadReport { workers: vec![report], ..LoadReport::default() }, at(0));
         let choice = table.choose(&ask(&[], &[]), at(0), &mut random()).expect("there is one");
         table.expected_first(SERVICE, &choice)
     };
@@ -485,7 +368,7 @@
         table.choose_for_batch(&ask(&[], &[]), 0, at(millis), &mut random()).is_some()
     };
     assert!(!may_start(8, 0));
-    assert!(may_start(2, 60), "the next loads that are gathered count alone");
+    assert!(may_start(2, 60), "the next shared loads count alone");
 }
 
 #[test]
--- a/crates/gateway/src/workers/connections.rs
+++ b/crates/gateway/src/workers/connections.rs
@@ -54,6 +54,11 @@
     open: usize,
 }
 
+struct NewConnection {
+    sender: SendRequest<Full<Bytes>>,
+    task: AbortHandle,
+}
+
 /// Why there is no connection. Nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoConnection {
@@ -76,35 +81,34 @@
     ///
     /// [`NoConnection`]: nothing was sent.
     pub async fn take(self: &Arc<Self>, address: SocketAddr, most: usize) -> Result<WorkerConnection, NoConnection> {
-        {
-            let mut addresses = self.lock();
-            let connections = addresses.entry(address).or_default();
-            while let Some(idle) = connections.idle.pop() {
-                if !idle.sender.is_closed() && idle.sender.is_ready() && Instant::now() < idle.until {
-                    let pool = self.clone();
-                    return Ok(WorkerConnection {
-                        sender: Some(idle.sender),
-                        address,
-                        task: idle.task,
-                        pool,
-                        keep: None,
-                    });
-                }
-                idle.task.abort();
-                connections.open = connections.open.saturating_sub(1);
-            }
-            if connections.open >= most {
-                return Err(NoConnection::AllInUse);
-            }
-            connections.open += 1;
+        if let Some(IdleConnection { sender, task, .. }) = self.reuse_or_reserve(address, most)? {
+            return Ok(WorkerConnection { sender: Some(sender), address, task, pool: self.clone(), keep: None });
         }
         let slot = OpenSlot { pool: self.clone(), address, kept: false };
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, connect(address)).await;
-        let Ok(Ok((sender, task))) = connected else { return Err(NoConnection::Unreachable) };
+        let Ok(Ok(NewConnection { sender, task })) = connected else { return Err(NoConnection::Unreachable) };
         slot.keep();
         Ok(WorkerConnection { sender: Some(sender), address, task, pool: self.clone(), keep: None })
     }
 
+    /// An idle connection that can be used; `None` if a new one may be opened, which is counted from now on.
+    fn reuse_or_reserve(&self, address: SocketAddr, most: usize) -> Result<Option<IdleConnection>, NoConnection> {
+        let mut addresses = self.lock();
+        let connections = addresses.entry(address).or_default();
+        while let Some(idle) = connections.idle.pop() {
+            if !idle.sender.is_closed() && idle.sender.is_ready() && Instant::now() < idle.until {
+                return Ok(Some(idle));
+            }
+            idle.task.abort();
+            connections.open = connections.open.saturating_sub(1);
+        }
+        if connections.open >= most {
+            return Err(NoConnection::AllInUse);
+        }
+        connections.open += 1;
+        Ok(None)
+    }
+
     /// Closes idle connections that are over their time.
     pub fn close_stale(&self) {
         let now = Instant::now();
@@ -222,12 +226,12 @@
     }
 }
 
-async fn connect(address: SocketAddr) -> std::io::Result<(SendRequest<Full<Bytes>>, AbortHandle)> {
+async fn connect(address: SocketAddr) -> std::io::Result<NewConnection> {
     let stream = connect_tuned(address).await?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
     let task = tokio::spawn(async move {
         // How it ended shows at the requests that it carried.
         let _ = connection.await;
     });
-    Ok((sender, task.abort_handle()))
+    Ok(NewConnection { sender, task: task.abort_handle() })
 }
