--- a/crates/core/src/serving/quota/bucket.rs
+++ b/crates/core/src/serving/quota/bucket.rs
@@ -3,12 +3,12 @@
 use crate::serving::configuration::tenant::RateLimit;
 use crate::time::{Millis, Timestamp};
 
-/// A limit, or a gateway's part of one, as numbers to reckon with.
+/// A limit, or a gateway's part of one, in floating point.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BucketLimit {
     /// Requests in a second.
     pub per_s: f64,
-    /// The most that is saved up.
+    /// The most requests that are saved up.
     pub capacity: f64,
 }
 
--- a/crates/core/src/serving/quota/limiter.rs
+++ b/crates/core/src/serving/quota/limiter.rs
@@ -21,7 +21,8 @@
 /// interval of early reports.
 pub const DUE_CHECK_INTERVAL: Millis = Millis(20);
 /// A level is gone by for this many intervals between reports, so that it outlives two lost reports, and for
-/// [`LEAST_LEVEL_LIFETIME`] at the least. Not measured: two losses in a row are rare, three mean that the leader is gone.
+/// [`LEAST_LEVEL_LIFETIME`] at the least. Not measured: two losses in a row are rare, three mean that the leader is
+/// gone.
 const LEVEL_LIFETIME_INTERVALS: u64 = 3;
 /// The least time for which a level is gone by, in milliseconds: the same at short intervals. Not measured: a change
 /// of the leader takes about as long.
--- a/crates/core/src/serving/relay/bounds.rs
+++ b/crates/core/src/serving/relay/bounds.rs
@@ -2,8 +2,8 @@
 //! one of three bounds from the settings, so that all of them together keep the bound.
 //!
 //! Within the change bound (100%) a change reaches a follower through a relay's watch and pause (20% + 10%) and the
-//! relay's hold (15%); a relay's view is gone by up to an age of 60%, a node's own up to 75%, and the rest is for its own
-//! call of the store.
+//! relay's hold (15%); a relay's view is gone by up to an age of 60%, a node's own up to 75%, and the rest is for its
+//! own call of the store.
 
 use super::policy::WatchRole;
 use crate::time::Millis;
@@ -38,8 +38,8 @@
 /// (550 ms) together stay below the shortest contact bound in use, 3 s. Measured with the relay's.
 const FOLLOWER_STORE_WAIT_PERCENT: u64 = 25;
 /// Records can lapse once the store was out of reach for this long, in percent of a heartbeat: workers whose records
-/// lapsed with the store serve on, and only those. Not measured: a record lapses after three heartbeats without a write,
-/// so no sooner than two after the store went; the rest is for how late a node notices.
+/// lapsed with the store serve on, and only those. Not measured: a record lapses after three heartbeats without a
+/// write, so no sooner than two after the store went; the rest is for how late a node notices.
 const LEAST_LAPSE_PERCENT: u64 = 150;
 /// A watch of a node that takes no changes from relays waits this much longer than the contact bound, in milliseconds,
 /// since it may have begun before the silence. Not measured: ample for a call's way.
--- a/crates/core/src/serving/relay/choice.rs
+++ b/crates/core/src/serving/relay/choice.rs
@@ -1,7 +1,7 @@
 //! Which relay a node asks.
 //!
-//! Owns which relays are avoided, and for how long. Relies on the records of the storing nodes, which all nodes of a zone
-//! rank alike.
+//! Owns which relays are avoided, and for how long. Relies on the records of the storing nodes, which all nodes of a
+//! zone rank alike.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
--- a/crates/core/src/serving/relay/message.rs
+++ b/crates/core/src/serving/relay/message.rs
@@ -39,8 +39,8 @@
         is_keyed && follows
     }
 
-    /// When the relay's view is known to have been complete, by the clock of the node that asked at `asked_at`. Only the
-    /// time for which the answer was held back is counted in, so an answer that was held up elsewhere makes a view
+    /// When the relay's view is known to have been complete, by the clock of the node that asked at `asked_at`. Only
+    /// the time for which the answer was held back is counted in, so an answer that was held up elsewhere makes a view
     /// older, never younger.
     pub fn confirmed_at(&self, asked_at: Timestamp) -> Timestamp {
         asked_at + self.held - self.age
--- a/crates/core/src/serving/relay/mirror.rs
+++ b/crates/core/src/serving/relay/mirror.rs
@@ -1,4 +1,6 @@
 //! The metadata store's contents as one node knows them.
+//!
+//! Owns the items, the removals that are still remembered, and when all of it was last known to be complete.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
--- a/crates/core/src/serving/relay/mod.rs
+++ b/crates/core/src/serving/relay/mod.rs
@@ -1,4 +1,4 @@
-//! Passing the metadata store's changes on between nodes.
+//! Relaying the metadata store's changes between nodes.
 //!
 //! Each call of the store is paid for, and a watch of the store by every node makes their number grow with
 //! nodes times changes. So most nodes ask another node, a relay, which watches the store for them.
@@ -6,6 +6,9 @@
 //! A relay is never trusted to be up to date. Each answer says how old the relay's view is, and a node whose
 //! own view grows too old, for whatever reason, asks the store itself in time.
 //!
+//! Relies on the records of the storing nodes ([`super::jobs::directory`]). The calls, their clock and the randomness
+//! are the driver's (the gateway crate's `fleet`).
+//!
 //! | module | owns |
 //! |---|---|
 //! | [`item`] | revisions, and items at a revision |
--- a/crates/core/src/serving/relay/policy.rs
+++ b/crates/core/src/serving/relay/policy.rs
@@ -1,7 +1,7 @@
 //! Where a node takes the store's next changes from, and how long it waits.
 //!
-//! Owns the outcome of the node's calls so far. The calls, the clock and the view are the driver's; the shares of the bounds
-//! are in [`super::bounds`].
+//! Owns the outcome of the node's calls so far. The calls, the clock and the view are the driver's; the shares of the
+//! bounds are in [`super::bounds`].
 
 use super::bounds::WatchBounds;
 use super::choice::RelayChoice;
--- a/crates/gateway/src/adapter/mod.rs
+++ b/crates/gateway/src/adapter/mod.rs
@@ -1,4 +1,5 @@
-//! What an adapter to a platform brings.
+//! What an adapter to a platform brings: two traits in the terms of the decision code. The rest of the crate knows no
+//! header, path or key of a platform.
 //!
 //! | module | owns |
 //! |---|---|
--- a/crates/gateway/src/fleet/fleet_view.rs
+++ b/crates/gateway/src/fleet/fleet_view.rs
@@ -1,6 +1,7 @@
 //! What this node knows of the fleet: the configuration in force, the workers, the storing nodes.
 //!
-//! Owns these tables and the process's source of randomness; relies on the updates that [`super::metadata_watch`] sends.
+//! Owns these tables and the process's source of randomness; relies on the updates that [`super::metadata_watch`]
+//! sends.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/gateway/src/fleet/metadata_view.rs
+++ b/crates/gateway/src/fleet/metadata_view.rs
@@ -1,7 +1,7 @@
 //! This node's view of the metadata store, which other nodes may ask for.
 //!
-//! Owns the mirror and when it was last asked for; [`super::metadata_watch`] keeps it up to date, and the listener for peers
-//! puts other nodes' questions to it.
+//! Owns the mirror and when it was last asked for; [`super::metadata_watch`] keeps it up to date, and the listener for
+//! peers puts other nodes' questions to it.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/crates/gateway/src/fleet/metadata_watch.rs
+++ b/crates/gateway/src/fleet/metadata_watch.rs
@@ -1,7 +1,7 @@
 //! Keeping this node's view of the metadata store up to date, through relays or by calls of its own.
 //!
-//! Owns the calls, and the log lines of whom the node follows. Where the next changes come from and how long a call may take
-//! is decided by [`WatchPolicy`].
+//! Owns the calls, and the log lines of whom the node follows. Where the next changes come from and how long a call may
+//! take is decided by [`WatchPolicy`].
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,5 +1,8 @@
 //! What this node knows of the fleet, and how it keeps that up to date.
 //!
+//! Relies on the adapter for the store's calls and the meaning of its items, on [`crate::peers`] for relays, and on
+//! [`stallmoor_core::serving::relay`] for each decision.
+//!
 //! | module | owns |
 //! |---|---|
 //! | [`fleet_view`] | the configuration in force, the workers, the storing nodes |
--- a/crates/gateway/src/leader/mod.rs
+++ b/crates/gateway/src/leader/mod.rs
@@ -8,8 +8,8 @@
 //!
 //! Each of them has a fallback for the time without a leader: loads age out, and a gateway goes on with its part of
 //! a tenant's limit. A wrong answer counts as none, and is logged. The decisions are in
-//! [`stallmoor_core::serving::leader`] and [`stallmoor_core::serving::quota`]; the room relies on [`crate::peers`] for the
-//! calls and on [`crate::fleet`] for the storing nodes.
+//! [`stallmoor_core::serving::leader`] and [`stallmoor_core::serving::quota`]; the room relies on [`crate::peers`] for
+//! the calls and on [`crate::fleet`] for the storing nodes.
 
 pub mod client;
 pub mod load_exchange;
--- a/crates/gateway/src/observe/measures.rs
+++ b/crates/gateway/src/observe/measures.rs
@@ -17,8 +17,8 @@
 
 /// The path that answers with the figures.
 const PATH: &str = "/metrics";
-/// The upper bounds of the histograms' buckets, in seconds. Not measured: from a cached answer to the usual time-out, about
-/// two to a doubling where objectives lie.
+/// The upper bounds of the histograms' buckets, in seconds. Not measured: from a cached answer to the usual time-out,
+/// about two to a doubling where objectives lie.
 const BUCKETS: [f64; 12] = [0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0];
 
 /// A metric and its meaning.
--- a/crates/gateway/src/observe/mod.rs
+++ b/crates/gateway/src/observe/mod.rs
@@ -1,4 +1,4 @@
-//! What a process lets its operators see.
+//! What a process lets its operators see. Nothing waits for it: lines that find no room are dropped and counted.
 //!
 //! | module | owns |
 //! |---|---|
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,5 +1,8 @@
 //! Messages between nodes over TCP.
 //!
+//! Relies on `stallmoor_wire` for the form of messages and on [`crate::sockets`] for connections. What arrives from
+//! other nodes unasked is the listener's (`crate::storage::peer_listener`).
+//!
 //! | module | owns |
 //! |---|---|
 //! | [`frames`] | one message on the wire, with its length |
--- a/crates/gateway/src/peers/peer_link.rs
+++ b/crates/gateway/src/peers/peer_link.rs
@@ -1,7 +1,7 @@
 //! Connections to other nodes: messages that may be lost, and requests that are answered.
 //!
-//! Owns one connection for each node and use, and the requests that wait on it. Relies on [`super::frames`]; who is asked and
-//! for how long is the caller's. A link is never repaired: the next message opens another.
+//! Owns one connection for each node and use, and the requests that wait on it. Relies on [`super::frames`]; who is
+//! asked and for how long is the caller's. A link is never repaired: the next message opens another.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,8 +23,10 @@
 use crate::peers::frames::{read_message, write_frame};
 use crate::sockets::connect_tuned;
 
-/// Most messages that wait for one peer: bounds memory. What doesn't fit is dropped, and sent again by whoever needs it.
-/// Not measured: ample for a burst of entries.
+/// The group that holds the job table, and to which every request between gateways and storing nodes is addressed.
+pub const JOBS_GROUP: GroupId = GroupId(0);
+/// Most messages that wait for one peer: bounds memory. What doesn't fit is dropped, and sent again by whoever needs
+/// it. Not measured: ample for a burst of entries.
 const QUEUE: usize = 1_024;
 /// How long a connection attempt may take, in milliseconds: messages to a machine that is gone are given up. Not
 /// measured: several round trips between zones.
@@ -151,7 +153,7 @@
     pub fn notify(&self, to: SocketAddr, request: JobsRequest) {
         let id = self.next_id();
         let body = GroupRequestBody::Jobs(request);
-        self.send(to, &PeerMessage::GroupRequest(GroupRequest { id, from: self.id, group: GroupId(0), body }));
+        self.send(to, &PeerMessage::GroupRequest(GroupRequest { id, from: self.id, group: JOBS_GROUP, body }));
     }
 
     /// Sends a request and waits for its answer.
@@ -181,7 +183,7 @@
         within: Duration,
     ) -> Result<GroupAnswerBody, AskFailure> {
         let id = self.next_id();
-        let message = PeerMessage::GroupRequest(GroupRequest { id, from: self.id, group: GroupId(0), body });
+        let message = PeerMessage::GroupRequest(GroupRequest { id, from: self.id, group: JOBS_GROUP, body });
         let frame = stallmoor_wire::encode(&message);
         let link = self.link(LinkKey { to, link_use: LinkUse::Messages });
         let (answer_sender, answer) = oneshot::channel();
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -1,7 +1,7 @@
 //! A gateway or a storing node as a process: its parts put together, its stop and its reload.
 //!
-//! Owns the tasks of the process and the channels between them. Relies on every other room; decides nothing but the order
-//! in which parts start and stop, and the times of a stop come from [`stallmoor_core::serving::stopping`].
+//! Owns the tasks of the process and the channels between them. Relies on every other room; decides nothing but the
+//! order in which parts start and stop, and the times of a stop come from [`stallmoor_core::serving::stopping`].
 //!
 //! | module | owns |
 //! |---|---|
--- a/crates/gateway/src/process/settings.rs
+++ b/crates/gateway/src/process/settings.rs
@@ -1,4 +1,7 @@
-//! The settings file of a gateway or storing node.
+//! The settings file of a gateway or storing node: read and checked once, at the start; at a reload only the log level
+//! is taken.
+//!
+//! Owns the names of tables and fields, and their defaults. Deploy files fill it in.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
--- a/crates/gateway/src/process/signals.rs
+++ b/crates/gateway/src/process/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that a process gets from whoever runs it.
+//! The signals that a process gets from whoever runs it. Owns their handlers; what follows is the process's.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
--- a/crates/gateway/src/process/storing.rs
+++ b/crates/gateway/src/process/storing.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use snafu::ResultExt;
-use stallmoor_core::identity::{GroupId, NodeId};
+use stallmoor_core::identity::NodeId;
 use stallmoor_core::log_event::LogEvent;
 use stallmoor_core::replication::ReplicaSettings;
 use stallmoor_core::serving::jobs::directory::StorageRecord;
@@ -23,14 +23,13 @@
 use super::{DiskSnafu, ProcessError, SystemSnafu};
 use crate::adapter::PlatformAdapter;
 use crate::observe::journal::{Field, record};
+use crate::peers::peer_link::JOBS_GROUP;
 use crate::storage::disk_budget::DiskBudget;
 use crate::storage::disk_writer::DiskWriter;
 use crate::storage::peer_listener::accept_peers;
 use crate::storage::registration;
 use crate::storage::service::{StorageInputs, StorageParts, StorageService};
 
-/// The group that holds the job table.
-const JOBS_GROUP: GroupId = GroupId(0);
 /// Messages of peers that wait for the service: bounds memory. Further ones wait in their connections. Not measured: a
 /// few messages of each of a thousand nodes.
 const PEER_EVENTS: usize = 4_096;
