--- a/crates/core/tests/quota_simulation.rs
+++ b/crates/core/tests/quota_simulation.rs
@@ -1,4 +1,4 @@
-//! Tenants' limits over many gateways on a virtual clock, against what an all-knowing bucket would let through.
+//! Tenants' limits over many gateways on a virtual clock, against what an all-knowing bucket would admit.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -20,14 +20,14 @@
 const WINDOW_MS: u64 = 5_000;
 /// One way between a gateway and the leader, in milliseconds.
 const DELAY_MS: u64 = 3;
-/// How long a request waits for the leader's first word of its tenant, in milliseconds.
-const FIRST_WORD_MS: u64 = 60;
+/// How long a request waits for the leader's first answer for its tenant, in milliseconds.
+const FIRST_ANSWER_WAIT_MS: u64 = 60;
 /// How long a gateway waits for the answer to a report, in milliseconds.
-const PATIENCE_MS: u64 = 250;
+const REPORT_TIMEOUT_MS: u64 = 250;
 /// How far the count may go over the limit: a tenth, and so many requests.
 const EXCESS: f64 = 0.1;
 /// A gateway's part of the demand is known this long after it, or all of them, started, and after a change of the
-/// leader. A cut before that may let too much through: docs/design/shifted-work.md has by how much.
+/// leader. A cut before that may admit too much: docs/design/shifted-work.md has by how much.
 const SETTLING_MS: u64 = 3_000;
 const MARGIN: f64 = 20.0;
 
@@ -101,7 +101,7 @@
 struct Outcome {
     asked: u64,
     through: u64,
-    /// What one bucket that knew of all requests would have let through.
+    /// What one bucket that knew of all requests would have admitted.
     ideal: u64,
     /// Most requests in a window beyond what the limit allows, its slack not counted.
     worst_excess: f64,
@@ -111,7 +111,7 @@
 
 enum Mail {
     Report { gateway: usize, report: QuotaReport, sent_at: u64 },
-    News { gateway: usize, report: QuotaReport, news: QuotaLevels, sent_at: u64 },
+    Levels { gateway: usize, report: QuotaReport, levels: QuotaLevels, sent_at: u64 },
 }
 
 fn play(day: &Day) -> Outcome {
@@ -127,7 +127,7 @@
     let mut mail: VecDeque<(u64, Mail)> = VecDeque::new();
     let mut passed: VecDeque<u64> = VecDeque::new();
     let mut waiting: VecDeque<(u64, usize)> = VecDeque::new();
-    let mut heard_at = vec![0; day.gateways];
+    let mut answered_at = vec![0; day.gateways];
     let mut unanswered: Vec<Option<u64>> = vec![None; day.gateways];
     let mut outcome = Outcome::default();
     for now in 0..day.length_ms {
@@ -148,19 +148,19 @@
         while mail.front().is_some_and(|(due, _)| *due <= now) {
             match mail.pop_front().expect("there is one").1 {
                 Mail::Report { gateway, report, sent_at } if !is_cut(gateway) => {
-                    let news = leader.report(ids[gateway], &report, |_| Some(limit), at(now));
-                    mail.push_back((now + DELAY_MS, Mail::News { gateway, report, news, sent_at }));
+                    let levels = leader.report(ids[gateway], &report, |_| Some(limit), at(now));
+                    mail.push_back((now + DELAY_MS, Mail::Levels { gateway, report, levels, sent_at }));
                 }
-                Mail::News { gateway, report, news, sent_at } if !is_cut(gateway) => {
-                    limiters[gateway].apply(&report, &news, at(sent_at));
-                    heard_at[gateway] = now;
+                Mail::Levels { gateway, report, levels, sent_at } if !is_cut(gateway) => {
+                    limiters[gateway].apply(&report, &levels, at(sent_at));
+                    answered_at[gateway] = now;
                     unanswered[gateway] = None;
                 }
                 _ => {}
             }
         }
         for gateway in 0..day.gateways {
-            if unanswered[gateway].is_some_and(|since| now >= since + PATIENCE_MS) {
+            if unanswered[gateway].is_some_and(|since| now >= since + REPORT_TIMEOUT_MS) {
                 limiters[gateway].report_failed();
             }
             if limiters[gateway].next_report(at(reported_at[gateway])) <= at(now) {
@@ -190,7 +190,7 @@
             }
         }
         waiting.retain(|(since, gateway)| {
-            if heard_at[*gateway] <= *since && now < since + FIRST_WORD_MS {
+            if answered_at[*gateway] <= *since && now < since + FIRST_ANSWER_WAIT_MS {
                 return true;
             }
             let ask = TenantAsk { tenant: &name, limit, has_waited: true };
@@ -268,8 +268,8 @@
     let limit = limit(1.0, 4.0);
     let exchange = |limiter: &mut RateLimiter, leader: &mut RateCoordinator, now: u64| {
         let report = limiter.report(at(now));
-        let news = leader.report(NodeId(1), &report, |_| Some(limit), at(now));
-        limiter.apply(&report, &news, at(now));
+        let levels = leader.report(NodeId(1), &report, |_| Some(limit), at(now));
+        limiter.apply(&report, &levels, at(now));
         leader.tick(at(now));
     };
     for now in (2_000..3_000).step_by(50) {
