--- a/crates/node/src/running.rs
+++ b/crates/node/src/running.rs
@@ -87,17 +87,35 @@
     persisted: PersistedNode,
 }
 
+/// What a node listens on.
+struct Sockets {
+    peers: TcpListener,
+    datagrams: Arc<UdpSocket>,
+    callers: TcpListener,
+    /// Of `peers` and `datagrams`; the port is chosen by the system where the settings say 0.
+    peer_address: SocketAddr,
+    caller_address: SocketAddr,
+}
+
+impl Sockets {
+    async fn open(settings: &NodeFileSettings) -> Result<Self, NodeError> {
+        let peers = listen(settings.peer_address).await?;
+        let peer_address = peers.local_addr().context(ListenSnafu { address: settings.peer_address })?;
+        let datagrams = UdpSocket::bind(peer_address).await.context(ListenSnafu { address: peer_address })?;
+        let callers = listen(settings.caller_address).await?;
+        let caller_address = callers.local_addr().context(ListenSnafu { address: settings.caller_address })?;
+        Ok(Self { peers, datagrams: Arc::new(datagrams), callers, peer_address, caller_address })
+    }
+}
+
 /// Starts a node. Returns once it listens.
 ///
 /// # Errors
 ///
 /// An address or the data folder can't be used.
 pub async fn start(settings: &NodeFileSettings, adopt_data_folder: bool) -> Result<RunningNode, NodeError> {
-    let peer_listener = listen(settings.peer_address).await?;
-    let peer_address = peer_listener.local_addr().context(ListenSnafu { address: settings.peer_address })?;
-    let socket = UdpSocket::bind(peer_address).await.context(ListenSnafu { address: peer_address })?;
-    let caller_listener = listen(settings.caller_address).await?;
-    let caller_address = caller_listener.local_addr().context(ListenSnafu { address: settings.caller_address })?;
+    let sockets = Sockets::open(settings).await?;
+    let (peer_address, caller_address) = (sockets.peer_address, sockets.caller_address);
 
     let mut random = Xoshiro256PlusPlus::from_os_rng();
     let fresh_identity = NodeId(random.random::<u64>().max(1));
@@ -111,10 +129,9 @@
     let callers = CallerRegistry::default();
     let caller = HttpCaller::default();
     let engines = Arc::new(HttpEngines::new(caller.clone()));
-    let socket = Arc::new(socket);
     let streams_state = StreamsState::new(engines.clone(), events.clone());
     let streams = actor::spawn(streams_state).await.context(SpawnSnafu)?;
-    let transport_state = TransportState::new(socket.clone());
+    let transport_state = TransportState::new(sockets.datagrams.clone());
     let transport = actor::spawn(transport_state).await.context(SpawnSnafu)?;
     let driver_state = DriverState {
         node,
@@ -133,10 +150,10 @@
     let (stopped_sender, stopped) = watch::channel(false);
     tokio::spawn(feed_driver(driver, queue, stopped_sender));
     tokio::spawn(tick(events.clone()));
-    tokio::spawn(accept_peers(peer_listener, events.clone()));
-    tokio::spawn(receive_datagrams(socket, events.clone()));
+    tokio::spawn(accept_peers(sockets.peers, events.clone()));
+    tokio::spawn(receive_datagrams(sockets.datagrams, events.clone()));
     let service = HttpService::new(events.clone(), callers, settings.limits);
-    tokio::spawn(serve(caller_listener, service));
+    tokio::spawn(serve(sockets.callers, service));
     let detail = format!("{} in zone {}: peers {peer_address}, callers {caller_address}", disk.id, settings.zone);
     log_event(LogEvent::NodeStarted, &detail);
     Ok(RunningNode { events, stopped, caller_address, peer_address })
