--- a/crates/core/src/node/configuration_flow.rs
+++ b/crates/core/src/node/configuration_flow.rs
@@ -248,6 +248,7 @@
         self.finish_confirmations();
         if now >= self.configuration_state.next_watch {
             let poll = self.settings.configuration_poll.0;
+            // Uniform between half the interval and one and a half, so that the watchers' reads don't fall together.
             let wait = Millis(poll / 2 + self.random.random_range(0..=poll));
             self.configuration_state.next_watch = now + wait;
             // The others hear of revisions from the watchers; at a cold start of the whole fleet their reads
--- a/crates/core/src/node/engines_flow.rs
+++ b/crates/core/src/node/engines_flow.rs
@@ -24,7 +24,12 @@
 const MACHINE_WATCHERS: usize = 3;
 /// To how many nodes a fact is passed on by each that learns it.
 const SPREAD: usize = 4;
-/// How many leaving facts are told to one node again at each tick of the reminder.
+/// Time between the first polls of two engines next to each other in the list, so that the polls of one
+/// node spread over the interval. Not measured: a prime, so that no two of them fall on the same
+/// millisecond of an interval that is not a multiple of it.
+const POLL_STAGGER: Millis = Millis(37);
+/// Time between two reminders, each of which gives all leaving facts to one random node. Not measured: a
+/// fact that spreading missed reaches a node about so late, and the load of the other nodes stays small.
 const REMINDER_INTERVAL: Millis = Millis(5_000);
 
 /// When engines and machines are polled next.
@@ -93,8 +98,7 @@
         chosen.extend(self.stewards.keys().cloned());
         let earlier = std::mem::take(&mut self.polls.due);
         for (place, engine) in chosen.into_iter().enumerate() {
-            // Spread over the interval, so that polls don't come in bursts.
-            let offset = Millis(place as u64 * 37 % self.poll_interval().0.max(1));
+            let offset = Millis(place as u64 * POLL_STAGGER.0 % self.poll_interval().0.max(1));
             let due = earlier.get(&engine).copied().unwrap_or(now + offset);
             self.polls.due.insert(engine, due);
         }
--- a/crates/core/src/node/founding_flow.rs
+++ b/crates/core/src/node/founding_flow.rs
@@ -19,6 +19,9 @@
 const READ_SPREAD: Millis = Millis(200);
 /// Time between two looks at the directory once it is known.
 const REFRESH_INTERVAL: Millis = Millis(5_000);
+/// How many nodes are asked for their directory at a time. Not measured: the second makes up for one that
+/// does not answer or knows nothing yet.
+const DIRECTORY_PEERS: usize = 2;
 
 /// What a node keeps until the groups are found.
 pub(super) struct FoundingState {
@@ -62,6 +65,7 @@
         }
         let stores = self.membership.present().filter(|member| member.stores).count() as u64;
         let spread = READ_SPREAD.0 * stores.max(1);
+        // Uniform between half the spread and one and a half, so that the reads of the nodes don't fall together.
         let wait = spread / 2 + self.random.random_range(0..=spread);
         self.founding.next_read = now + Millis(wait);
         true
@@ -74,7 +78,7 @@
             return;
         }
         let from = self.settings.id;
-        for node in self.membership.sample_present(2) {
+        for node in self.membership.sample_present(DIRECTORY_PEERS) {
             self.send(node, PeerMessage::DirectoryRequest { from });
         }
     }
--- a/crates/core/src/node/group_client.rs
+++ b/crates/core/src/node/group_client.rs
@@ -15,8 +15,9 @@
 use crate::peer_message::{GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody, PeerMessage};
 use crate::time::{Millis, Timestamp};
 
-/// How long one try waits for its answer.
-const TRY_TIMEOUT: Millis = Millis(400);
+/// Longest wait for the answer to one try; the wait is drawn between half of it and all of it. Not
+/// measured: a healthy group answers after one round of replication, far sooner than the shortest wait.
+const MOST_TRY_WAIT: Millis = Millis(800);
 /// How long a request waits after a refusal.
 const REFUSAL_BACKOFF: Backoff = Backoff::new(Millis(10), Millis(400));
 /// Most requests that wait at once.
@@ -108,6 +109,7 @@
         self.pending.len()
     }
 
+    /// A wait drawn between half the span and all of it.
     fn jitter(&mut self, span: Millis) -> Millis {
         Millis(span.0 / 2 + self.random.random_range(0..=span.0 / 2))
     }
@@ -148,7 +150,7 @@
 
     fn try_request(&mut self, id: u64) {
         let now = self.clock.now;
-        let wait = self.client.jitter(Millis(TRY_TIMEOUT.0 * 2));
+        let wait = self.client.jitter(MOST_TRY_WAIT);
         let Some(pending) = self.client.pending.get_mut(&id) else { return };
         let target = choose_target(self.directory.get(pending.group), pending.tries);
         pending.tries += 1;
--- a/crates/core/src/node/key_value_flow.rs
+++ b/crates/core/src/node/key_value_flow.rs
@@ -11,10 +11,16 @@
 use crate::node::control::GroupsRecord;
 use crate::time::{Millis, Timestamp};
 
-/// Tokens that only a change of configuration may use.
-const RESERVED_CALLS: f64 = 4.0;
-/// Most tokens saved up.
-const MOST_CALLS_SAVED: f64 = 16.0;
+/// Tokens that one call takes.
+const CALL_TOKENS: f64 = 1.0;
+/// Tokens that only a change of configuration may use, so that an operator need not wait for the node's
+/// own calls. Not measured: enough for the manifest and a few parts.
+const RESERVED_TOKENS: f64 = 4.0;
+/// Most tokens saved up, which bounds a burst of calls. Not measured: a dozen parts of a change are
+/// written without a wait, and at the usual rate it is less than two seconds' worth.
+const MOST_TOKENS: f64 = 16.0;
+/// Milliseconds in the second that the rate is given for.
+const MILLIS_PER_SECOND: f64 = 1_000.0;
 
 /// What a call to the key-value service is for.
 #[derive(Clone, Debug)]
@@ -66,7 +72,7 @@
             calls: BTreeMap::new(),
             waiting: VecDeque::new(),
             next_call: 1,
-            tokens: MOST_CALLS_SAVED,
+            tokens: MOST_TOKENS,
             tokens_at: now,
             service_answers: true,
         }
@@ -98,17 +104,17 @@
     pub(super) fn send_waiting_calls(&mut self) {
         let now = self.clock.now;
         let state = &mut self.key_value;
-        let earned = now.since(state.tokens_at).0 as f64 / 1_000.0 * self.settings.key_value_rate;
-        state.tokens = (state.tokens + earned).min(MOST_CALLS_SAVED);
+        let earned = now.since(state.tokens_at).0 as f64 / MILLIS_PER_SECOND * self.settings.key_value_rate;
+        state.tokens = (state.tokens + earned).min(MOST_TOKENS);
         state.tokens_at = now;
         let mut kept = VecDeque::new();
         while let Some(waiting) = state.waiting.pop_front() {
-            let floor = if waiting.purpose.is_urgent() { 1.0 } else { 1.0 + RESERVED_CALLS };
+            let floor = if waiting.purpose.is_urgent() { CALL_TOKENS } else { CALL_TOKENS + RESERVED_TOKENS };
             if now < waiting.not_before || state.tokens < floor {
                 kept.push_back(waiting);
                 continue;
             }
-            state.tokens -= 1.0;
+            state.tokens -= CALL_TOKENS;
             let call = KeyValueCall(state.next_call);
             state.next_call += 1;
             state.calls.insert(call, waiting.purpose);
--- a/crates/core/src/node/membership/dissemination.rs
+++ b/crates/core/src/node/membership/dissemination.rs
@@ -10,6 +10,11 @@
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
+/// A change is carried along this many times the logarithm of the number of nodes. Not measured: SWIM's
+/// authors show that a small multiple reaches all nodes with high probability, and full exchanges cover
+/// the rest.
+const TRANSMISSION_FACTOR: u32 = 3;
+
 /// What is kept of a member besides what is spread.
 #[derive(Clone, Debug)]
 pub(super) struct KnownMember {
@@ -51,9 +56,8 @@
     }
 
     fn transmissions(&self) -> u32 {
-        const FACTOR: u32 = 3;
         let count = self.members.len() as u32 + 2;
-        FACTOR * (count.ilog2() + 1)
+        TRANSMISSION_FACTOR * (count.ilog2() + 1)
     }
 
     pub(super) fn take_sequence(&mut self) -> u64 {
--- a/crates/core/src/node/membership/swim.rs
+++ b/crates/core/src/node/membership/swim.rs
@@ -20,6 +20,9 @@
 
 /// Most seeds remembered; the oldest are dropped.
 const MOST_SEEDS: usize = 64;
+/// How many nodes are sent a planned stop directly. Not measured: the others learn of it from these, whose
+/// messages carry it along.
+const DEPARTURE_MESSAGES: usize = 16;
 
 /// Times and limits of the membership protocol.
 #[derive(Clone, Copy, Debug)]
@@ -42,6 +45,8 @@
     pub forget_after: Millis,
 }
 
+/// Not measured, but the failure runs of the simulation use these values. A dead node is probed, suspected
+/// and declared dead within seconds, and a node sends two probes a second whatever the number of nodes.
 impl Default for MembershipSettings {
     fn default() -> Self {
         Self {
@@ -179,7 +184,7 @@
         self.own.status = MemberStatus::Left;
         let addresses: Vec<SocketAddr> =
             self.others().filter(|member| member.is_present()).map(|member| member.peer_address).collect();
-        for address in addresses.into_iter().take(16) {
+        for address in addresses.into_iter().take(DEPARTURE_MESSAGES) {
             self.send(address, MembershipPayload::Ping { target: None });
         }
     }
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -23,6 +23,8 @@
 const PEER_QUEUE: usize = 4_096;
 /// Messages of at most this size go as one datagram.
 const MOST_DATAGRAM_BYTES: usize = 8_192;
+/// Room for one datagram. Larger than any UDP payload, so that none is cut off.
+const DATAGRAM_BUFFER_BYTES: usize = 65_536;
 /// How long a connection attempt may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long one write may take before the connection is given up.
@@ -166,7 +168,7 @@
 
 /// Receives datagrams and passes their messages on.
 pub async fn receive_datagrams(socket: Arc<UdpSocket>, events: EventSender) {
-    let mut buffer = vec![0; 65_536];
+    let mut buffer = vec![0; DATAGRAM_BUFFER_BYTES];
     loop {
         let Ok((length, peer)) = socket.recv_from(&mut buffer).await else { continue };
         match stallmoor_wire::decode(&buffer[..length]) {
