--- a/crates/core/src/node/batch_flow.rs
+++ b/crates/core/src/node/batch_flow.rs
@@ -29,7 +29,7 @@
     pub(super) dispatcher: BatchDispatcher,
     /// Something changed that may let streams start or end.
     pub(super) is_dirty: bool,
-    /// Engines whose steward must be told of this node's online requests.
+    /// Engines whose steward is due a report of this node's online requests.
     pub(super) notices_due: BTreeSet<EngineName>,
     pub(super) next_notice: Timestamp,
     next_ask: Timestamp,
--- a/crates/core/src/node/configuration/bundle.rs
+++ b/crates/core/src/node/configuration/bundle.rs
@@ -14,7 +14,7 @@
 use super::reader::{ConfigurationError, SourceFile};
 use crate::hashing::hash_parts;
 
-/// How many past changes a manifest remembers, to tell whether a change whose answer was lost took effect.
+/// How many past changes a manifest remembers, to find out whether a change whose answer was lost took effect.
 pub const REMEMBERED_APPLIES: usize = 64;
 
 /// Names the content of a part.
--- a/crates/core/src/node/configuration/replica.rs
+++ b/crates/core/src/node/configuration/replica.rs
@@ -51,12 +51,12 @@
         self.in_force.as_ref().map_or(0, |in_force| in_force.manifest.revision)
     }
 
-    /// The newest revision heard of, in force or still arriving.
+    /// The newest revision known, in force or still arriving.
     pub fn newest_known(&self) -> u64 {
         self.pending.as_ref().map_or(0, |manifest| manifest.revision).max(self.revision())
     }
 
-    /// Takes a manifest. A revision that is not higher is passed over, whatever its source says.
+    /// Takes a manifest. A revision that is not higher is ignored, whatever its source says.
     pub fn offer(&mut self, manifest: Manifest) -> OfferOutcome {
         if manifest.revision <= self.revision() {
             return OfferOutcome::NotNewer;
--- a/crates/core/src/node/configuration_flow.rs
+++ b/crates/core/src/node/configuration_flow.rs
@@ -251,7 +251,7 @@
             // Uniform between half the interval and one and a half, so that the watchers' reads don't fall together.
             let wait = Millis(poll / 2 + self.random.random_range(0..=poll));
             self.configuration_state.next_watch = now + wait;
-            // The others hear of revisions from the watchers; at a cold start of the whole fleet their reads
+            // The others get revisions from the watchers; at a cold start of the whole fleet their reads
             // together would be more than the service bears.
             let is_alone = self.membership.present().count() <= 1;
             if is_alone || self.has_duty("configuration", CONFIGURATION_WATCHERS) {
@@ -304,10 +304,10 @@
         }
         self.log(LogEvent::ConfigurationInForce, format!("revision {revision}"));
         let from = self.settings.id;
-        let mut told = self.membership.sample_present(SPREAD);
+        let mut receivers = self.membership.sample_present(SPREAD);
         // Whoever offered it learns that it is in force here.
-        told.extend(self.configuration_state.source.take().filter(|source| !told.contains(source)));
-        for node in told {
+        receivers.extend(self.configuration_state.source.take().filter(|source| !receivers.contains(source)));
+        for node in receivers {
             self.send(node, PeerMessage::Configuration(ConfigurationMessage::Offer { from, revision }));
         }
         self.batch.is_dirty = true;
--- a/crates/core/src/node/engines_flow.rs
+++ b/crates/core/src/node/engines_flow.rs
@@ -65,7 +65,7 @@
             self.polls.next_reminder = now + REMINDER_INTERVAL;
             let chosen = self.membership.sample_present(1);
             for node in chosen {
-                self.tell_leaving_facts(node);
+                self.send_leaving_facts(node);
             }
         }
         self.poll_due_engines();
@@ -147,47 +147,47 @@
         if let Some(batch) = cache {
             self.polls.prefix_index.record(engine, batch);
         }
-        let news = self.engines.reported(engine, report, now);
-        self.spread_leaving(news.into_iter().collect());
+        let new_fact = self.engines.reported(engine, report, now);
+        self.spread_leaving(new_fact.into_iter().collect());
     }
 
     pub(super) fn on_machines(&mut self, machines: &[MachineReport]) {
-        let mut news = Vec::new();
+        let mut new_facts = Vec::new();
         for machine in machines {
             self.engines.learn_incarnation(&machine.engine, machine.incarnation);
             if machine.leaving {
                 let fact = LeavingFact { engine: machine.engine.clone(), incarnation: machine.incarnation };
-                news.extend(self.engines.learn_leaving(&fact));
+                new_facts.extend(self.engines.learn_leaving(&fact));
             }
         }
-        self.spread_leaving(news);
+        self.spread_leaving(new_facts);
     }
 
     pub(super) fn on_engines_leaving(&mut self, facts: &[LeavingFact]) {
-        let news: Vec<LeavingFact> = facts.iter().filter_map(|fact| self.engines.learn_leaving(fact)).collect();
-        self.spread_leaving(news);
+        let new_facts: Vec<LeavingFact> = facts.iter().filter_map(|fact| self.engines.learn_leaving(fact)).collect();
+        self.spread_leaving(new_facts);
     }
 
     pub(super) fn engine_refused_as_leaving(&mut self, engine: &EngineName) {
-        let news = self.engines.refused_as_leaving(engine);
-        self.spread_leaving(news.into_iter().collect());
+        let new_fact = self.engines.refused_as_leaving(engine);
+        self.spread_leaving(new_fact.into_iter().collect());
     }
 
-    /// Passes news on to a few nodes, each of which does the same.
-    fn spread_leaving(&mut self, news: Vec<LeavingFact>) {
-        if news.is_empty() {
+    /// Passes new facts on to a few nodes, each of which does the same.
+    fn spread_leaving(&mut self, facts: Vec<LeavingFact>) {
+        if facts.is_empty() {
             return;
         }
-        for fact in &news {
+        for fact in &facts {
             self.log(LogEvent::EngineLeaving, format!("{} incarnation {}", fact.engine, fact.incarnation));
         }
         for node in self.membership.sample_present(SPREAD) {
-            self.send(node, PeerMessage::EnginesLeaving(news.clone()));
+            self.send(node, PeerMessage::EnginesLeaving(facts.clone()));
         }
         self.batch.is_dirty = true;
     }
 
-    pub(super) fn tell_leaving_facts(&mut self, node: NodeId) {
+    pub(super) fn send_leaving_facts(&mut self, node: NodeId) {
         let facts = self.engines.leaving_facts();
         if !facts.is_empty() {
             self.send(node, PeerMessage::EnginesLeaving(facts));
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -1,4 +1,4 @@
-//! What a node is told.
+//! The events that a node takes.
 
 use std::sync::Arc;
 
--- a/crates/core/src/node/group_requests.rs
+++ b/crates/core/src/node/group_requests.rs
@@ -71,7 +71,7 @@
         self.send(to, PeerMessage::GroupAnswer(GroupAnswer { id, group, result }));
     }
 
-    /// Whoever waits at a deposed leader is told to ask again elsewhere.
+    /// Whoever waits at a deposed leader is answered that it should ask the new one.
     pub(super) fn drop_waiting(&mut self, group: GroupId) {
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let refusal = refusal_of(&hosted.replica);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// An outcome is told once every replica that answers holds it, or after a short wait.
+    /// An outcome is answered once every replica that answers holds it, or after a short wait.
     pub(super) fn answer_waiting(&mut self, group: GroupId) {
         let now = self.clock.now;
         let wait = self.settings.replication.acknowledge_wait;
--- a/crates/core/src/node/groups.rs
+++ b/crates/core/src/node/groups.rs
@@ -27,8 +27,9 @@
 
 /// Time between two looks at the health of a group's members.
 const REPAIR_INTERVAL: Millis = Millis(1_000);
-/// A log may grow to this many times its limit while a follower is behind.
-const COMPACT_PATIENCE: usize = 4;
+/// A log may grow to this many times its limit while a follower is behind. Not measured: it bounds the
+/// disk and memory of a log, and gives a follower that restarts time to catch up without a snapshot.
+const COMPACT_SLACK: usize = 4;
 /// One hosted replica with its state machine.
 pub(super) struct HostedGroup {
     pub(super) replica: Replica,
@@ -263,7 +264,7 @@
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let bytes = hosted.replica.log().bytes();
         let due = bytes > limit && hosted.replica.all_voters_caught_up();
-        if due || bytes > limit * COMPACT_PATIENCE {
+        if due || bytes > limit * COMPACT_SLACK {
             let state = hosted.state.encode();
             hosted.replica.compact(state);
             self.settle_group(group);
--- a/crates/core/src/node/machine.rs
+++ b/crates/core/src/node/machine.rs
@@ -215,7 +215,7 @@
     }
 
     fn on_call(&mut self, caller: CallerId, call: CallerCall) {
-        if self.has_said_goodbye() {
+        if self.has_left() {
             let refusal = Refusal::new(ErrorKind::Stopping, "ask another node");
             let refusal = match &call {
                 CallerCall::Online(call) => refusal_before_mark(call, refusal),
@@ -336,7 +336,7 @@
         };
         self.log(event, format!("{} at {} in zone {}", member.id, member.peer_address, member.zone));
         if member.status == MemberStatus::Alive {
-            self.tell_leaving_facts(member.id);
+            self.send_leaving_facts(member.id);
         }
     }
 }
--- a/crates/core/src/node/membership/dissemination.rs
+++ b/crates/core/src/node/membership/dissemination.rs
@@ -94,7 +94,7 @@
         self.effects.push(MembershipEffect::Send { to, message });
     }
 
-    /// A node that is held to be other than alive is told so, so that it can refute.
+    /// A node that is recorded as other than alive is sent that record, so that it can refute.
     fn accusation_of(&self, address: SocketAddr) -> Option<Member> {
         let accused = |member: &&Member| member.peer_address == address && member.status != MemberStatus::Alive;
         self.others().find(accused).cloned()
--- a/crates/core/src/node/online_attempts.rs
+++ b/crates/core/src/node/online_attempts.rs
@@ -76,7 +76,7 @@
             repeatable: request.call.repeatable,
         };
         self.online.attempts.insert(attempt, caller);
-        self.online.last_heard.insert(attempt, now);
+        self.online.last_contact.insert(attempt, now);
         self.engines.online_started(&engine);
         self.batch.notices_due.insert(engine.clone());
         let considered = selection.considered.iter().map(String::from).collect();
@@ -105,7 +105,7 @@
     }
 
     fn on_online_stream(&mut self, caller: CallerId, attempt: AttemptId, event: StreamEvent) {
-        self.online.last_heard.insert(attempt, self.clock.now);
+        self.online.last_contact.insert(attempt, self.clock.now);
         match event {
             StreamEvent::Piece { first, tokens, text, .. } => self.on_online_piece(caller, first, tokens, text),
             StreamEvent::End { length, .. } => self.on_online_end(caller, length),
@@ -200,7 +200,7 @@
         let request = self.online.requests.get(&caller)?;
         let OnlinePhase::Running { attempt, engine, .. } = request.phase.clone() else { return None };
         self.online.attempts.remove(&attempt)?;
-        self.online.last_heard.remove(&attempt);
+        self.online.last_contact.remove(&attempt);
         self.engines.online_ended(&engine);
         self.batch.notices_due.insert(engine.clone());
         if succeeded {
--- a/crates/core/src/node/online_flow.rs
+++ b/crates/core/src/node/online_flow.rs
@@ -29,7 +29,7 @@
 pub(super) struct OnlineState {
     pub(super) requests: BTreeMap<CallerId, OnlineRequest>,
     pub(super) attempts: BTreeMap<AttemptId, CallerId>,
-    pub(super) last_heard: BTreeMap<AttemptId, Timestamp>,
+    pub(super) last_contact: BTreeMap<AttemptId, Timestamp>,
     tenant_in_flight: BTreeMap<Arc<str>, u32>,
     pub(super) retry_budget: RetryBudget,
     pub(super) sessions: SessionCache,
@@ -41,7 +41,7 @@
         Self {
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            last_heard: BTreeMap::new(),
+            last_contact: BTreeMap::new(),
             tenant_in_flight: BTreeMap::new(),
             retry_budget: RetryBudget::new(RETRY_LIMITS),
             sessions: SessionCache::default(),
@@ -189,9 +189,9 @@
         }
         let silent: Vec<CallerId> = self
             .online
-            .last_heard
+            .last_contact
             .iter()
-            .filter(|(_, heard)| now.since(**heard) >= SILENCE_TIMEOUT)
+            .filter(|(_, contact)| now.since(**contact) >= SILENCE_TIMEOUT)
             .filter_map(|(attempt, _)| self.online.attempts.get(attempt).copied())
             .collect();
         for caller in silent {
--- a/crates/core/src/node/partition/job.rs
+++ b/crates/core/src/node/partition/job.rs
@@ -14,7 +14,7 @@
     pub tenant: Arc<str>,
     /// The caller's idempotency key.
     pub key: Arc<str>,
-    /// Digest of all item bodies and of the fields below; tells a resend from a conflict.
+    /// Digest of all item bodies and of the fields below; distinguishes a resend from a conflict.
     pub content_digest: u64,
     /// The model to run.
     pub model: Arc<str>,
@@ -100,7 +100,7 @@
     pub ended_at: Option<UnixMillis>,
 }
 
-/// What a caller is told of a job.
+/// The status of a job, as a caller gets it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSummary {
     /// What it was submitted as.
@@ -135,7 +135,7 @@
         self.phase == JobPhase::Cancelled || self.is_complete()
     }
 
-    /// Adds items from place `first` on. Items already held are passed over; a gap adds nothing.
+    /// Adds items from place `first` on. Items already held are skipped; a gap adds nothing.
     pub fn add_items(&mut self, first: u32, items: &[NewItem]) {
         let held = self.items.len() as u32;
         let limit = self.specification.item_count as usize;
@@ -181,7 +181,7 @@
         }
     }
 
-    /// What a caller is told.
+    /// The status, as a caller gets it.
     pub fn summary(&self) -> JobSummary {
         let is_rejected =
             |item: &&Item| item.result.as_ref().is_some_and(|result| result.verdict != ItemVerdict::Completed);
--- a/crates/core/src/node/routing/engine_table.rs
+++ b/crates/core/src/node/routing/engine_table.rs
@@ -8,14 +8,14 @@
 use crate::node::configuration::fleet::{Engine, FleetConfiguration};
 use crate::time::{Millis, Timestamp};
 
-/// Failures in a row before an engine is passed over.
+/// Failures in a row before an engine is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
 /// How long an engine is ejected.
 const EJECTION: Backoff = Backoff::new(Millis(2_000), Millis(30_000));
-/// A report older than this says nothing any more.
+/// A report older than this is not used.
 const REPORT_LIFETIME: Millis = Millis(3_000);
 
-/// An engine's incarnation is leaving. This only grows: an incarnation that leaves never comes back.
+/// An engine's incarnation is leaving. This only grows: an incarnation that leaves never returns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeavingFact {
     /// The engine.
@@ -29,7 +29,7 @@
 pub struct EngineState {
     /// What the operators' files say.
     pub configured: Engine,
-    /// The latest incarnation heard of.
+    /// The latest incarnation reported.
     pub incarnation: u64,
     /// Incarnations up to this one are leaving.
     pub leaving_up_to: Option<u64>,
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct EngineTable {
     engines: BTreeMap<EngineName, EngineState>,
-    /// Incarnations up to these are leaving. Kept apart, since news of an engine may come before the
+    /// Incarnations up to these are leaving. Kept apart, since a report of an engine may come before the
     /// configuration that names it.
     leaving: BTreeMap<EngineName, u64>,
 }
@@ -73,7 +73,7 @@
         self.leaving_up_to.is_some_and(|incarnation| incarnation >= self.incarnation)
     }
 
-    /// Whether the engine is passed over for its failures.
+    /// Whether the engine is ejected for its failures.
     pub fn is_ejected(&self, now: Timestamp) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
@@ -175,10 +175,10 @@
         }
     }
 
-    /// Learns that an engine is leaving. Returns the fact if it is news.
+    /// Learns that an engine is leaving. Returns the fact if it is new.
     pub fn learn_leaving(&mut self, fact: &LeavingFact) -> Option<LeavingFact> {
-        let is_news = self.leaving.get(&fact.engine).is_none_or(|known| *known < fact.incarnation);
-        if !is_news {
+        let is_new = self.leaving.get(&fact.engine).is_none_or(|known| *known < fact.incarnation);
+        if !is_new {
             return None;
         }
         self.leaving.insert(fact.engine.clone(), fact.incarnation);
@@ -188,7 +188,7 @@
         Some(fact.clone())
     }
 
-    /// An engine refused work because it is leaving. Returns the fact if it is news.
+    /// An engine refused work because it is leaving. Returns the fact if it is new.
     pub fn refused_as_leaving(&mut self, name: &EngineName) -> Option<LeavingFact> {
         let incarnation = self.engines.get(name)?.incarnation;
         self.learn_leaving(&LeavingFact { engine: name.clone(), incarnation })
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Notes a failure. Returns whether the engine is passed over from now on.
+    /// Notes a failure. Returns whether this ejects the engine.
     pub fn failed(&mut self, name: &EngineName, now: Timestamp) -> bool {
         let Some(state) = self.engines.get_mut(name) else { return false };
         state.failures += 1;
--- a/crates/core/src/node/routing/selector.rs
+++ b/crates/core/src/node/routing/selector.rs
@@ -17,7 +17,7 @@
 const AFFINITY_CANDIDATES: usize = 3;
 /// A candidate is busy once its online load passes this share of its slots.
 const BUSY_SHARE: f64 = 0.5;
-/// When to come back to a full fleet, in milliseconds.
+/// The `Retry-After` for a full fleet, in milliseconds.
 const OVERLOAD_RETRY_MS: u64 = 500;
 
 /// What a request asks of routing.
@@ -48,7 +48,7 @@
     pub slots: u32,
     /// Leading blocks of the prompt believed to be cached there.
     pub cached_blocks: usize,
-    /// Why it was passed over, or why it was taken.
+    /// Why it was taken or not.
     pub reason: &'static str,
 }
 
@@ -68,7 +68,7 @@
     NoEngine,
     /// Every usable engine is full and its queue too.
     Overloaded {
-        /// When to come back.
+        /// When to retry, in milliseconds from now.
         retry_after_ms: u64,
     },
 }
--- a/crates/core/src/node/scheduling/steward.rs
+++ b/crates/core/src/node/scheduling/steward.rs
@@ -7,7 +7,7 @@
 
 /// How long a granted limit holds.
 pub const GRANT_LIFETIME: Millis = Millis(1_500);
-/// A node that says nothing for this long is held to have nothing at the engine.
+/// A node that reports nothing for this long is taken to have nothing at the engine.
 const NOTICE_LIFETIME: Millis = Millis(5_000);
 
 /// What a steward goes by.
@@ -52,7 +52,7 @@
 }
 
 impl Steward {
-    /// A node says how many online requests it has at the engine.
+    /// A node reports how many online requests it has at the engine.
     pub fn online_notice(&mut self, node: NodeId, in_flight: u32, now: Timestamp) {
         if in_flight == 0 {
             self.online.remove(&node);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Online requests at the engine, as told by the nodes.
+    /// Online requests at the engine, as reported by the nodes.
     pub fn online_in_flight(&self) -> u32 {
         self.online.values().map(|notice| notice.in_flight).sum()
     }
@@ -107,26 +107,26 @@
         grants
     }
 
-    /// Divides anew and returns the limits that are lower than what their holder was told.
+    /// Divides anew and returns the limits that are lower than what their holder was last granted.
     pub fn recalls(&mut self, settings: StewardSettings) -> Vec<BatchGrant> {
-        self.retell(settings, |limit, told| limit < told)
+        self.regrant(settings, |limit, granted| limit < granted)
     }
 
-    /// Divides anew and returns all limits that differ from what their holder was told.
+    /// Divides anew and returns all limits that differ from what their holder was last granted.
     pub fn changes(&mut self, settings: StewardSettings) -> Vec<BatchGrant> {
-        self.retell(settings, |limit, told| limit != told)
+        self.regrant(settings, |limit, granted| limit != granted)
     }
 
-    fn retell(&mut self, settings: StewardSettings, is_due: impl Fn(u32, u32) -> bool) -> Vec<BatchGrant> {
+    fn regrant(&mut self, settings: StewardSettings, is_due: impl Fn(u32, u32) -> bool) -> Vec<BatchGrant> {
         let mut grants = self.divide(settings);
-        grants.retain(|grant| self.granted.get(&grant.holder).is_some_and(|told| is_due(grant.limit, *told)));
+        grants.retain(|grant| self.granted.get(&grant.holder).is_some_and(|granted| is_due(grant.limit, *granted)));
         for grant in &grants {
             self.granted.insert(grant.holder, grant.limit);
         }
         grants
     }
 
-    /// The limit to tell one holder now.
+    /// The limit to grant one holder now.
     pub fn grant(&mut self, holder: NodeId, settings: StewardSettings) -> u32 {
         let limit = self.divide(settings).iter().find(|grant| grant.holder == holder).map_or(0, |grant| grant.limit);
         self.granted.insert(holder, limit);
--- a/crates/core/src/node/settings.rs
+++ b/crates/core/src/node/settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start.
+//! The settings a node starts with.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use crate::replication::ReplicaSettings;
 use crate::time::Millis;
 
-/// What a node is told at its start.
+/// The settings a node starts with.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// Its identity: from its disk, or drawn.
--- a/crates/core/src/node/steward_flow.rs
+++ b/crates/core/src/node/steward_flow.rs
@@ -6,7 +6,7 @@
 use crate::peer_message::{CreditMessage, PeerMessage};
 use crate::time::Millis;
 
-/// Online notices are repeated this often while there is anything to tell.
+/// Online notices are repeated this often while there is anything to report.
 const NOTICE_INTERVAL: Millis = Millis(1_500);
 
 impl Node {
@@ -59,7 +59,7 @@
         Some(StewardSettings { slots, online_headroom: service.online_headroom })
     }
 
-    /// Tells stewards of online requests that started or ended here, and now and then of those that go on.
+    /// Reports to stewards the online requests that started or ended here, and now and then of those that go on.
     pub(super) fn flush_notices(&mut self) {
         let now = self.clock.now;
         if now >= self.batch.next_notice {
--- a/crates/core/src/node/stopping.rs
+++ b/crates/core/src/node/stopping.rs
@@ -9,8 +9,9 @@
 use crate::log_event::LogEvent;
 use crate::time::{Millis, Timestamp};
 
-/// Time between the goodbye and the exit, so that the goodbye is sent.
-const GOODBYE: Millis = Millis(300);
+/// Time between leaving the membership and the exit, so that the departure is sent. Not measured: a few
+/// rounds of messages.
+const LEAVE_WAIT: Millis = Millis(300);
 /// Leadership is handed over again if the first try came to nothing.
 const HAND_OVER_INTERVAL: Millis = Millis(500);
 /// How long handing over may take before the node stops all the same; the others then elect anew.
@@ -39,8 +40,8 @@
         let now = self.clock.now;
         let Some(stop) = &mut self.stopping else { return };
         if let Some(exit_at) = stop.exit_at {
-            // Whoever came in before the goodbye is still answered.
-            let is_late = now.since(stop.began) >= self.settings.stop_timeout + GOODBYE;
+            // Whoever came in before this node left is still answered.
+            let is_late = now.since(stop.began) >= self.settings.stop_timeout + LEAVE_WAIT;
             if now >= exit_at && (self.is_idle() || is_late) {
                 self.log(LogEvent::NodeStopped, self.settings.id.to_string());
                 self.effects.push(Effect::Exit);
@@ -55,7 +56,7 @@
         let leads_none = if hand_over_due { self.hand_over_leadership() } else { self.groups.led().next().is_none() };
         let handed_over = leads_none || waited >= HAND_OVER_TIMEOUT;
         if (handed_over && self.is_idle()) || waited >= self.settings.stop_timeout {
-            self.say_goodbye();
+            self.leave_fleet();
         }
     }
 
@@ -68,13 +69,13 @@
             && !self.gathers_status()
     }
 
-    /// Whether the node has said goodbye and takes no call of any kind any more.
-    pub(super) fn has_said_goodbye(&self) -> bool {
+    /// Whether the node has left the membership and takes no call of any kind any more.
+    pub(super) fn has_left(&self) -> bool {
         self.stopping.as_ref().is_some_and(|stop| stop.exit_at.is_some())
     }
 
-    fn say_goodbye(&mut self) {
-        let exit_at = self.clock.now + GOODBYE;
+    fn leave_fleet(&mut self) {
+        let exit_at = self.clock.now + LEAVE_WAIT;
         self.membership.leave();
         if let Some(stop) = &mut self.stopping {
             stop.exit_at = Some(exit_at);
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -20,7 +20,7 @@
     next: Arc<AtomicU64>,
 }
 
-/// One call under way. Dropping it before the final answer tells the node that the caller is gone.
+/// One call under way. Dropping it before the final answer reports to the node that the caller is gone.
 pub struct CallInProgress {
     caller: CallerId,
     registry: CallerRegistry,
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -23,7 +23,7 @@
 pub struct EventBatch {
     /// The events, in order.
     pub events: Vec<Event>,
-    /// Told whether the node goes on.
+    /// Answered with whether the node goes on.
     pub done: RpcReplyPort<bool>,
 }
 
@@ -67,7 +67,7 @@
 
 impl DriverState {
     /// Writes everything that the batch wants kept. Returns false if the disk refused: then nothing of
-    /// the batch may be told to anyone, and the node stops.
+    /// the batch may leave the node, and the node stops.
     fn persist(&self, effects: &[Effect]) -> bool {
         let mut write = StoreWrite::default();
         for effect in effects {
--- a/crates/node/src/http/body.rs
+++ b/crates/node/src/http/body.rs
@@ -21,7 +21,7 @@
     Stream(Box<AnswerStream>),
 }
 
-/// A body that follows a call. Dropping it tells the node that the caller is gone.
+/// A body that follows a call. Dropping it reports to the node that the caller is gone.
 pub struct AnswerStream {
     /// Bytes that are ready before the next answer.
     pub ready: Option<Bytes>,
--- a/crates/node/src/http/prompt.rs
+++ b/crates/node/src/http/prompt.rs
@@ -31,7 +31,7 @@
 }
 
 /// The body of a completion, chat or plain. Fields that OpenAI knows and stallmoor doesn't use are
-/// passed over, as OpenAI's clients expect.
+/// ignored, as OpenAI's clients expect.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CompletionBody {
     model: String,
--- a/crates/node/src/http/server.rs
+++ b/crates/node/src/http/server.rs
@@ -33,7 +33,7 @@
                 let service = service.clone();
                 async move { Ok::<_, Infallible>(service.handle(request).await) }
             });
-            // A connection that breaks tells the node so by dropping its call.
+            // A connection that breaks is reported to the node by dropping its call.
             let _ = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(Duration::from_millis(limits.request_timeout.0))
--- a/crates/node/src/running.rs
+++ b/crates/node/src/running.rs
@@ -213,7 +213,7 @@
             break;
         }
     }
-    // Whoever waits for the stop is told, or is gone.
+    // Whoever waits for the stop gets it, or is gone.
     let _ = stopped.send(true);
 }
 
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -14,7 +14,7 @@
 /// Ended streams are cleared away after this many starts.
 const SWEEP_AFTER: usize = 256;
 
-/// What the actor is told.
+/// The messages of the actor.
 pub enum StreamCommand {
     /// Send a request.
     Start(EngineRequest),
--- a/crates/node/tests/golden_http.rs
+++ b/crates/node/tests/golden_http.rs
@@ -28,13 +28,13 @@
     golden::check_text("metrics.txt", &format!("{kind}\n{}", without_values(&text)));
 }
 
-/// Status, the headers that are stallmoor's own or say when to come back, and the body.
-fn describe(told: &mut String, case: &str, answered: &Answered) {
-    writeln!(told, "# {case}\n{}", answered.status.as_u16()).expect("written to a string");
+/// Status, the headers that are stallmoor's own or say when to retry, and the body.
+fn describe(described: &mut String, case: &str, answered: &Answered) {
+    writeln!(described, "# {case}\n{}", answered.status.as_u16()).expect("written to a string");
     for name in ["content-type", "stallmoor-ran", "retry-after"] {
-        writeln!(told, "{name}: {:?}", answered.headers.get(name)).expect("written to a string");
+        writeln!(described, "{name}: {:?}", answered.headers.get(name)).expect("written to a string");
     }
-    writeln!(told, "{}\n", String::from_utf8_lossy(&answered.body)).expect("written to a string");
+    writeln!(described, "{}\n", String::from_utf8_lossy(&answered.body)).expect("written to a string");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -50,9 +50,9 @@
         ("unknown job", to, Method::GET, "/v1/batches/my-job", vec![], String::new()),
         ("not configured", to_bare, Method::POST, "/v1/completions", vec![("stallmoor-tenant", TENANT)], body(MODEL)),
     ];
-    let mut told = String::new();
+    let mut described = String::new();
     for (case, to, method, path, headers, body) in cases {
-        describe(&mut told, case, &ready.client.send(method, to, path, &headers, body).await);
+        describe(&mut described, case, &ready.client.send(method, to, path, &headers, body).await);
     }
-    golden::check_text("refusals.txt", &told);
+    golden::check_text("refusals.txt", &described);
 }
--- a/crates/node/tests/golden_settings.rs
+++ b/crates/node/tests/golden_settings.rs
@@ -105,15 +105,15 @@
         ("no TOML", "[log]", "[log"),
         ("several", "zone = \"zone-c\"\npeer_address = \"10.1.2.3:7100\"", "zome = 1\npeer_address = 4"),
     ];
-    let mut told = String::new();
+    let mut described = String::new();
     for (case, from, to) in cases {
         assert!(FULL.contains(from), "{case}: {from}");
         let errors = parse_settings(&file(&FULL.replacen(from, to, 1))).expect_err(case);
-        writeln!(told, "# {case}").expect("written to a string");
+        writeln!(described, "# {case}").expect("written to a string");
         for error in errors {
-            writeln!(told, "{}", error.to_string().trim_end()).expect("written to a string");
+            writeln!(described, "{}", error.to_string().trim_end()).expect("written to a string");
         }
-        told.push('\n');
+        described.push('\n');
     }
-    golden::check_text("settings_errors.txt", &told);
+    golden::check_text("settings_errors.txt", &described);
 }
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -25,7 +25,7 @@
 /// The tenant that the fleet knows.
 pub const TENANT: &str = "tenant";
 /// Nothing that these tests wait for takes longer.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
 /// Every change has an id of its own.
 static NEXT_APPLY: AtomicU64 = AtomicU64::new(1);
@@ -253,7 +253,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    assert!(tokio::time::timeout(PATIENCE, wait).await.is_ok(), "{what}: not within {} s", PATIENCE.as_secs());
+    assert!(tokio::time::timeout(WAIT_LIMIT, wait).await.is_ok(), "{what}: not within {} s", WAIT_LIMIT.as_secs());
 }
 
 /// Many items in JSON Lines.
