--- a/crates/core/src/node/engines_flow.rs
+++ b/crates/core/src/node/engines_flow.rs
@@ -24,7 +24,12 @@
 const MACHINE_WATCHERS: usize = 3;
 /// To how many nodes a fact is passed on by each that learns it.
 const SPREAD: usize = 4;
-/// How many leaving facts are told to one node again at each tick of the reminder.
+/// Time between the first polls of two engines next to each other in the list, so that the polls of one
+/// node spread over the interval. Not measured: a prime, so that no two of them fall on the same
+/// millisecond of an interval that is not a multiple of it.
+const POLL_STAGGER: Millis = Millis(37);
+/// Time between two reminders, each of which gives all leaving facts to one random node. Not measured: a
+/// fact that spreading missed reaches a node about so late, and the load of the other nodes stays small.
 const REMINDER_INTERVAL: Millis = Millis(5_000);
 
 /// When engines and machines are polled next.
@@ -60,7 +65,7 @@
             self.polls.next_reminder = now + REMINDER_INTERVAL;
             let chosen = self.membership.sample_present(1);
             for node in chosen {
-                self.tell_leaving_facts(node);
+                self.send_leaving_facts(node);
             }
         }
         self.poll_due_engines();
@@ -93,8 +98,7 @@
         chosen.extend(self.stewards.keys().cloned());
         let earlier = std::mem::take(&mut self.polls.due);
         for (place, engine) in chosen.into_iter().enumerate() {
-            // Spread over the interval, so that polls don't come in bursts.
-            let offset = Millis(place as u64 * 37 % self.poll_interval().0.max(1));
+            let offset = Millis(place as u64 * POLL_STAGGER.0 % self.poll_interval().0.max(1));
             let due = earlier.get(&engine).copied().unwrap_or(now + offset);
             self.polls.due.insert(engine, due);
         }
@@ -143,47 +147,47 @@
         if let Some(batch) = cache {
             self.polls.prefix_index.record(engine, batch);
         }
-        let news = self.engines.reported(engine, report, now);
-        self.spread_leaving(news.into_iter().collect());
+        let new_fact = self.engines.reported(engine, report, now);
+        self.spread_leaving(new_fact.into_iter().collect());
     }
 
     pub(super) fn on_machines(&mut self, machines: &[MachineReport]) {
-        let mut news = Vec::new();
+        let mut new_facts = Vec::new();
         for machine in machines {
             self.engines.learn_incarnation(&machine.engine, machine.incarnation);
             if machine.leaving {
                 let fact = LeavingFact { engine: machine.engine.clone(), incarnation: machine.incarnation };
-                news.extend(self.engines.learn_leaving(&fact));
+                new_facts.extend(self.engines.learn_leaving(&fact));
             }
         }
-        self.spread_leaving(news);
+        self.spread_leaving(new_facts);
     }
 
     pub(super) fn on_engines_leaving(&mut self, facts: &[LeavingFact]) {
-        let news: Vec<LeavingFact> = facts.iter().filter_map(|fact| self.engines.learn_leaving(fact)).collect();
-        self.spread_leaving(news);
+        let new_facts: Vec<LeavingFact> = facts.iter().filter_map(|fact| self.engines.learn_leaving(fact)).collect();
+        self.spread_leaving(new_facts);
     }
 
     pub(super) fn engine_refused_as_leaving(&mut self, engine: &EngineName) {
-        let news = self.engines.refused_as_leaving(engine);
-        self.spread_leaving(news.into_iter().collect());
+        let new_fact = self.engines.refused_as_leaving(engine);
+        self.spread_leaving(new_fact.into_iter().collect());
     }
 
-    /// Passes news on to a few nodes, each of which does the same.
-    fn spread_leaving(&mut self, news: Vec<LeavingFact>) {
-        if news.is_empty() {
+    /// Passes new facts on to a few nodes, each of which does the same.
+    fn spread_leaving(&mut self, facts: Vec<LeavingFact>) {
+        if facts.is_empty() {
             return;
         }
-        for fact in &news {
+        for fact in &facts {
             self.log(LogEvent::EngineLeaving, format!("{} incarnation {}", fact.engine, fact.incarnation));
         }
         for node in self.membership.sample_present(SPREAD) {
-            self.send(node, PeerMessage::EnginesLeaving(news.clone()));
+            self.send(node, PeerMessage::EnginesLeaving(facts.clone()));
         }
         self.batch.is_dirty = true;
     }
 
-    pub(super) fn tell_leaving_facts(&mut self, node: NodeId) {
+    pub(super) fn send_leaving_facts(&mut self, node: NodeId) {
         let facts = self.engines.leaving_facts();
         if !facts.is_empty() {
             self.send(node, PeerMessage::EnginesLeaving(facts));
--- a/crates/core/src/node/settings.rs
+++ b/crates/core/src/node/settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start.
+//! The settings a node starts with.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use crate::replication::ReplicaSettings;
 use crate::time::Millis;
 
-/// What a node is told at its start.
+/// The settings a node starts with.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// Its identity: from its disk, or drawn.
@@ -46,7 +46,9 @@
 }
 
 impl NodeSettings {
-    /// Settings with the usual times.
+    /// Settings with the usual times and limits. Not measured: the polls of an engine and of the machine
+    /// list bound how old a view may be, and the rate of calls is what a fleet may ask of a small
+    /// key-value service.
     pub fn new(id: NodeId, zone: &str, peer_address: SocketAddr, caller_address: SocketAddr) -> Self {
         Self {
             id,
