--- a/crates/core/src/node/control_flow.rs
+++ b/crates/core/src/node/control_flow.rs
@@ -13,7 +13,8 @@
 };
 use crate::time::{Millis, Timestamp};
 
-/// How many nodes stand ready to take the lease.
+/// How many nodes stand ready to take the lease. Not measured: the lease finds a taker while two of
+/// them are gone, and few nodes call the service.
 const CONTROL_CANDIDATES: usize = 3;
 /// Time between two looks at the placement.
 const PLACEMENT_INTERVAL: Millis = Millis(2_000);
--- a/crates/core/src/node/membership/swim.rs
+++ b/crates/core/src/node/membership/swim.rs
@@ -18,7 +18,8 @@
 use crate::identity::NodeId;
 use crate::time::{Millis, Timestamp};
 
-/// Most seeds remembered; the oldest are dropped.
+/// Most seeds remembered; the oldest are dropped. Not measured: bounds memory; one that answers is
+/// enough.
 const MOST_SEEDS: usize = 64;
 /// How many nodes are sent a planned stop directly. Not measured: the others learn of it from these, whose
 /// messages carry it along.
--- a/crates/core/src/node/online_flow.rs
+++ b/crates/core/src/node/online_flow.rs
@@ -23,7 +23,8 @@
 use crate::retry_budget::RetryBudget;
 use crate::time::{Millis, Timestamp};
 
-/// An engine that sends nothing for this long counts as lost.
+/// An engine that sends nothing for this long counts as lost. Not measured: an iteration of an engine
+/// takes milliseconds, so that this is far beyond a busy one.
 const SILENCE_TIMEOUT: Millis = Millis(10_000);
 /// Online requests of one node and what they share.
 pub(super) struct OnlineState {
