--- /dev/null
+++ b/crates/gateway/src/storage/service/item_runner.rs
@@ -0,0 +1,327 @@
+//! The items that run while this node leads: where each runs, when it pauses, and how it ended.
+//!
+//! It owns the dispatcher, the tasks of the runs, and which results are proposed. All of that is empty while the node
+//! does not lead. It relies on the dispatcher for what runs next, on the worker table for where, and on the service to
+//! propose results and progress, and to tell which were committed.
+
+use std::collections::{BTreeMap, HashSet};
+use std::sync::{Arc, Mutex, PoisonError};
+
+use stallmoor_core::log_event::LogEvent;
+use stallmoor_core::serving::jobs::command::{ItemKey, ItemProgress, JobCommand, JobKey, PartialOutput};
+use stallmoor_core::serving::jobs::dispatch::{
+    Dispatcher, ItemPacing, ItemStart, RunEnd, RunningItem, StartDecision, decide_start, max_attempts,
+};
+use stallmoor_core::serving::jobs::table::{Job, JobTable};
+use stallmoor_core::serving::request::RequestFacts;
+use stallmoor_core::serving::workers::{Choice, WorkerAsk, WorkerId};
+use stallmoor_core::time::Timestamp;
+use tokio::sync::{Notify, mpsc};
+use tokio::task::AbortHandle;
+
+use super::load_exchange::LoadExchange;
+use crate::observe::journal::{Field, record};
+use crate::observe::measures;
+use crate::storage::item_run::ItemRun;
+use crate::workers::attempt::WorkerClient;
+
+/// A run that ended.
+pub(super) struct RunReport {
+    pub(super) key: ItemKey,
+    pub(super) run: u64,
+    pub(super) end: RunEnd,
+    pub(super) output: PartialOutput,
+}
+
+/// A run under way.
+struct ActiveRun {
+    run: u64,
+    worker: WorkerId,
+    task: AbortHandle,
+    /// Asks the run to stop and hand back what it has.
+    pause: Arc<Notify>,
+    is_pausing: bool,
+    /// What the item has put out so far.
+    output: Arc<Mutex<PartialOutput>>,
+}
+
+impl ActiveRun {
+    /// What the order of pauses depends on.
+    fn item(&self, key: &ItemKey) -> RunningItem {
+        let output = self.output.lock().unwrap_or_else(PoisonError::into_inner);
+        RunningItem {
+            key: key.clone(),
+            run: self.run,
+            events: output.last_event.unwrap_or(0),
+            is_pausing: self.is_pausing,
+        }
+    }
+}
+
+/// Where an item goes.
+struct Placement {
+    service: Arc<str>,
+    choice: Choice,
+}
+
+/// The items that run.
+pub(super) struct ItemRunner {
+    workers: Arc<WorkerClient>,
+    dispatcher: Dispatcher,
+    pacing: ItemPacing,
+    active: BTreeMap<ItemKey, ActiveRun>,
+    last_run: u64,
+    /// Items whose result is proposed and not committed.
+    proposed: HashSet<ItemKey>,
+    /// Without a bound, as each run sends one report, and runs are bounded by the workers' slots.
+    reports: mpsc::UnboundedSender<RunReport>,
+}
+
+impl ItemRunner {
+    pub(super) fn new(workers: Arc<WorkerClient>, reports: mpsc::UnboundedSender<RunReport>, now: Timestamp) -> Self {
+        Self {
+            workers,
+            dispatcher: Dispatcher::default(),
+            pacing: ItemPacing::new(now),
+            active: BTreeMap::new(),
+            last_run: 0,
+            proposed: HashSet::new(),
+            reports,
+        }
+    }
+
+    /// This node leads from now on: all open items of the table are to run.
+    pub(super) fn begin_leading(&mut self, table: &JobTable) {
+        self.dispatcher.restart(table);
+        self.abort_all();
+    }
+
+    /// This node leads no longer.
+    pub(super) fn end_leading(&mut self) {
+        self.dispatcher.clear();
+        self.abort_all();
+    }
+
+    /// How many items have no result.
+    pub(super) fn open_count(&self) -> usize {
+        self.dispatcher.open_count()
+    }
+
+    /// Adds the open items of a job.
+    pub(super) fn add_job(&mut self, job: &Job) {
+        self.dispatcher.add_job(job);
+    }
+
+    /// An item's result is committed, whoever brought it.
+    pub(super) fn result_committed(&mut self, key: &ItemKey) {
+        self.remove(key);
+        self.abort(key);
+    }
+
+    /// Drops an item, to be added again with its job.
+    pub(super) fn remove(&mut self, key: &ItemKey) {
+        self.dispatcher.remove(key);
+        self.proposed.remove(key);
+    }
+
+    /// A job has ended: nothing of it runs on.
+    pub(super) fn job_ended(&mut self, job: &JobKey) {
+        for key in self.dispatcher.remove_job(job) {
+            self.abort(&key);
+        }
+    }
+
+    fn abort(&mut self, key: &ItemKey) {
+        if let Some(run) = self.active.remove(key) {
+            run.task.abort();
+        }
+    }
+
+    fn abort_all(&mut self) {
+        self.proposed.clear();
+        for run in std::mem::take(&mut self.active).into_values() {
+            run.task.abort();
+        }
+    }
+
+    /// Takes batch items off workers that are full. They go on later, after their last event.
+    pub(super) fn yield_to_online(&mut self, now: Timestamp) {
+        let overfull = self.workers.view.workers().overfull(now);
+        for count in overfull {
+            self.pause_items(&count.worker, count.requests as usize);
+            let fields = [
+                Field::text("worker", &count.worker),
+                Field::number("items", count.requests),
+                Field::text("inputs", self.workers.view.workers().describe(&count.worker, now)),
+            ];
+            record(LogEvent::BatchYielded, &fields);
+        }
+    }
+
+    /// Pauses items at a worker until so many are on their way out.
+    fn pause_items(&mut self, worker: &WorkerId, count: usize) {
+        let at_worker = self.active.iter().filter(|(_, run)| run.worker == *worker);
+        let at_worker = at_worker.map(|(key, run)| run.item(key)).collect();
+        for key in self.dispatcher.choose_pauses(at_worker, count, self.workers.view.clock.civil()) {
+            if let Some(run) = self.active.get_mut(&key) {
+                run.is_pausing = true;
+                run.pause.notify_one();
+            }
+        }
+    }
+
+    /// Starts items while workers have room. Returns whether results may be due.
+    pub(super) fn dispatch(&mut self, table: &JobTable, loads: &mut LoadExchange, now: Timestamp) -> bool {
+        if !self.pacing.may_start(now) || !self.dispatcher.has_ready(now) {
+            return false;
+        }
+        let Some(configuration) = self.workers.view.configuration() else { return false };
+        let civil = self.workers.view.clock.civil();
+        while let Some((key, output)) = self.dispatcher.take_next(now, civil) {
+            match decide_start(table.job(&key.job), key.item, &configuration, civil) {
+                StartDecision::Unknown => {}
+                StartDecision::GiveUp => {
+                    self.dispatcher.give_up(&key);
+                }
+                StartDecision::AwaitConfiguration => {
+                    self.dispatcher.put_back(&key, output);
+                    return false;
+                }
+                StartDecision::Start(start) => {
+                    if !self.start_run(&key, start, output, loads, now) {
+                        self.pacing.found_no_room(now);
+                        break;
+                    }
+                }
+            }
+        }
+        true
+    }
+
+    /// Starts an item at the worker with the most room. Returns false if none has any.
+    fn start_run(
+        &mut self,
+        key: &ItemKey,
+        start: ItemStart,
+        output: PartialOutput,
+        loads: &mut LoadExchange,
+        now: Timestamp,
+    ) -> bool {
+        let facts = self.workers.dialect.item_facts(&start.item);
+        let online_per_s = loads.placed_per_s(now);
+        let Some(Placement { service, choice }) = self.choose_worker(&start, &facts, online_per_s, now) else {
+            self.dispatcher.put_back(key, output);
+            return false;
+        };
+        log_start(key, &choice, &output);
+        self.last_run += 1;
+        let run = self.last_run;
+        let worker = choice.id.clone();
+        let in_flight = self.workers.place(&choice, &service, &facts.prefix, true);
+        let (output, pause) = (Arc::new(Mutex::new(output)), Arc::new(Notify::new()));
+        let ItemStart { item, host, identity, .. } = start;
+        let item_run = ItemRun { item, host, identity, service, choice, output: output.clone(), pause: pause.clone() };
+        let (client, reports, report_key) = (self.workers.clone(), self.reports.clone(), key.clone());
+        let task = tokio::spawn(async move {
+            let (end, output) = item_run.run(&client, in_flight).await;
+            // The service is gone only when the process ends.
+            let _ = reports.send(RunReport { key: report_key, run, end, output });
+        });
+        let active = ActiveRun { run, worker, task: task.abort_handle(), pause, is_pausing: false, output };
+        self.active.insert(key.clone(), active);
+        true
+    }
+
+    fn choose_worker(
+        &self,
+        start: &ItemStart,
+        facts: &RequestFacts,
+        online_per_s: u32,
+        now: Timestamp,
+    ) -> Option<Placement> {
+        let view = &self.workers.view;
+        let service = view.draw_service(&start.route)?;
+        let ask = WorkerAsk {
+            service: &service,
+            zone: &view.zone,
+            prefix: &facts.prefix,
+            prompt_tokens: facts.prompt_tokens,
+            body_bytes: start.item.body.len(),
+            tried: &[],
+        };
+        let choice = {
+            let mut random = view.random();
+            view.workers().choose_for_batch(&ask, online_per_s, now, &mut *random)?
+        };
+        Some(Placement { service, choice })
+    }
+
+    /// A run ended. Returns whether a result is due.
+    pub(super) fn run_ended(&mut self, report: RunReport, table: &JobTable, now: Timestamp) -> bool {
+        let is_current = self.active.get(&report.key).is_some_and(|active| active.run == report.run);
+        if !is_current {
+            return false;
+        }
+        self.active.remove(&report.key);
+        let fields = [
+            Field::text("job", &report.key.job),
+            Field::number("item", report.key.item),
+            Field::text("end", format!("{:?}", report.end)),
+            Field::number("events", report.output.last_event.unwrap_or(0)),
+        ];
+        record(LogEvent::ItemRunEnded, &fields);
+        measures::run_ended(report.end.name());
+        let configuration = self.workers.view.configuration();
+        let max_attempts = max_attempts(table.job(&report.key.job), configuration.as_deref());
+        self.dispatcher.run_ended(&report.key, &report.end, report.output, max_attempts, now)
+    }
+
+    /// The commands for results that are not proposed yet, with their items.
+    pub(super) fn unproposed_results(&self) -> Vec<JobCommand> {
+        let is_new = |command: &JobCommand| match command {
+            JobCommand::Finish { key, .. } => !self.proposed.contains(key),
+            _ => false,
+        };
+        self.dispatcher.unlisted().into_iter().filter(is_new).collect()
+    }
+
+    /// A result was proposed.
+    pub(super) fn result_proposed(&mut self, command: &JobCommand) {
+        if let JobCommand::Finish { key, .. } = command {
+            self.proposed.insert(key.clone());
+        }
+    }
+
+    /// What running items have put out since it was last logged, if that is due. So another leader can go on from there.
+    pub(super) fn progress_due(&mut self, now: Timestamp) -> Option<Vec<ItemProgress>> {
+        if !self.pacing.take_progress_turn(now) {
+            return None;
+        }
+        let progress_of = |(key, run): (&ItemKey, &ActiveRun)| {
+            let output = run.output.lock().unwrap_or_else(PoisonError::into_inner);
+            self.dispatcher.progress_of(key, &output)
+        };
+        let progress: Vec<ItemProgress> = self.active.iter().filter_map(progress_of).collect();
+        (!progress.is_empty()).then_some(progress)
+    }
+
+    /// Progress was proposed.
+    pub(super) fn progress_proposed(&mut self, progress: &[ItemProgress]) {
+        for item in progress {
+            self.dispatcher.progress_proposed(item);
+        }
+    }
+}
+
+fn log_start(key: &ItemKey, choice: &Choice, output: &PartialOutput) {
+    let fields = [
+        Field::text("job", &key.job),
+        Field::number("item", key.item),
+        Field::text("worker", &choice.id),
+        Field::number("after_event", output.last_event.unwrap_or(0)),
+        Field::number("load", choice.load),
+        Field::number("candidates", choice.candidates as u64),
+        Field::text("standing", choice.standing.name()),
+    ];
+    record(LogEvent::ItemRunStarted, &fields);
+}
--- /dev/null
+++ b/crates/gateway/src/storage/service/load_exchange.rs
@@ -0,0 +1,110 @@
+//! The loads of gateways that report to this node, and the exchange of a zone's sums with the leader.
+//!
+//! It owns the aggregated reports and the one exchange with the leader that is under way. It relies on the service to
+//! clear it when leadership changes: what was reported to a leader and what was reported to an aggregator of a zone
+//! must not count twice.
+
+use std::sync::Arc;
+
+use stallmoor_core::identity::NodeId;
+use stallmoor_core::serving::jobs::load_aggregator::LoadAggregator;
+use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
+use stallmoor_core::serving::workers::{LoadReport, WorkerCount};
+use stallmoor_core::time::{Millis, Timestamp};
+use tokio::sync::mpsc;
+
+use crate::fleet::fleet_view::FleetView;
+use crate::leader::client::LeaderClient;
+
+/// How long the leader's answer is waited for, in milliseconds. The next exchange need not wait for a leader that is
+/// silent. Not measured: the same as a gateway waits for its aggregator.
+const ANSWER_TIMEOUT: Millis = Millis(250);
+
+/// Reports of gateways, and the exchange with the leader.
+pub(super) struct LoadExchange {
+    view: Arc<FleetView>,
+    aggregator: LoadAggregator,
+    client: Arc<LeaderClient>,
+    /// An answer of the leader is waited for.
+    is_under_way: bool,
+    /// No exchange before.
+    due: Timestamp,
+    /// Without a bound, as one exchange is under way at most.
+    answers: mpsc::UnboundedSender<Option<LoadReport>>,
+}
+
+impl LoadExchange {
+    pub(super) fn new(view: Arc<FleetView>, id: NodeId, answers: mpsc::UnboundedSender<Option<LoadReport>>) -> Self {
+        let client = Arc::new(LeaderClient::new(view.clone(), id));
+        Self {
+            view,
+            aggregator: LoadAggregator::default(),
+            client,
+            is_under_way: false,
+            due: Timestamp::default(),
+            answers,
+        }
+    }
+
+    /// Forgets all reports: this node became the leader, or leads no longer.
+    pub(super) fn clear(&mut self) {
+        self.aggregator.clear();
+    }
+
+    /// Online requests that all nodes place in a second.
+    pub(super) fn placed_per_s(&mut self, now: Timestamp) -> u32 {
+        self.aggregator.placed_per_s(now)
+    }
+
+    /// As the leader, takes a report and returns the loads of all others, this node's batch items among them.
+    pub(super) fn report_to_leader(&mut self, from: NodeId, loads: LoadReport, now: Timestamp) -> LoadReport {
+        self.aggregator.tell(from, loads, now);
+        let batch = self.view.workers().own_loads();
+        let totals = self.aggregator.without(from, &batch, now);
+        let online: Vec<WorkerCount> = self.aggregator.online(now);
+        self.view.workers().set_shared_loads(&online, now);
+        totals
+    }
+
+    /// As the aggregator of a zone, takes a report and returns the loads of all others.
+    pub(super) fn report_to_aggregator(&mut self, from: NodeId, loads: LoadReport, now: Timestamp) -> LoadReport {
+        self.aggregator.tell(from, loads, now);
+        self.aggregator.without(from, &[], now)
+    }
+
+    /// As the leader, ejects the workers that several nodes report as dead.
+    pub(super) fn eject_reported(&mut self, now: Timestamp) {
+        let dead = self.aggregator.dead(now);
+        self.view.workers().eject_reported(dead.iter(), now);
+    }
+
+    /// As the aggregator of a zone, reports its sums to the leader, if that is due. Called with each gateway's report.
+    pub(super) fn exchange_with_leader(&mut self, now: Timestamp) {
+        if self.is_under_way || now < self.due {
+            return;
+        }
+        let Some(report) = self.aggregator.for_leader(now) else { return };
+        self.is_under_way = true;
+        let (client, answers) = (self.client.clone(), self.answers.clone());
+        tokio::spawn(async move {
+            let answer = client.ask(JobsRequest::ReportLoad(report), now + ANSWER_TIMEOUT).await;
+            let loads = match answer {
+                Ok(JobsAnswer::Loads(loads)) => Some(loads),
+                // There is no leader for the moment; the loads of the zone do meanwhile.
+                Ok(_) | Err(_) => None,
+            };
+            // The service is gone only when the process ends.
+            let _ = answers.send(loads);
+        });
+    }
+
+    /// The exchange ended; `loads` is the leader's answer, if there was one.
+    pub(super) fn on_leader_answer(&mut self, loads: Option<LoadReport>, leads: bool, now: Timestamp) {
+        let interval = loads.as_ref().map_or(LoadReport::default().interval(), LoadReport::interval);
+        self.is_under_way = false;
+        self.due = now + interval;
+        if let Some(loads) = loads.filter(|_| !leads) {
+            self.aggregator.apply_leader_report(loads, now);
+        }
+    }
+}
--- a/crates/gateway/src/storage/service/membership.rs
+++ b/crates/gateway/src/storage/service/membership.rs
@@ -1,52 +1,76 @@
-//! Carrying out what is due of the membership, and telling the metadata store.
+//! The members of the group: their founding, the record of a group of two, and reports of drained machines.
+//!
+//! It owns the rules' state ([`Members`]) and the calls to the metadata store. It relies on the service to carry out
+//! what the rules ask of the replica, and to hand back what the store answered.
 
 use std::sync::Arc;
 use std::time::Duration;
 
+use stallmoor_core::identity::NodeId;
 use stallmoor_core::log_event::LogEvent;
-use stallmoor_core::serving::jobs::members::{DrainState, MembersAction};
+use stallmoor_core::replication::{GroupMembership, Replica};
+use stallmoor_core::serving::jobs::members::{DrainState, Members};
 use stallmoor_core::serving::jobs::pair::{PairRecord, StoredPair};
 use stallmoor_core::serving::relay::item::{MetadataItem, Revision};
+use tokio::sync::mpsc;
 
-use super::StorageService;
-use crate::adapter::metadata::PutOutcome;
+use crate::adapter::metadata::{FleetUpdate, MetadataStore, PutOutcome};
 use crate::observe::journal::{Field, record};
 use crate::storage::registration::PAIR_KEY;
 
-/// The wait before an emptying is reported again.
-const EMPTYING_RETRY: Duration = Duration::from_millis(250);
-/// The wait before the pair's record is read after a write that did not succeed.
+/// The wait before a drain is reported again, in milliseconds. Spares a store that is down. Not measured.
+const DRAIN_RETRY: Duration = Duration::from_millis(250);
+/// The wait before the pair's record is read after a write that did not succeed, in milliseconds. Spares a store that is
+/// down. Not measured.
 const PAIR_RETRY: Duration = Duration::from_millis(200);
 
-impl StorageService {
-    /// Carries out what is due of the membership.
-    pub(super) fn keep_members(&mut self) {
-        let now = self.now();
-        let directory = self.workers.view.storage().clone();
-        let actions = self.members.plan(self.node.replica(), self.leads, &directory, now);
-        for action in actions {
-            match action {
-                MembersAction::Change(change) => {
-                    record(LogEvent::MembershipChanging, &[Field::text("change", format!("{change:?}"))]);
-                    let effects = self.node.change_membership(change, now);
-                    self.take(effects);
-                }
-                MembersAction::HandOver(target) => {
-                    let effects = self.node.transfer_leadership(target, now);
-                    self.take(effects);
-                }
-                MembersAction::WritePair { record, revision } => self.write_pair(record, revision),
-                MembersAction::GoOnAlone => {
-                    let index = self.node.replica().log().membership_index().0;
-                    record(LogEvent::WentOnAlone, &[Field::number("membership", index)]);
-                    let effects = self.node.continue_alone(now);
-                    self.take(effects);
-                }
-                MembersAction::ReportDrain { machine, state } => self.report_drain(machine, state),
-            }
+/// What this node knows of the group's members, and the calls to the metadata store about them.
+pub(super) struct Membership {
+    id: NodeId,
+    members: Members,
+    metadata: Arc<dyn MetadataStore>,
+    /// The founding membership, once it is known.
+    founding: Option<GroupMembership>,
+    /// Without a bound, as one write of the pair's record is under way at most.
+    pair_reads: mpsc::UnboundedSender<Option<StoredPair>>,
+}
+
+impl Membership {
+    pub(super) fn new(
+        id: NodeId,
+        members: Members,
+        metadata: Arc<dyn MetadataStore>,
+        pair_reads: mpsc::UnboundedSender<Option<StoredPair>>,
+    ) -> Self {
+        Self { id, members, metadata, founding: None, pair_reads }
+    }
+
+    /// The rules of the membership.
+    pub(super) fn members(&mut self) -> &mut Members {
+        &mut self.members
+    }
+
+    /// The founding membership is known.
+    pub(super) fn set_founding(&mut self, founding: GroupMembership) {
+        self.founding = Some(founding);
+    }
+
+    /// The membership to found the group with, if this node is a founder and its log is empty.
+    pub(super) fn due_founding(&self, replica: &Replica) -> Option<GroupMembership> {
+        let is_empty = replica.log().last_index().0 == 0;
+        self.founding.clone().filter(|founding| is_empty && founding.voters.contains(&self.id))
+    }
+
+    /// The metadata store reported a change.
+    pub(super) fn on_update(&mut self, update: &FleetUpdate) {
+        match update {
+            FleetUpdate::DrainMachine { machine } => self.members.empty(machine.clone()),
+            FleetUpdate::Item(item) if &*item.key == PAIR_KEY => self.members.pair_told(read_pair(item)),
+            _ => {}
         }
     }
 
+    /// Writes the pair's record if the store's revision of it is still `revision`, and reads it if that failed.
     pub(super) fn write_pair(&self, pair: PairRecord, revision: u64) {
         record(LogEvent::PairRecorded, &[Field::text("record", format!("{pair:?}"))]);
         let (metadata, reads) = (self.metadata.clone(), self.pair_reads.clone());
@@ -64,20 +88,21 @@
         });
     }
 
+    /// Reports how far a machine is drained, until the store has it.
     pub(super) fn report_drain(&self, machine: Arc<str>, state: DrainState) {
         let fields = [Field::text("machine", &machine), Field::text("state", format!("{state:?}"))];
         record(LogEvent::EmptyingReported, &fields);
         let metadata = self.metadata.clone();
         tokio::spawn(async move {
             while !metadata.report_drain(machine.clone(), state).await {
-                tokio::time::sleep(EMPTYING_RETRY).await;
+                tokio::time::sleep(DRAIN_RETRY).await;
             }
         });
     }
 }
 
-/// The pair's record as the store holds it.
-pub(super) fn read_pair(item: &MetadataItem) -> StoredPair {
+/// The pair's record as the store has it.
+fn read_pair(item: &MetadataItem) -> StoredPair {
     let record = item.value().and_then(|value| serde_json::from_slice(value).ok());
     StoredPair { record, revision: item.revision.0 }
 }
--- a/crates/gateway/src/storage/service/mod.rs
+++ b/crates/gateway/src/storage/service/mod.rs
@@ -2,123 +2,68 @@
 //!
 //! | module | owns |
 //! |---|---|
-//! | `gathering` | gathering the loads of a zone |
-//! | `requests` | what other nodes ask of the leader |
-//! | `running` | running items |
-//! | `membership` | carrying out what is due of the membership |
+//! | this one | the composition: each event goes to the parts it concerns, in one order |
+//! | `replica_driver` | the replica, its disk and its links: effects in order, each after the writes ahead of it |
+//! | `answers` | answers that other nodes wait for, reads that wait for a result |
+//! | `requests` | which part answers which request |
+//! | `item_runner` | the items that run while this node leads |
+//! | `membership` | founding, members, the record of a group of two, reports of drained machines |
+//! | `startup` | what the service is made of, and the channels that feed it |
+//! | `load_exchange` | load reports of gateways, and the exchange with the leader |
+//!
+//! One task runs all of it, so no part sees another in the middle of an event. After each event, in this order:
+//! effects are carried out as far as the disk allows, leadership is looked at, items are dispatched.
 
-mod gathering;
+mod answers;
+mod item_runner;
+mod load_exchange;
 mod membership;
+mod replica_driver;
 mod requests;
-mod running;
+mod startup;
 
-use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
-use stallmoor_core::identity::NodeId;
 use stallmoor_core::log_event::LogEvent;
-use stallmoor_core::peer_message::PeerMessage;
-use stallmoor_core::replication::GroupMembership;
-use stallmoor_core::serving::jobs::command::ItemKey;
-use stallmoor_core::serving::jobs::disk_budget::DiskBudget;
-use stallmoor_core::serving::jobs::dispatch::{Dispatcher, ItemPacing};
-use stallmoor_core::serving::jobs::held_reads::HeldReads;
-use stallmoor_core::serving::jobs::load_aggregator::LoadAggregator;
-use stallmoor_core::serving::jobs::members::Members;
-use stallmoor_core::serving::jobs::node::{JobsChange, JobsEffect, JobsNode, Waiter};
-use stallmoor_core::serving::jobs::pair::StoredPair;
-use stallmoor_core::serving::jobs::request::JobsRequest;
+use stallmoor_core::serving::jobs::command::{ItemKey, JobCommand, JobKey};
+use stallmoor_core::serving::jobs::members::MembersAction;
+use stallmoor_core::serving::jobs::node::{JobsChange, JobsEffect};
 use stallmoor_core::serving::jobs::retention::Retention;
 use stallmoor_core::serving::quota::coordinator::RateCoordinator;
 use stallmoor_core::serving::workers::LoadReport;
-use stallmoor_core::time::{Millis, Timestamp};
-use tokio::sync::{mpsc, watch};
+use stallmoor_core::time::Timestamp;
 
-use crate::adapter::metadata::{FleetUpdate, MetadataStore};
-use crate::leader::client::LeaderClient;
 use crate::observe::journal::{Field, record};
 use crate::observe::measures;
-use crate::peers::peer_link::PeerLinks;
-use crate::storage::disk_writer::{DiskWriter, WriteNumber, WriteResult, Written};
-use crate::storage::peer_listener::{PeerEvent, Reply};
-use crate::storage::registration::PAIR_KEY;
+use crate::storage::disk_writer::Written;
+use crate::storage::peer_listener::PeerEvent;
 use crate::workers::attempt::WorkerClient;
-use gathering::LeaderExchange;
-use membership::read_pair;
-use running::{ActiveRun, RunReport};
+use answers::PendingAnswers;
+use item_runner::{ItemRunner, RunReport};
+use load_exchange::LoadExchange;
+use membership::Membership;
+use replica_driver::ReplicaDriver;
+use startup::StartedService;
+pub use startup::{StorageInputs, StorageParts};
 
-/// The time between two looks at the clock.
+/// The time between two looks at the clock, in milliseconds. Bounds how late time is noticed, and the leader's processor
+/// time. Not measured: a fraction of a heartbeat.
 const TICK: Duration = Duration::from_millis(40);
 
-/// What the service is made of.
-pub struct StorageParts {
-    /// The replica.
-    pub node: JobsNode,
-    /// The node's identity.
-    pub id: NodeId,
-    /// Losses of disks that must be borne at once.
-    pub tolerated: usize,
-    /// The way to workers, and what is known of the fleet.
-    pub workers: Arc<WorkerClient>,
-    /// The metadata store's writes.
-    pub metadata: Arc<dyn MetadataStore>,
-    /// The disk.
-    pub disk: DiskWriter,
-    /// How much of the disk may be used.
-    pub budget: DiskBudget,
-    /// How long results are kept, from the submission on.
-    pub results_kept: Millis,
-}
-
 /// A storing node at work.
 pub struct StorageService {
-    node: JobsNode,
-    id: NodeId,
     workers: Arc<WorkerClient>,
-    metadata: Arc<dyn MetadataStore>,
-    disk: DiskWriter,
-    budget: DiskBudget,
-    retention: Retention,
-    links: PeerLinks,
-    /// Effects that wait for the disk, in order.
-    queue: VecDeque<JobsEffect>,
-    /// The write that the head of the queue waits for.
-    awaited_write: Option<WriteNumber>,
-    replies: HashMap<Waiter, Reply>,
-    next_waiter: u64,
-    reads: HeldReads,
-    dispatcher: Dispatcher,
-    load_aggregator: LoadAggregator,
+    replica: ReplicaDriver,
+    answers: PendingAnswers,
+    items: ItemRunner,
+    membership: Membership,
+    loads: LoadExchange,
     /// What tenants have left, while this node leads.
     quotas: RateCoordinator,
-    /// The way to the leader, for a gatherer of a zone.
-    leader_client: Arc<LeaderClient>,
-    leader_exchange: LeaderExchange,
-    leader_loads: mpsc::UnboundedSender<Option<LoadReport>>,
-    running: BTreeMap<ItemKey, ActiveRun>,
-    next_run: u64,
+    retention: Retention,
+    /// Whether this node leads and has read what was committed before.
     leads: bool,
-    pacing: ItemPacing,
-    proposed: HashSet<ItemKey>,
-    members: Members,
-    founding: Option<GroupMembership>,
-    reports: mpsc::UnboundedSender<RunReport>,
-    pair_reads: mpsc::UnboundedSender<Option<StoredPair>>,
-}
-
-/// The ends of the channels that feed the service.
-pub struct StorageInputs {
-    /// From other nodes.
-    pub peers: mpsc::Receiver<PeerEvent>,
-    /// From the disk.
-    pub writes: mpsc::UnboundedReceiver<WriteResult>,
-    /// From the metadata store.
-    pub updates: mpsc::UnboundedReceiver<FleetUpdate>,
-    /// The founding membership, once it is known.
-    pub founding: mpsc::UnboundedReceiver<GroupMembership>,
-    /// The planned stop.
-    pub stop: watch::Receiver<bool>,
 }
 
 impl StorageService {
@@ -128,54 +73,18 @@
     ///
     /// The disk failed: nothing more may be acknowledged.
     pub async fn run(parts: StorageParts, mut inputs: StorageInputs) -> Result<(), stallmoor_storage::StorageError> {
-        let (reports, mut run_reports) = mpsc::unbounded_channel();
-        let (pair_reads, mut pairs) = mpsc::unbounded_channel();
-        let (leader_loads, mut heard_loads) = mpsc::unbounded_channel();
-        let leader_client = Arc::new(LeaderClient::new(parts.workers.view.clone(), parts.id));
-        let now = parts.workers.view.clock.now();
-        let mut service = Self {
-            links: PeerLinks::new(parts.id),
-            node: parts.node,
-            id: parts.id,
-            workers: parts.workers,
-            metadata: parts.metadata,
-            disk: parts.disk,
-            budget: parts.budget,
-            retention: Retention::new(parts.results_kept, now),
-            queue: VecDeque::new(),
-            awaited_write: None,
-            replies: HashMap::new(),
-            next_waiter: 0,
-            reads: HeldReads::default(),
-            dispatcher: Dispatcher::default(),
-            load_aggregator: LoadAggregator::default(),
-            quotas: RateCoordinator::default(),
-            leader_client,
-            leader_exchange: LeaderExchange::default(),
-            leader_loads,
-            running: BTreeMap::new(),
-            next_run: 0,
-            leads: false,
-            pacing: ItemPacing::new(now),
-            proposed: HashSet::new(),
-            members: Members::new(parts.id, parts.tolerated, now),
-            founding: None,
-            reports,
-            pair_reads,
-        };
+        let StartedService { mut service, mut results } = StartedService::new(parts);
         let mut ticks = tokio::time::interval(TICK);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 Some(event) = inputs.peers.recv() => service.on_peer(event),
                 Some(result) = inputs.writes.recv() => service.on_written(result?),
-                Some(report) = run_reports.recv() => service.on_run_ended(report),
-                Some(update) = inputs.updates.recv() => service.on_update(&update),
-                Some(founding) = inputs.founding.recv() => service.founding = Some(founding),
-                Some(read) = pairs.recv() => {
-                    service.members.pair_written(read);
-                }
-                Some(loads) = heard_loads.recv() => service.on_leader_loads(loads),
+                Some(report) = results.runs.recv() => service.on_run_ended(report),
+                Some(update) = inputs.updates.recv() => service.membership.on_update(&update),
+                Some(founding) = inputs.founding.recv() => service.membership.set_founding(founding),
+                Some(read) = results.pairs.recv() => service.membership.members().pair_written(read),
+                Some(loads) = results.loads.recv() => service.on_leader_loads(loads),
                 _ = ticks.tick() => service.tick(),
                 Ok(()) = inputs.stop.changed() => {}
             }
@@ -194,116 +103,69 @@
         self.workers.view.clock.now()
     }
 
-    // Effects, in order, each after the writes before it.
-
+    /// Queues effects behind those that wait, and carries out what the disk allows.
     fn take(&mut self, effects: Vec<JobsEffect>) {
-        self.queue.extend(effects);
-        self.advance();
+        self.replica.enqueue(effects);
+        self.carry_out();
     }
 
-    fn advance(&mut self) {
-        while self.awaited_write.is_none() {
-            let Some(effect) = self.queue.pop_front() else { return };
-            match effect {
-                JobsEffect::Persist(write) => self.awaited_write = Some(self.disk.write(write)),
-                JobsEffect::Send(message) => {
-                    if let Some(address) = self.address_of(message.to) {
-                        self.links.send(address, &PeerMessage::Replication(message));
-                    }
-                }
-                JobsEffect::Restore(snapshot) => {
-                    self.node.restore(&snapshot);
-                    record(LogEvent::SnapshotInstalled, &[Field::number("index", snapshot.index.0)]);
-                }
-                JobsEffect::ApplyUpTo(index) => {
-                    let now = self.now();
-                    let changes = self.node.apply_up_to(index, now);
-                    self.on_changes(changes);
-                }
-            }
+    fn carry_out(&mut self) {
+        while let Some(changes) = self.replica.advance() {
+            self.on_changes(changes);
         }
     }
 
-    fn on_written(&mut self, written: Written) {
-        self.budget.used(written.bytes);
-        if self.awaited_write.is_some_and(|awaited| awaited <= written.number) {
-            self.awaited_write = None;
-            self.advance();
-        }
-    }
+    // Events.
 
-    fn address_of(&self, node: NodeId) -> Option<std::net::SocketAddr> {
-        self.workers.view.storage().of_node(node).map(|record| record.address)
+    fn on_written(&mut self, written: Written) {
+        self.replica.on_written(written);
+        self.carry_out();
     }
 
-    // Events.
-
     fn on_peer(&mut self, event: PeerEvent) {
         match event {
             PeerEvent::Replication(message) => {
                 let now = self.now();
-                self.members.heard(message.from, now);
-                let effects = self.node.step(message, now);
+                self.membership.members().heard(message.from, now);
+                let effects = self.replica.node_mut().step(message, now);
                 self.take(effects);
-                let changes = self.node.release_answers(now);
+                let changes = self.replica.node_mut().release_answers(now);
                 self.on_changes(changes);
             }
             PeerEvent::Request { from, request, reply } => self.on_request(from, request, reply),
         }
     }
 
-    fn on_update(&mut self, update: &FleetUpdate) {
-        match update {
-            FleetUpdate::DrainMachine { machine } => {
-                self.members.empty(machine.clone());
-            }
-            FleetUpdate::Item(item) if &*item.key == PAIR_KEY => self.members.pair_told(read_pair(item)),
-            _ => {}
+    fn on_leader_loads(&mut self, loads: Option<LoadReport>) {
+        let now = self.now();
+        self.loads.on_leader_answer(loads, self.leads, now);
+    }
+
+    fn on_run_ended(&mut self, report: RunReport) {
+        let now = self.now();
+        if self.items.run_ended(report, self.replica.node().table(), now) {
+            self.propose_results();
         }
     }
 
     fn on_changes(&mut self, changes: Vec<JobsChange>) {
         let mut reads_may_go_on = false;
         for change in changes {
+            reads_may_go_on |= matches!(change, JobsChange::Listed(_) | JobsChange::Ended(_));
             match change {
-                JobsChange::Answer { waiter, answer } => {
-                    if let Some(reply) = self.replies.remove(&waiter) {
-                        let _ = reply.send(Ok(answer));
-                    }
-                }
-                JobsChange::Accepted(key) => {
-                    if let Some(job) = self.node.table().job(&key).filter(|_| self.leads) {
-                        self.dispatcher.add_job(job);
-                    }
-                }
+                JobsChange::Answer { waiter, answer } => self.answers.send(waiter, Ok(answer)),
+                JobsChange::Accepted(job) => self.add_open_items(&job),
                 JobsChange::Listed(key) => {
-                    self.dispatcher.remove(&key);
-                    self.proposed.remove(&key);
-                    if let Some(running) = self.running.remove(&key) {
-                        running.task.abort();
-                    }
-                    let listed = self.node.table().job(&key.job).and_then(|job| job.results.last());
-                    let state = listed.map_or_else(String::new, |result| format!("{:?}", result.state));
-                    let fields =
-                        [Field::text("job", &key.job), Field::number("item", key.item), Field::text("state", state)];
-                    record(LogEvent::ItemListed, &fields);
-                    reads_may_go_on = true;
+                    self.items.result_committed(&key);
+                    self.log_result(&key);
                 }
                 JobsChange::NotListed(key) => {
-                    self.dispatcher.remove(&key);
-                    self.proposed.remove(&key);
-                    if let Some(job) = self.node.table().job(&key.job).filter(|_| self.leads) {
-                        self.dispatcher.add_job(job);
-                    }
+                    self.items.remove(&key);
+                    self.add_open_items(&key.job);
                 }
                 JobsChange::Ended(job) => {
-                    for key in self.dispatcher.remove_job(&job) {
-                        if let Some(running) = self.running.remove(&key) {
-                            running.task.abort();
-                        }
-                    }
+                    self.items.job_ended(&job);
                     record(LogEvent::JobCancelled, &[Field::text("job", &job)]);
-                    reads_may_go_on = true;
                 }
             }
         }
@@ -312,25 +174,83 @@
         }
     }
 
+    fn add_open_items(&mut self, job: &JobKey) {
+        if let Some(job) = self.replica.node().table().job(job).filter(|_| self.leads) {
+            self.items.add_job(job);
+        }
+    }
+
+    fn log_result(&self, key: &ItemKey) {
+        let result = self.replica.node().table().job(&key.job).and_then(|job| job.results.last());
+        let state = result.map_or_else(String::new, |result| format!("{:?}", result.state));
+        let fields = [Field::text("job", &key.job), Field::number("item", key.item), Field::text("state", state)];
+        record(LogEvent::ItemListed, &fields);
+    }
+
+    fn answer_reads(&mut self) {
+        let now = self.now();
+        self.answers.answer_reads(self.replica.node(), now);
+    }
+
+    // Items, while this node leads.
+
+    fn dispatch(&mut self) {
+        let now = self.now();
+        if self.leads && self.items.dispatch(self.replica.node().table(), &mut self.loads, now) {
+            self.propose_results();
+        }
+    }
+
+    fn propose_results(&mut self) {
+        let now = self.now();
+        for command in self.items.unproposed_results() {
+            // A leader that can't propose now tries again with the next tick.
+            let Ok(effects) = self.replica.node_mut().propose(&command, None, now) else { return };
+            self.items.result_proposed(&command);
+            self.take(effects);
+        }
+    }
+
+    /// Logs what running items have put out, so that another leader can go on from there.
+    fn propose_progress(&mut self) {
+        let now = self.now();
+        let Some(progress) = self.items.progress_due(now) else { return };
+        let command = JobCommand::Progress(progress);
+        // A leader that can't propose now logs it with the next round.
+        let Ok(effects) = self.replica.node_mut().propose(&command, None, now) else { return };
+        if let JobCommand::Progress(progress) = &command {
+            self.items.progress_proposed(progress);
+        }
+        self.take(effects);
+    }
+
+    fn forget(&mut self) {
+        let now = self.now();
+        let Some(round) = self.retention.take_round(now, self.workers.view.clock.civil()) else { return };
+        // A leader that can't propose now forgets with the next round.
+        if let Ok(effects) = self.replica.node_mut().propose(&round, None, now) {
+            self.take(effects);
+        }
+    }
+
     // Time.
 
     fn tick(&mut self) {
         let now = self.now();
-        let effects = self.node.tick(now);
+        let effects = self.replica.node_mut().tick(now);
         self.take(effects);
-        let mut changes = self.node.release_answers(now);
-        changes.extend(self.node.abandon_lost_proposals());
+        let mut changes = self.replica.node_mut().release_answers(now);
+        changes.extend(self.replica.node_mut().abandon_lost_proposals());
         self.on_changes(changes);
         self.answer_reads();
         self.found_if_due();
-        self.request_join();
+        self.join_if_due();
         self.keep_members();
         if self.leads {
-            measures::open_items(self.dispatcher.open_count());
+            measures::open_items(self.items.open_count());
             self.quotas.tick(now);
             measures::exhausted_tenants(self.quotas.exhausted());
-            let dead = self.load_aggregator.dead(now);
-            self.workers.view.workers().eject_reported(dead.iter(), now);
+            self.loads.eject_reported(now);
             self.propose_results();
             self.propose_progress();
             self.forget();
@@ -338,70 +258,83 @@
         self.workers.connections.close_stale();
     }
 
+    // Members.
+
     fn found_if_due(&mut self) {
-        let Some(founding) = self.founding.clone() else { return };
-        if self.node.replica().log().last_index().0 == 0 && founding.voters.contains(&self.id) {
-            record(LogEvent::GroupFounded, &[Field::text("members", format!("{founding:?}"))]);
-            let effects = self.node.found(founding, self.now());
-            self.take(effects);
-        }
+        let Some(founding) = self.membership.due_founding(self.replica.node().replica()) else { return };
+        record(LogEvent::GroupFounded, &[Field::text("members", format!("{founding:?}"))]);
+        let now = self.now();
+        let effects = self.replica.node_mut().found(founding, now);
+        self.take(effects);
     }
 
-    /// A node outside the membership asks all to join, so that the leader may take it in.
-    fn request_join(&mut self) {
+    /// A node outside the membership asks all others to join, so that the leader may take it in.
+    fn join_if_due(&mut self) {
         let now = self.now();
-        if !self.members.take_join_turn(self.node.replica(), now) {
-            return;
+        if self.membership.members().take_join_turn(self.replica.node().replica(), now) {
+            self.replica.request_join();
         }
-        let view = self.workers.view.clone();
-        let others: Vec<_> =
-            view.storage().records().filter(|record| record.node != self.id).map(|record| record.address).collect();
-        for address in others {
-            self.links.notify(address, JobsRequest::Join);
+    }
+
+    /// Carries out what is due of the membership.
+    fn keep_members(&mut self) {
+        let now = self.now();
+        let directory = self.workers.view.storage().clone();
+        let replica = self.replica.node().replica();
+        let actions = self.membership.members().plan(replica, self.leads, &directory, now);
+        for action in actions {
+            match action {
+                MembersAction::Change(change) => {
+                    record(LogEvent::MembershipChanging, &[Field::text("change", format!("{change:?}"))]);
+                    let effects = self.replica.node_mut().change_membership(change, now);
+                    self.take(effects);
+                }
+                MembersAction::HandOver(target) => {
+                    let effects = self.replica.node_mut().transfer_leadership(target, now);
+                    self.take(effects);
+                }
+                MembersAction::WritePair { record, revision } => self.membership.write_pair(record, revision),
+                MembersAction::GoOnAlone => {
+                    let index = self.replica.node().replica().log().membership_index().0;
+                    record(LogEvent::WentOnAlone, &[Field::number("membership", index)]);
+                    let effects = self.replica.node_mut().continue_alone(now);
+                    self.take(effects);
+                }
+                MembersAction::ReportDrain { machine, state } => self.membership.report_drain(machine, state),
+            }
         }
     }
 
     fn follow_leadership(&mut self) {
         let now = self.now();
-        let leads = self.node.may_answer(now) || (self.leads && self.node.replica().is_leader());
+        let node = self.replica.node();
+        let leads = node.may_answer(now) || (self.leads && node.replica().is_leader());
         if leads == self.leads {
             return;
         }
         self.leads = leads;
         measures::leads(leads);
-        let term = self.node.replica().term().0;
+        let term = node.replica().term().0;
         if leads {
             record(LogEvent::LeaderElected, &[Field::number("term", term)]);
-            self.dispatcher.restart(self.node.table());
+            self.items.begin_leading(node.table());
         } else {
             record(LogEvent::LeaderStoodDown, &[Field::number("term", term)]);
-            self.dispatcher.clear();
+            self.items.end_leading();
         }
-        // What the other kind of gatherer heard must not count twice.
-        self.load_aggregator.clear();
+        self.loads.clear();
         self.quotas.open(now);
-        self.proposed.clear();
-        for (_, running) in std::mem::take(&mut self.running) {
-            running.task.abort();
-        }
-    }
-
-    fn forget(&mut self) {
-        let now = self.now();
-        let Some(round) = self.retention.take_round(now, self.workers.view.clock.civil()) else { return };
-        // A leader that can't propose now forgets with the next round.
-        if let Ok(effects) = self.node.propose(&round, None, now) {
-            self.take(effects);
-        }
     }
 
     /// Begins or goes on with a planned stop. Returns whether the process may end.
     fn stop(&mut self) -> bool {
-        if !self.node.replica().is_leader() {
-            return self.queue.is_empty() && self.awaited_write.is_none();
+        let replica = self.replica.node().replica();
+        if !replica.is_leader() {
+            return self.replica.is_settled();
         }
-        if let Some(target) = self.members.successor(self.node.replica()) {
-            let effects = self.node.transfer_leadership(target, self.now());
+        if let Some(target) = self.membership.members().successor(replica) {
+            let now = self.now();
+            let effects = self.replica.node_mut().transfer_leadership(target, now);
             self.take(effects);
         }
         false
