--- a/crates/core/src/serving/jobs/dispatch/mod.rs
+++ b/crates/core/src/serving/jobs/dispatch/mod.rs
@@ -26,14 +26,17 @@
 
 use super::command::{ItemKey, ItemProgress, ItemState, JobCommand, JobKey, LoggedOutput, PartialOutput};
 use super::table::{Job, JobTable};
+use crate::backoff::Backoff;
 use crate::time::{Millis, Timestamp, UnixMillis};
 
-/// The wait after a run that failed or broke off; doubles with each in a row.
-const FIRST_DELAY: Millis = Millis(40);
-/// Longest wait between two runs of an item.
-const LONGEST_DELAY: Millis = Millis(640);
+/// The wait after a run that failed or broke off: 40 ms, doubled with each in a row up to 640 ms. Spares items that would
+/// be paused at once again, and still finds a worker that recovered. Measured with the order of pauses, 12 pairs on grown
+/// sites: worth +0.0078 +- 0.0224, worst windows +0.039 +- 0.046, items in time +0.012 +- 0.017; the longest wait not
+/// measured.
+const RUN_BACKOFF: Backoff = Backoff::new(Millis(40), Millis(640));
 
-/// Progress is logged once an item has put out this many events more.
+/// Progress is logged once an item has put out this many events more. Saves bytes of the log. Measured for progress in
+/// the log at all: herd-killed 0.65 -> 0.72 / 0.47 -> 0.59; the number not measured.
 const PROGRESS_EVENTS: u64 = 24;
 
 /// An item that runs.
@@ -289,9 +292,8 @@
 
     fn delay(&mut self, key: &ItemKey, now: Timestamp) {
         if let Some(progress) = self.items.get_mut(key) {
-            let span = FIRST_DELAY.0 << progress.delays.min(8);
+            let until = now + RUN_BACKOFF.wait(progress.delays);
             progress.delays += 1;
-            let until = now + Millis(span.min(LONGEST_DELAY.0));
             progress.phase = Phase::Delayed { until };
             self.delayed.insert((until, key.clone()));
         }
