--- a/crates/core/src/serving/jobs/node.rs
+++ b/crates/core/src/serving/jobs/node/mod.rs
@@ -3,15 +3,19 @@
 //! A driver takes the effects of each call in order. A [`JobsEffect::Persist`] must be durable before
 //! any later effect is carried out; meanwhile further events may be handled, their effects queue up.
 
+mod messages;
+
 use std::collections::BTreeMap;
 
+pub use messages::{JobsChange, JobsEffect, NotProposed, Waiter};
+
 use super::command::{ItemKey, JobCommand, JobKey, JobOutcome, QueueKey, Submission};
 use super::request::JobsAnswer;
 use super::table::JobTable;
 use crate::identity::{GroupId, NodeId};
 use crate::replication::{
-    EntryPayload, GroupMembership, LogIndex, LogWrite, MembershipChange, PersistedReplica, ProposalError, Replica,
-    ReplicaEffect, ReplicaSettings, ReplicationMessage, Snapshot, Term,
+    EntryPayload, GroupMembership, LogIndex, MembershipChange, PersistedReplica, ProposalError, Replica, ReplicaEffect,
+    ReplicaSettings, ReplicationMessage, Snapshot, Term,
 };
 use crate::time::{Millis, Timestamp};
 
@@ -21,58 +25,6 @@
 /// than that needs no snapshot.
 const TAIL_BYTES: usize = 2 << 20;
 
-/// Names who waits for an answer, as the driver numbers them.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Waiter(pub u64);
-
-/// What a driver must do, in order.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JobsEffect {
-    /// Write to disk, durably, before anything after it.
-    Persist(LogWrite),
-    /// Send to another replica.
-    Send(ReplicationMessage),
-    /// Replace the table ([`JobsNode::restore`]).
-    Restore(Snapshot),
-    /// Apply what is committed ([`JobsNode::apply_up_to`]).
-    ApplyUpTo(LogIndex),
-}
-
-/// What applying the log brought about.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JobsChange {
-    /// Someone's answer.
-    Answer {
-        /// Who waits.
-        waiter: Waiter,
-        /// The answer.
-        answer: JobsAnswer,
-    },
-    /// A job is in the table.
-    Accepted(JobKey),
-    /// An item's result is listed.
-    Listed(ItemKey),
-    /// A result was proposed that does not follow on what the log has of the item: it must go on from
-    /// there.
-    NotListed(ItemKey),
-    /// A job has ended.
-    Ended(JobKey),
-}
-
-/// Why a command was not proposed. Nothing of it will take effect.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotProposed {
-    /// Another replica leads, if known.
-    NotLeader(Option<NodeId>),
-    /// This replica leads and is not ready.
-    Busy,
-    /// The job does not fit.
-    OverQuota {
-        /// Tokens that wait now.
-        waiting: u64,
-    },
-}
-
 struct Proposal {
     term: Term,
     waiter: Option<Waiter>,
@@ -93,6 +45,12 @@
     }
 }
 
+/// What applying one command brought about.
+struct Applied {
+    answer: JobsAnswer,
+    change: Option<JobsChange>,
+}
+
 struct HeldAnswer {
     index: LogIndex,
     waiter: Waiter,
@@ -270,11 +228,16 @@
                 changes.extend(waiter.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Unsure }));
                 continue;
             };
-            let Some(command) = JobCommand::decode(bytes) else { continue };
-            let change = self.apply(command);
-            changes.extend(change.1);
+            let Some(command) = JobCommand::decode(bytes) else {
+                // Whoever waits must not wait on: what the command would have done is not known here.
+                changes.push(JobsChange::Unreadable(entry.index));
+                changes.extend(waiter.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Unsure }));
+                continue;
+            };
+            let applied = self.apply(command);
+            changes.extend(applied.change);
             if let Some(waiter) = waiter {
-                let answer = if mine { change.0 } else { JobsAnswer::Unsure };
+                let answer = if mine { applied.answer } else { JobsAnswer::Unsure };
                 let deadline = now + self.acknowledge_wait;
                 self.held.push(HeldAnswer { index: entry.index, waiter, answer, deadline });
             }
@@ -302,15 +265,15 @@
         waiters.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Unsure }).collect()
     }
 
-    fn apply(&mut self, command: JobCommand) -> (JobsAnswer, Option<JobsChange>) {
-        let key = match &command {
+    fn apply(&mut self, command: JobCommand) -> Applied {
+        let change = match &command {
             JobCommand::Accept(submission) => Some(JobsChange::Accepted(submission.key.clone())),
             JobCommand::Finish { key, .. } => Some(JobsChange::Listed(key.clone())),
             JobCommand::End { job, .. } => Some(JobsChange::Ended(job.clone())),
             JobCommand::Progress(_) | JobCommand::Forget { .. } => None,
         };
         let outcome = self.table.apply(command);
-        let key = match key {
+        let change = match change {
             Some(JobsChange::Listed(item)) if !self.is_listed(&item) => Some(JobsChange::NotListed(item)),
             // The job is another tenant's, and goes on.
             Some(JobsChange::Ended(_)) if outcome == JobOutcome::UnknownJob => None,
@@ -322,7 +285,7 @@
             JobOutcome::KeyTaken => JobsAnswer::KeyTaken,
             JobOutcome::UnknownJob => JobsAnswer::UnknownJob,
         };
-        (answer, key)
+        Applied { answer, change }
     }
 
     /// Whether an item needs no result any more.
--- a/crates/gateway/src/storage/service/mod.rs
+++ b/crates/gateway/src/storage/service/mod.rs
@@ -163,6 +163,10 @@
                     self.items.remove(&key);
                     self.add_open_items(&key.job);
                 }
+                JobsChange::Unreadable(index) => {
+                    let detail = format!("entry {} of the job table's log", index.0);
+                    record(LogEvent::RecordUnreadable, &[Field::text("detail", detail)]);
+                }
                 JobsChange::Ended(job) => {
                     self.items.job_ended(&job);
                     record(LogEvent::JobCancelled, &[Field::text("job", &job)]);
