--- a/crates/core/src/serving/jobs/command.rs
+++ b/crates/core/src/serving/jobs/command.rs
@@ -219,6 +219,7 @@
 impl JobCommand {
     /// Encodes the command for the log.
     pub fn encode(&self) -> Arc<[u8]> {
+        // Can't fail: the length of all that is encoded is known, and a vector takes any.
         postcard::to_stdvec(self).map(Arc::from).unwrap_or_default()
     }
 
--- a/crates/core/src/serving/jobs/node/messages.rs
+++ b/crates/core/src/serving/jobs/node/messages.rs
@@ -58,3 +58,18 @@
         waiting: u64,
     },
 }
+
+/// A snapshot whose table can't be read, by this version of the program at least.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct UnreadableSnapshot {
+    /// The last entry that it covers.
+    pub index: LogIndex,
+}
+
+impl std::fmt::Display for UnreadableSnapshot {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(formatter, "the snapshot up to entry {} of the job table's log", self.index.0)
+    }
+}
+
+impl std::error::Error for UnreadableSnapshot {}
--- a/crates/core/src/serving/jobs/node/mod.rs
+++ b/crates/core/src/serving/jobs/node/mod.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-pub use messages::{JobsChange, JobsEffect, NotProposed, Waiter};
+pub use messages::{JobsChange, JobsEffect, NotProposed, UnreadableSnapshot, Waiter};
 
 use super::command::{ItemKey, JobCommand, JobKey, JobOutcome, QueueKey, Submission};
 use super::request::JobsAnswer;
@@ -209,11 +209,18 @@
     }
 
     /// Replaces the table by a snapshot's.
-    pub fn restore(&mut self, snapshot: &Snapshot) {
-        if let Some(table) = JobTable::decode(&snapshot.state) {
-            self.table = table;
-        }
+    ///
+    /// # Errors
+    ///
+    /// [`UnreadableSnapshot`]: the table stays as it was, behind the log. No snapshot of it is taken until one that can
+    /// be read has come, as it would stand in for entries that it doesn't have.
+    pub fn restore(&mut self, snapshot: &Snapshot) -> Result<(), UnreadableSnapshot> {
+        let Some(table) = JobTable::decode(&snapshot.state) else {
+            return Err(UnreadableSnapshot { index: snapshot.index });
+        };
+        self.table = table;
         self.restoring = false;
+        Ok(())
     }
 
     /// Applies what is committed up to a place.
--- a/crates/core/src/serving/jobs/table.rs
+++ b/crates/core/src/serving/jobs/table.rs
@@ -160,6 +160,7 @@
 
     /// Encodes the table for a snapshot.
     pub fn encode(&self) -> Arc<[u8]> {
+        // Can't fail: the length of all that is encoded is known, and a vector takes any.
         postcard::to_stdvec(self).map(Arc::from).unwrap_or_default()
     }
 
--- a/crates/core/tests/jobs_node.rs
+++ b/crates/core/tests/jobs_node.rs
@@ -6,10 +6,10 @@
 use stallmoor_core::identity::{GroupId, NodeId};
 use stallmoor_core::replication::{
     Entry, EntryPayload, GroupMembership, LogIndex, MessageKind, PersistedReplica, ReplicaSettings, ReplicationMessage,
-    Term,
+    Snapshot, Term,
 };
 use stallmoor_core::serving::jobs::command::{JobItem, JobKey, Submission};
-use stallmoor_core::serving::jobs::node::{JobsChange, JobsEffect, JobsNode, NotProposed, Waiter};
+use stallmoor_core::serving::jobs::node::{JobsChange, JobsEffect, JobsNode, NotProposed, UnreadableSnapshot, Waiter};
 use stallmoor_core::serving::jobs::request::JobsAnswer;
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
 
@@ -186,3 +186,17 @@
     assert!(harness.node.table().job(&JobKey(Arc::from("a"))).is_none());
     assert_eq!(harness.node.replica().applied(), index, "what follows is applied");
 }
+
+#[test]
+fn a_snapshot_that_cannot_be_read_is_refused_and_the_table_stays() {
+    let mut harness = Harness::leading();
+    harness.submit("a", 1).expect("it fits");
+    harness.carry_out();
+    let before = harness.node.table().clone();
+    let snapshot = Snapshot { index: LogIndex(9), state: Arc::from([0xff, 0xff, 0xff]), ..Snapshot::default() };
+    assert_eq!(harness.node.restore(&snapshot), Err(UnreadableSnapshot { index: LogIndex(9) }));
+    assert_eq!(harness.node.table(), &before);
+    let readable = Snapshot { state: Arc::from([]), ..snapshot };
+    assert_eq!(harness.node.restore(&readable), Ok(()));
+    assert_eq!(harness.node.table().jobs().count(), 0, "the empty snapshot is the empty table");
+}
--- a/crates/core/tests/jobs_simulation.rs
+++ b/crates/core/tests/jobs_simulation.rs
@@ -329,7 +329,9 @@
                         self.under_way.push_back((self.now + delay, message));
                     }
                 }
-                JobsEffect::Restore(snapshot) => process.node.restore(&snapshot),
+                JobsEffect::Restore(snapshot) => {
+                    process.node.restore(&snapshot).expect("a snapshot of a table can be read")
+                }
                 JobsEffect::ApplyUpTo(index) => changes.extend(process.node.apply_up_to(index, now)),
             }
         }
--- a/crates/gateway/src/storage/service/membership.rs
+++ b/crates/gateway/src/storage/service/membership.rs
@@ -75,6 +75,7 @@
         record(LogEvent::PairRecorded, &[Field::text("record", format!("{pair:?}"))]);
         let (metadata, reads) = (self.metadata.clone(), self.pair_reads.clone());
         tokio::spawn(async move {
+            // Can't fail: the record is of numbers and names only.
             let value = serde_json::to_vec(&pair).unwrap_or_default();
             let read = match metadata.put(PAIR_KEY.to_owned(), value, Revision(revision)).await {
                 PutOutcome::Written(at) => Some(StoredPair { record: Some(pair), revision: at.0 }),
--- a/crates/gateway/src/storage/service/replica_driver.rs
+++ b/crates/gateway/src/storage/service/replica_driver.rs
@@ -115,7 +115,10 @@
     }
 
     fn restore(&mut self, snapshot: &Snapshot) {
-        self.node.restore(snapshot);
-        record(LogEvent::SnapshotInstalled, &[Field::number("index", snapshot.index.0)]);
+        match self.node.restore(snapshot) {
+            Ok(()) => record(LogEvent::SnapshotInstalled, &[Field::number("index", snapshot.index.0)]),
+            // The snapshot is on disk already: a start of this version refuses it, and the line says why.
+            Err(unreadable) => record(LogEvent::RecordUnreadable, &[Field::text("detail", unreadable)]),
+        }
     }
 }
