--- a/crates/core/src/serving/jobs/command.rs
+++ b/crates/core/src/serving/jobs/command.rs
@@ -170,7 +170,7 @@
 pub enum JobCommand {
     /// Take a job.
     Accept(Submission),
-    /// List an item's result.
+    /// Commit an item's result.
     Finish {
         /// The item.
         key: ItemKey,
@@ -204,8 +204,8 @@
     Accepted,
     /// Another tenant has a job of this id.
     KeyTaken,
-    /// The result is listed, or the progress kept.
-    Listed,
+    /// The result is committed, or the progress kept.
+    Committed,
     /// The item had a result before, or its job has ended; nothing changed.
     Dropped,
     /// The job has ended.
--- a/crates/core/src/serving/jobs/dispatch/mod.rs
+++ b/crates/core/src/serving/jobs/dispatch/mod.rs
@@ -35,7 +35,7 @@
 /// measured.
 const RUN_BACKOFF: Backoff = Backoff::new(Millis(40), Millis(640));
 
-/// Progress is logged once an item has put out this many events more. Saves bytes of the log. Measured for progress in
+/// OpenItem is logged once an item has put out this many events more. Saves bytes of the log. Measured for progress in
 /// the log at all: herd-killed 0.65 -> 0.72 / 0.47 -> 0.59; the number not measured.
 const PROGRESS_EVENTS: u64 = 24;
 
@@ -61,7 +61,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Progress {
+struct OpenItem {
     phase: Phase,
     due: UnixMillis,
     failures: u32,
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Dispatcher {
     estimate: RunEstimate,
-    items: BTreeMap<ItemKey, Progress>,
+    items: BTreeMap<ItemKey, OpenItem>,
     ready: BTreeSet<(UnixMillis, ItemKey)>,
     delayed: BTreeSet<(Timestamp, ItemKey)>,
     finished: BTreeSet<ItemKey>,
@@ -113,7 +113,7 @@
             self.ready.insert((due, key.clone()));
             let output = job.partial(item).cloned().unwrap_or_default();
             let logged = LoggedOutput { bytes: output.text.len(), last_event: output.last_event };
-            let progress = Progress {
+            let progress = OpenItem {
                 phase: Phase::Ready,
                 due,
                 failures: 0,
@@ -181,7 +181,7 @@
         }
     }
 
-    /// A run ended. Returns whether a result is to be listed ([`Dispatcher::unlisted`]).
+    /// A run ended. Returns whether a result is to be committed ([`Dispatcher::uncommitted_results`]).
     pub fn run_ended(
         &mut self,
         key: &ItemKey,
@@ -217,8 +217,8 @@
         self.finish(key, ItemState::GivenUp)
     }
 
-    /// The commands for results that are not listed yet.
-    pub fn unlisted(&self) -> Vec<JobCommand> {
+    /// The commands for results that are not committed yet.
+    pub fn uncommitted_results(&self) -> Vec<JobCommand> {
         let command = |key: &ItemKey| {
             let progress = self.items.get(key)?;
             let Phase::Finished { state } = progress.phase else { return None };
@@ -236,7 +236,7 @@
         Some(ItemProgress { key: key.clone(), after: logged, text: Arc::from(text), last_event: output.last_event })
     }
 
-    /// Progress was proposed: what follows goes on from there.
+    /// OpenItem was proposed: what follows goes on from there.
     pub fn progress_proposed(&mut self, progress: &ItemProgress) {
         if let Some(item) = self.items.get_mut(&progress.key) {
             let bytes = progress.after.bytes + progress.text.len();
@@ -258,7 +258,7 @@
         running
     }
 
-    /// An item's result is listed.
+    /// An item's result is committed.
     pub fn remove(&mut self, key: &ItemKey) {
         if let Some(progress) = self.items.remove(key) {
             self.ready.remove(&(progress.due, key.clone()));
--- a/crates/core/src/serving/jobs/load_aggregator.rs
+++ b/crates/core/src/serving/jobs/load_aggregator.rs
@@ -1,12 +1,12 @@
 //! The online requests of all nodes, gathered at the table's leader.
 //!
-//! Each gateway tells its own requests at each worker a few times a second and hears those of all
+//! Each gateway reports its own requests at each worker a few times a second and gets those of all
 //! others. So nodes don't choose the same worker, and batch items stay out of the way.
 //!
-//! Where there are many gateways, a storing node of each zone gathers for the zone: it tells the leader the sums
-//! over its gateways, and keeps what it hears of all other zones as if one more node told it.
+//! Where there are many gateways, a storing node of each zone aggregates for the zone: it reports to the leader the sums
+//! over its gateways, and keeps what it gets of all other zones as the report of one more node.
 //!
-//! The sums over all nodes are kept, not made anew for each node that tells: with `n` nodes that would be
+//! The sums over all nodes are kept, not made anew for each node that reports: with `n` nodes that would be
 //! work of `n * n` a round.
 
 use std::collections::BTreeMap;
@@ -15,30 +15,30 @@
 use crate::serving::workers::{LoadReport, WorkerCount, WorkerId, WorkerReport};
 use crate::time::{Millis, Timestamp};
 
-/// What a node told is believed for this long.
+/// What a node reported is believed for this long.
 const LIFETIME: Millis = Millis(1_000);
 /// The sums are made anew after this long, without what is believed no longer.
 const REBUILD_INTERVAL: Millis = Millis(100);
 
-/// Stands for the table's leader among the nodes that tell a gatherer of a zone. No node has this identity.
+/// Stands for the table's leader among the nodes that report to an aggregator of a zone. No node has this identity.
 const LEADER: NodeId = NodeId(0);
 
 #[derive(Debug)]
-struct Told {
-    news: LoadReport,
+struct StoredReport {
+    report: LoadReport,
     at: Timestamp,
 }
 
-impl Told {
+impl StoredReport {
     /// How many gateways it is of.
     fn nodes(&self) -> u32 {
-        self.news.nodes.max(1)
+        self.report.nodes.max(1)
     }
 
-    /// When the gateways told it, weighted by the requests that they placed.
+    /// When the gateways reported it, weighted by the requests that they placed.
     fn weighted_time(&self) -> u64 {
-        let told_at = self.at.as_millis().saturating_sub(self.news.age.0);
-        told_at * u64::from(self.news.placed_per_s)
+        let reported_at = self.at.as_millis().saturating_sub(self.report.age.0);
+        reported_at * u64::from(self.report.placed_per_s)
     }
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl Total {
-    fn news(&self, worker: &WorkerId, requests: u32) -> WorkerReport {
+    fn report(&self, worker: &WorkerId, requests: u32) -> WorkerReport {
         let Self { told, failing, batch, .. } = *self;
         WorkerReport { worker: worker.clone(), requests, told, failing, batch }
     }
@@ -64,16 +64,16 @@
     workers: BTreeMap<WorkerId, Total>,
     placed_per_s: u32,
     nodes: u32,
-    /// The sum of [`Told::weighted_time`].
+    /// The sum of [`StoredReport::weighted_time`].
     weighted_time: u64,
 }
 
 impl Totals {
-    fn add(&mut self, told: &Told) {
-        self.placed_per_s += told.news.placed_per_s;
-        self.nodes += told.nodes();
-        self.weighted_time += told.weighted_time();
-        for worker in &told.news.workers {
+    fn add(&mut self, stored: &StoredReport) {
+        self.placed_per_s += stored.report.placed_per_s;
+        self.nodes += stored.nodes();
+        self.weighted_time += stored.weighted_time();
+        for worker in &stored.report.workers {
             let total = self.workers.entry(worker.worker.clone()).or_default();
             total.requests += worker.requests;
             total.failing += worker.failing;
@@ -82,20 +82,20 @@
         }
     }
 
-    /// The sums as one node's news.
-    fn news(&self, now: Timestamp) -> LoadReport {
-        let workers = self.workers.iter().map(|(worker, total)| total.news(worker, total.requests)).collect();
-        let told_at = self.weighted_time.checked_div(u64::from(self.placed_per_s));
-        let age = told_at.map_or(Millis(0), |told_at| now.since(Timestamp::from_millis(told_at)));
+    /// The sums as one node's report.
+    fn report(&self, now: Timestamp) -> LoadReport {
+        let workers = self.workers.iter().map(|(worker, total)| total.report(worker, total.requests)).collect();
+        let reported_at = self.weighted_time.checked_div(u64::from(self.placed_per_s));
+        let age = reported_at.map_or(Millis(0), |reported_at| now.since(Timestamp::from_millis(reported_at)));
         LoadReport { workers, placed_per_s: self.placed_per_s, nodes: self.nodes, age, ..LoadReport::default() }
     }
 
-    /// Takes back what a node told. The workers' own word stays until the sums are made anew.
-    fn subtract(&mut self, told: &Told) {
-        self.placed_per_s = self.placed_per_s.saturating_sub(told.news.placed_per_s);
-        self.nodes = self.nodes.saturating_sub(told.nodes());
-        self.weighted_time = self.weighted_time.saturating_sub(told.weighted_time());
-        for worker in &told.news.workers {
+    /// Takes back what a node reported. The workers' own figures stay until the sums are made anew.
+    fn subtract(&mut self, stored: &StoredReport) {
+        self.placed_per_s = self.placed_per_s.saturating_sub(stored.report.placed_per_s);
+        self.nodes = self.nodes.saturating_sub(stored.nodes());
+        self.weighted_time = self.weighted_time.saturating_sub(stored.weighted_time());
+        for worker in &stored.report.workers {
             if let Some(total) = self.workers.get_mut(&worker.worker) {
                 total.requests = total.requests.saturating_sub(worker.requests);
                 total.failing = total.failing.saturating_sub(worker.failing);
@@ -105,65 +105,65 @@
     }
 }
 
-/// What the gateways told.
+/// What the gateways reported.
 #[derive(Debug, Default)]
 pub struct LoadAggregator {
-    nodes: BTreeMap<NodeId, Told>,
+    nodes: BTreeMap<NodeId, StoredReport>,
     totals: Totals,
     rebuilt_at: Timestamp,
 }
 
 impl LoadAggregator {
-    /// A node told its requests.
-    pub fn tell(&mut self, node: NodeId, news: LoadReport, now: Timestamp) {
-        let told = Told { news, at: now };
-        self.totals.add(&told);
-        if let Some(earlier) = self.nodes.insert(node, told) {
+    /// A node reported its requests.
+    pub fn record_report(&mut self, node: NodeId, report: LoadReport, now: Timestamp) {
+        let stored = StoredReport { report, at: now };
+        self.totals.add(&stored);
+        if let Some(earlier) = self.nodes.insert(node, stored) {
             self.totals.subtract(&earlier);
         }
     }
 
-    /// The leader answered this gatherer of a zone with the loads of all other zones, and batch.
-    pub fn apply_leader_report(&mut self, news: LoadReport, now: Timestamp) {
-        self.tell(LEADER, news, now);
+    /// The leader answered this aggregator of a zone with the loads of all other zones, and batch.
+    pub fn apply_leader_report(&mut self, report: LoadReport, now: Timestamp) {
+        self.record_report(LEADER, report, now);
     }
 
-    /// What this gatherer of a zone has to tell the leader: the sums over its gateways. What the workers told the
-    /// leader is left out, or it would go round for ever. `None` if no gateway told this node anything of late.
+    /// What this aggregator of a zone reports to the leader: the sums over its gateways. What the workers reported to the
+    /// leader is left out, or it would go round for ever. `None` if no gateway reported to this node of late.
     pub fn for_leader(&mut self, now: Timestamp) -> Option<LoadReport> {
         self.refresh(now);
         let mut totals = Totals::default();
-        for (_, told) in self.nodes.iter().filter(|(node, _)| **node != LEADER) {
-            totals.add(told);
+        for (_, stored) in self.nodes.iter().filter(|(node, _)| **node != LEADER) {
+            totals.add(stored);
         }
         let has_gateways = totals.nodes > 0;
-        has_gateways.then(|| totals.news(now))
+        has_gateways.then(|| totals.report(now))
     }
 
-    /// What all nodes but one told, with the requests of `batch` added. What the workers themselves told
+    /// What all nodes but one reported, with the requests of `batch` added. What the workers themselves reported
     /// counts from every node.
     pub fn without(&mut self, node: NodeId, batch: &[WorkerCount], now: Timestamp) -> LoadReport {
         self.refresh(now);
-        let own = self.nodes.get(&node).map(|told| &told.news.workers);
+        let own = self.nodes.get(&node).map(|stored| &stored.report.workers);
         let own_requests: BTreeMap<&WorkerId, u32> =
-            own.into_iter().flatten().map(|news| (&news.worker, news.requests)).collect();
+            own.into_iter().flatten().map(|report| (&report.worker, report.requests)).collect();
         let mut batch: BTreeMap<&WorkerId, u32> = batch.iter().map(|count| (&count.worker, count.requests)).collect();
         let mut workers: Vec<WorkerReport> = Vec::with_capacity(self.totals.workers.len());
         for (worker, total) in &self.totals.workers {
             let others = total.requests.saturating_sub(own_requests.get(worker).copied().unwrap_or(0));
             let items = batch.remove(worker).unwrap_or(0);
             let total = Total { batch: total.batch + items, ..*total };
-            workers.push(total.news(worker, others + items));
+            workers.push(total.report(worker, others + items));
         }
         let only_batch = batch.into_iter().map(|(worker, requests)| (worker.clone(), requests));
         let items = |batch: u32| Total { batch, ..Total::default() };
-        workers.extend(only_batch.map(|(worker, requests)| items(requests).news(&worker, requests)));
+        workers.extend(only_batch.map(|(worker, requests)| items(requests).report(&worker, requests)));
         let mut rest = Totals { workers: BTreeMap::new(), ..self.totals };
         if let Some(own) = self.nodes.get(&node) {
             rest.subtract(own);
         }
         let reporters = u32::try_from(self.nodes.len()).unwrap_or(u32::MAX);
-        LoadReport { workers, reporters, ..rest.news(now) }
+        LoadReport { workers, reporters, ..rest.report(now) }
     }
 
     /// Online requests at each worker, of all nodes.
@@ -179,11 +179,11 @@
         self.totals.placed_per_s
     }
 
-    /// Workers that are held to be dead.
+    /// Workers that are reported dead.
     pub fn dead(&mut self, now: Timestamp) -> Vec<WorkerId> {
         self.refresh(now);
-        let news = self.totals.workers.iter().map(|(worker, total)| total.news(worker, total.requests));
-        news.filter(WorkerReport::is_reported_dead).map(|news| news.worker).collect()
+        let reports = self.totals.workers.iter().map(|(worker, total)| total.report(worker, total.requests));
+        reports.filter(WorkerReport::is_reported_dead).map(|report| report.worker).collect()
     }
 
     /// Forgets everything: this node leads no longer.
@@ -196,10 +196,10 @@
             return;
         }
         self.rebuilt_at = now;
-        self.nodes.retain(|_, told| now.since(told.at) < LIFETIME);
+        self.nodes.retain(|_, stored| now.since(stored.at) < LIFETIME);
         self.totals = Totals::default();
-        for told in self.nodes.values() {
-            self.totals.add(told);
+        for stored in self.nodes.values() {
+            self.totals.add(stored);
         }
     }
 }
--- a/crates/core/src/serving/jobs/members.rs
+++ b/crates/core/src/serving/jobs/members.rs
@@ -1,4 +1,4 @@
-//! Who should hold the job table: lost members are replaced, machines are emptied by order, and a group
+//! Who should hold the job table: lost members are replaced, machines are drained by order, and a group
 //! of two is kept able to lose one.
 //!
 //! Every replica has one of these; [`Members::plan`] says what is due, and a driver carries it out.
@@ -16,15 +16,15 @@
 
 /// A member that has not answered for this long is replaced where there is a spare.
 const LOST_AFTER: Millis = Millis(2_200);
-/// A spare that was not heard of for this long is not chosen.
-const SPARE_HEARD_WITHIN: Millis = Millis(1_500);
+/// A spare that was not in contact for this long is not chosen.
+const SPARE_CONTACT_WITHIN: Millis = Millis(1_500);
 /// The time between two looks.
 const INTERVAL: Millis = Millis(100);
-/// A member of a pair counts as lost once it was not heard of for this long.
+/// A member of a pair counts as lost once it was not in contact for this long.
 const PAIR_LOST_AFTER: Millis = Millis(3_500);
 
 /// The time between two join requests of a spare, in milliseconds. The leader learns of a spare this soon. Not
-/// measured: three of them fit into [`SPARE_HEARD_WITHIN`].
+/// measured: three of them fit into [`SPARE_CONTACT_WITHIN`].
 const JOIN_INTERVAL: Millis = Millis(400);
 
 /// How many voters bear the loss of `tolerated` of them: what a majority holds is then still held by a
@@ -40,7 +40,7 @@
     is_pair || voters >= voters_tolerating(tolerated)
 }
 
-/// How far the emptying of a machine is.
+/// How far the draining of a machine is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainState {
     /// Copies are being made elsewhere.
@@ -65,7 +65,7 @@
     },
     /// Go on as the only voter: the store says so.
     GoOnAlone,
-    /// Tell the operator how far the emptying of a machine is.
+    /// Report to the operator how far the draining of a machine is.
     ReportDrain {
         /// The machine.
         machine: Arc<str>,
@@ -74,7 +74,7 @@
     },
 }
 
-/// What one replica knows of the others, and what it has told.
+/// What one replica knows of the others, and what it has reported.
 #[derive(Clone, Debug)]
 pub struct Members {
     own: NodeId,
@@ -83,8 +83,8 @@
     started_at: Timestamp,
     looked_at: Timestamp,
     last_join: Timestamp,
-    heard: BTreeMap<NodeId, Timestamp>,
-    emptying: BTreeMap<Arc<str>, Option<DrainState>>,
+    last_contact: BTreeMap<NodeId, Timestamp>,
+    drains: BTreeMap<Arc<str>, Option<DrainState>>,
     pair: StoredPair,
     pair_write_under_way: bool,
 }
@@ -98,25 +98,25 @@
             started_at: now,
             looked_at: now,
             last_join: now,
-            heard: BTreeMap::new(),
-            emptying: BTreeMap::new(),
+            last_contact: BTreeMap::new(),
+            drains: BTreeMap::new(),
             pair: StoredPair::default(),
             pair_write_under_way: false,
         }
     }
 
-    /// Another node was heard of.
-    pub fn heard(&mut self, node: NodeId, now: Timestamp) {
-        self.heard.insert(node, now);
+    /// Another node was in contact.
+    pub fn record_contact(&mut self, node: NodeId, now: Timestamp) {
+        self.last_contact.insert(node, now);
     }
 
-    /// The operator wants a machine emptied.
-    pub fn empty(&mut self, machine: Arc<str>) {
-        self.emptying.entry(machine).or_insert(None);
+    /// The operator wants a machine drained.
+    pub fn drain(&mut self, machine: Arc<str>) {
+        self.drains.entry(machine).or_insert(None);
     }
 
-    /// The store told the pair's record.
-    pub fn pair_told(&mut self, pair: StoredPair) {
+    /// The store has this as the pair's record.
+    pub fn pair_read(&mut self, pair: StoredPair) {
         self.pair.take(pair);
     }
 
@@ -171,19 +171,19 @@
         now: Timestamp,
     ) -> Vec<MembersAction> {
         let membership = replica.membership();
-        let emptied = self.emptied_nodes(directory);
-        if emptied.contains(&self.own) && membership.voters.contains(&self.own) {
+        let drained = self.drained_nodes(directory);
+        if drained.contains(&self.own) && membership.voters.contains(&self.own) {
             return self.successor(replica).map(MembersAction::HandOver).into_iter().collect();
         }
         let mut actions = Vec::new();
-        let step = self.next_step(replica, directory, &emptied, now);
+        let step = self.next_step(replica, directory, &drained, now);
         let changes_voters = matches!(step, Some(MembershipChange::Promote(_) | MembershipChange::Remove(_)));
         actions.extend(self.pair_write(replica, true, changes_voters, false));
         if changes_voters && !self.pair.allows_change(membership, replica.log().membership_index()) {
             return actions;
         }
         actions.extend(step.map(MembersAction::Change));
-        actions.extend(self.emptying_reports(replica, directory));
+        actions.extend(self.drain_reports(replica, directory));
         actions
     }
 
@@ -191,20 +191,20 @@
         &self,
         replica: &Replica,
         directory: &StorageDirectory,
-        emptied: &BTreeSet<NodeId>,
+        drained: &BTreeSet<NodeId>,
         now: Timestamp,
     ) -> Option<MembershipChange> {
         let membership = replica.membership();
         let candidates: Vec<StoreCandidate> = directory
             .records()
-            .filter(|record| !emptied.contains(&record.node) && self.is_there(record.node, now))
+            .filter(|record| !drained.contains(&record.node) && self.is_there(record.node, now))
             .map(|record| StoreCandidate { node: record.node, zone: record.zone.clone() })
             .collect();
         let health: Vec<ReplicaHealth> = membership
             .members()
             .map(|node| ReplicaHealth {
                 node,
-                is_lost: emptied.contains(&node) || self.is_lost(replica, directory, node, now),
+                is_lost: drained.contains(&node) || self.is_lost(replica, directory, node, now),
                 is_caught_up: self.is_caught_up(replica, node),
             })
             .collect();
@@ -217,10 +217,10 @@
             candidates: &candidates,
         };
         let step = plan_repair(&input).map(|step| step.0);
-        // Where no spare takes an emptied machine's place, the others go on without it if they are enough.
+        // Where no spare takes an drained machine's place, the others go on without it if they are enough.
         let may_shrink = tolerates_losses(membership.voters.len().saturating_sub(1), self.tolerated);
-        let emptied_voter = || membership.voters.iter().copied().find(|voter| may_shrink && emptied.contains(voter));
-        let removal = || emptied_voter().filter(|_| membership.learners.is_empty()).map(MembershipChange::Remove);
+        let drained_voter = || membership.voters.iter().copied().find(|voter| may_shrink && drained.contains(voter));
+        let removal = || drained_voter().filter(|_| membership.learners.is_empty()).map(MembershipChange::Remove);
         step.or_else(removal)
     }
 
@@ -253,8 +253,8 @@
         let Some(other) = membership.voters.iter().copied().find(|voter| *voter != self.own) else { return false };
         // The directory is known if it lists this node; then another identity lies on the other's disk.
         let is_replaced = directory.of_node(self.own).is_some() && directory.of_node(other).is_none();
-        let heard_at = self.heard.get(&other).copied().unwrap_or(self.started_at);
-        is_replaced || now.since(heard_at) >= PAIR_LOST_AFTER
+        let contact_at = self.last_contact.get(&other).copied().unwrap_or(self.started_at);
+        is_replaced || now.since(contact_at) >= PAIR_LOST_AFTER
     }
 
     fn pair_write(
@@ -282,13 +282,13 @@
         Some(MembersAction::WritePair { record, revision: self.pair.revision })
     }
 
-    fn emptied_nodes(&self, directory: &StorageDirectory) -> BTreeSet<NodeId> {
-        let records = self.emptying.keys().filter_map(|machine| directory.of_machine(machine));
+    fn drained_nodes(&self, directory: &StorageDirectory) -> BTreeSet<NodeId> {
+        let records = self.drains.keys().filter_map(|machine| directory.of_machine(machine));
         records.map(|record| record.node).collect()
     }
 
     fn is_there(&self, node: NodeId, now: Timestamp) -> bool {
-        node == self.own || self.heard.get(&node).is_some_and(|at| now.since(*at) < SPARE_HEARD_WITHIN)
+        node == self.own || self.last_contact.get(&node).is_some_and(|at| now.since(*at) < SPARE_CONTACT_WITHIN)
     }
 
     /// A member is lost once another identity lies on its machine's disk, or it is silent for long.
@@ -298,8 +298,8 @@
         }
         let is_silent = |at: Option<Timestamp>| at.is_none_or(|at| now.since(at) >= LOST_AFTER);
         let answered_at = replica.progress(node).and_then(|progress| progress.last_answer);
-        let heard_at = self.heard.get(&node).copied();
-        directory.of_node(node).is_none() || (is_silent(answered_at) && is_silent(heard_at))
+        let contact_at = self.last_contact.get(&node).copied();
+        directory.of_node(node).is_none() || (is_silent(answered_at) && is_silent(contact_at))
     }
 
     fn is_caught_up(&self, replica: &Replica, node: NodeId) -> bool {
@@ -308,7 +308,7 @@
 
     /// Machines whose duty has been moved: they hold no member, the change is committed, and all members
     /// hold the whole log.
-    fn emptying_reports(&mut self, replica: &Replica, directory: &StorageDirectory) -> Vec<MembersAction> {
+    fn drain_reports(&mut self, replica: &Replica, directory: &StorageDirectory) -> Vec<MembersAction> {
         let membership = replica.membership();
         let index = replica.log().membership_index();
         let is_settled = index <= replica.commit()
@@ -316,11 +316,11 @@
             && replica.all_voters_caught_up()
             && membership.learners.is_empty();
         let mut reports = Vec::new();
-        for (machine, told) in &mut self.emptying {
+        for (machine, reported) in &mut self.drains {
             let holds_member = directory.of_machine(machine).is_some_and(|record| membership.contains(record.node));
             let state = if holds_member || !is_settled { DrainState::InProgress } else { DrainState::Completed };
-            if *told != Some(state) && *told != Some(DrainState::Completed) {
-                *told = Some(state);
+            if *reported != Some(state) && *reported != Some(DrainState::Completed) {
+                *reported = Some(state);
                 reports.push(MembersAction::ReportDrain { machine: machine.clone(), state });
             }
         }
--- a/crates/core/src/serving/jobs/node/messages.rs
+++ b/crates/core/src/serving/jobs/node/messages.rs
@@ -34,11 +34,11 @@
     },
     /// A job is in the table.
     Accepted(JobKey),
-    /// An item's result is listed.
-    Listed(ItemKey),
+    /// An item's result is committed.
+    ResultCommitted(ItemKey),
     /// A result was proposed that does not follow on what the log has of the item: it must go on from
     /// there.
-    NotListed(ItemKey),
+    ResultDropped(ItemKey),
     /// A job has ended.
     Ended(JobKey),
     /// A committed command can't be read, by this version of the program at least. The table stays as it was.
--- a/crates/core/src/serving/jobs/node/mod.rs
+++ b/crates/core/src/serving/jobs/node/mod.rs
@@ -232,19 +232,19 @@
             let mine = proposal.as_ref().is_some_and(|proposal| proposal.term == entry.term);
             let waiter = proposal.and_then(|proposal| proposal.waiter);
             let EntryPayload::Command(bytes) = &entry.payload else {
-                changes.extend(waiter.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Unsure }));
+                changes.extend(waiter.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Indeterminate }));
                 continue;
             };
             let Some(command) = JobCommand::decode(bytes) else {
                 // Whoever waits must not wait on: what the command would have done is not known here.
                 changes.push(JobsChange::Unreadable(entry.index));
-                changes.extend(waiter.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Unsure }));
+                changes.extend(waiter.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Indeterminate }));
                 continue;
             };
             let applied = self.apply(command);
             changes.extend(applied.change);
             if let Some(waiter) = waiter {
-                let answer = if mine { applied.answer } else { JobsAnswer::Unsure };
+                let answer = if mine { applied.answer } else { JobsAnswer::Indeterminate };
                 let deadline = now + self.acknowledge_wait;
                 self.held.push(HeldAnswer { index: entry.index, waiter, answer, deadline });
             }
@@ -269,25 +269,27 @@
         }
         let lost = std::mem::take(&mut self.proposals);
         let waiters = lost.into_values().filter_map(|proposal| proposal.waiter);
-        waiters.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Unsure }).collect()
+        waiters.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Indeterminate }).collect()
     }
 
     fn apply(&mut self, command: JobCommand) -> Applied {
         let change = match &command {
             JobCommand::Accept(submission) => Some(JobsChange::Accepted(submission.key.clone())),
-            JobCommand::Finish { key, .. } => Some(JobsChange::Listed(key.clone())),
+            JobCommand::Finish { key, .. } => Some(JobsChange::ResultCommitted(key.clone())),
             JobCommand::End { job, .. } => Some(JobsChange::Ended(job.clone())),
             JobCommand::Progress(_) | JobCommand::Forget { .. } => None,
         };
         let outcome = self.table.apply(command);
         let change = match change {
-            Some(JobsChange::Listed(item)) if !self.is_listed(&item) => Some(JobsChange::NotListed(item)),
+            Some(JobsChange::ResultCommitted(item)) if !self.needs_no_result(&item) => {
+                Some(JobsChange::ResultDropped(item))
+            }
             // The job is another tenant's, and goes on.
             Some(JobsChange::Ended(_)) if outcome == JobOutcome::UnknownJob => None,
             other => other,
         };
         let answer = match outcome {
-            JobOutcome::Accepted | JobOutcome::Listed | JobOutcome::Forgotten => JobsAnswer::Accepted,
+            JobOutcome::Accepted | JobOutcome::Committed | JobOutcome::Forgotten => JobsAnswer::Accepted,
             JobOutcome::Dropped | JobOutcome::Ended => JobsAnswer::Ended,
             JobOutcome::KeyTaken => JobsAnswer::KeyTaken,
             JobOutcome::UnknownJob => JobsAnswer::UnknownJob,
@@ -296,8 +298,8 @@
     }
 
     /// Whether an item needs no result any more.
-    fn is_listed(&self, key: &ItemKey) -> bool {
-        self.table.job(&key.job).is_none_or(|job| job.ended || job.is_listed(key.item))
+    fn needs_no_result(&self, key: &ItemKey) -> bool {
+        self.table.job(&key.job).is_none_or(|job| job.ended || job.has_result(key.item))
     }
 
     /// Whether a job is in the table, or its proposal is under way. It must not be refused then: it is taken
--- a/crates/core/src/serving/jobs/request.rs
+++ b/crates/core/src/serving/jobs/request.rs
@@ -82,7 +82,7 @@
     /// What tenants have left.
     Quota(QuotaLevels),
     /// The command was proposed, and whether it took effect is not known.
-    Unsure,
+    Indeterminate,
 }
 
 impl JobsAnswer {
--- a/crates/core/src/serving/jobs/table.rs
+++ b/crates/core/src/serving/jobs/table.rs
@@ -14,7 +14,7 @@
 
 /// A result. Its position in its job never changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListedResult {
+pub struct CommittedResult {
     /// The item's place in its job.
     pub item: u32,
     /// The item's id.
@@ -31,20 +31,20 @@
     /// How many items the job has.
     pub total: u32,
     /// The results, in order of position.
-    pub results: Vec<ListedResult>,
-    /// Whether nothing more will be listed.
+    pub results: Vec<CommittedResult>,
+    /// Whether no more results will come.
     pub is_over: bool,
 }
 
 /// One job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// What was submitted. The body of a listed item is dropped.
+    /// What was submitted. The body of an item with a result is dropped.
     pub submission: Submission,
-    /// The results in the order in which they were listed.
-    pub results: Vec<ListedResult>,
-    /// Whether each item is listed.
-    listed: Vec<bool>,
+    /// The results in the order in which they were committed.
+    pub results: Vec<CommittedResult>,
+    /// Whether each item has its result.
+    with_result: Vec<bool>,
     /// What items without a result have put out so far.
     partials: BTreeMap<u32, PartialOutput>,
     /// Whether the submitter ended the job.
@@ -53,8 +53,8 @@
 
 impl Job {
     fn new(submission: Submission) -> Self {
-        let listed = vec![false; submission.items.len()];
-        Self { submission, results: Vec::new(), listed, partials: BTreeMap::new(), ended: false }
+        let with_result = vec![false; submission.items.len()];
+        Self { submission, results: Vec::new(), with_result, partials: BTreeMap::new(), ended: false }
     }
 
     /// Whether a caller may read and end the job.
@@ -68,14 +68,14 @@
     }
 
     /// Whether an item has its result.
-    pub fn is_listed(&self, item: u32) -> bool {
-        self.listed.get(item as usize).copied().unwrap_or(false)
+    pub fn has_result(&self, item: u32) -> bool {
+        self.with_result.get(item as usize).copied().unwrap_or(false)
     }
 
     /// The places of items that have no result yet, unless the job has ended.
     pub fn open_items(&self) -> impl Iterator<Item = u32> + '_ {
         let ended = self.ended;
-        (0..self.listed.len() as u32).filter(move |item| !ended && !self.is_listed(*item))
+        (0..self.with_result.len() as u32).filter(move |item| !ended && !self.has_result(*item))
     }
 
     /// What an item without a result has put out, as far as the log has it.
@@ -100,7 +100,7 @@
     /// The item with that id, while it has no result.
     pub fn open_item_named(&self, id: &str) -> Option<&JobItem> {
         let place = self.submission.items.iter().position(|item| &*item.id == id)?;
-        (!self.listed[place]).then(|| &self.submission.items[place])
+        (!self.with_result[place]).then(|| &self.submission.items[place])
     }
 
     /// Results from `first` on, at least one if there is one and at most `most_bytes` of text.
@@ -186,20 +186,20 @@
         for more in items {
             let Some(job) = self.jobs.get_mut(&more.key.job) else { continue };
             let item = more.key.item;
-            let is_open = !job.ended && job.listed.get(item as usize) == Some(&false);
+            let is_open = !job.ended && job.with_result.get(item as usize) == Some(&false);
             if is_open && job.follows_on(item, more.after) {
                 let partial = job.partials.entry(item).or_default();
                 partial.text.push_str(&more.text);
                 partial.last_event = more.last_event;
             }
         }
-        JobOutcome::Listed
+        JobOutcome::Committed
     }
 
     fn finish(&mut self, key: &ItemKey, state: ItemState, after: LoggedOutput, text: &str) -> JobOutcome {
         let Some(job) = self.jobs.get_mut(&key.job) else { return JobOutcome::UnknownJob };
         let place = key.item as usize;
-        if job.ended || job.listed.get(place).copied().unwrap_or(true) {
+        if job.ended || job.with_result.get(place).copied().unwrap_or(true) {
             return JobOutcome::Dropped;
         }
         let text = match state {
@@ -212,14 +212,14 @@
             }
         };
         job.partials.remove(&key.item);
-        job.listed[place] = true;
+        job.with_result[place] = true;
         let item = &mut job.submission.items[place];
-        job.results.push(ListedResult { item: key.item, id: item.id.clone(), state, text });
+        job.results.push(CommittedResult { item: key.item, id: item.id.clone(), state, text });
         item.body = Arc::from([]);
         let tokens = item.token_count;
         let queue = job.submission.queue();
         self.release(&queue, tokens);
-        JobOutcome::Listed
+        JobOutcome::Committed
     }
 
     fn end(&mut self, key: &JobKey, caller: &CallerIdentity) -> JobOutcome {
--- a/crates/core/tests/jobs_node.rs
+++ b/crates/core/tests/jobs_node.rs
@@ -181,7 +181,7 @@
     let append = ReplicationMessage { group: GroupId(0), from: OTHER, to: SELF, term, kind };
     let effects = harness.node.step(append, harness.now);
     harness.effects.extend(effects);
-    let unsure = JobsChange::Answer { waiter: Waiter(1), answer: JobsAnswer::Unsure };
+    let unsure = JobsChange::Answer { waiter: Waiter(1), answer: JobsAnswer::Indeterminate };
     assert_eq!(harness.carry_out(), [JobsChange::Unreadable(index), unsure]);
     assert!(harness.node.table().job(&JobKey(Arc::from("a"))).is_none());
     assert_eq!(harness.node.replica().applied(), index, "what follows is applied");
--- a/crates/core/tests/jobs_rules.rs
+++ b/crates/core/tests/jobs_rules.rs
@@ -70,10 +70,10 @@
 fn a_job_is_taken_once_and_a_result_keeps_its_position() {
     let mut table = JobTable::default();
     accept(&mut table, "j", 3, 0, 1_000);
-    assert_eq!(table.apply(finish("j", 1, "first")), JobOutcome::Listed);
+    assert_eq!(table.apply(finish("j", 1, "first")), JobOutcome::Committed);
     accept(&mut table, "j", 3, 500, 1_000);
     assert_eq!(table.apply(finish("j", 1, "second")), JobOutcome::Dropped);
-    assert_eq!(table.apply(finish("j", 0, "zero")), JobOutcome::Listed);
+    assert_eq!(table.apply(finish("j", 0, "zero")), JobOutcome::Committed);
     let job = table.job(&key("j")).expect("it was accepted");
     let texts: Vec<&str> = job.results.iter().map(|result| &*result.text).collect();
     assert_eq!(texts, ["first", "zero"]);
@@ -206,7 +206,7 @@
         after: LoggedOutput::default(),
         text: Arc::from(""),
     };
-    assert_eq!(dispatcher.unlisted(), vec![given_up]);
+    assert_eq!(dispatcher.uncommitted_results(), vec![given_up]);
 }
 
 #[test]
@@ -311,8 +311,8 @@
         placed_per_s: 30,
         ..LoadReport::default()
     };
-    share.tell(NodeId(1), first, at(0));
-    share.tell(NodeId(2), second, at(500));
+    share.record_report(NodeId(1), first, at(0));
+    share.record_report(NodeId(2), second, at(500));
     let batch = [count("v", 2)];
     let heard = share.without(NodeId(1), &batch, at(500));
     let with_items = WorkerReport { batch: 2, ..news("v", 3, Some(1)) };
@@ -330,12 +330,12 @@
         let news = WorkerReport { worker: WorkerId(Arc::from("w")), requests: 1, told, failing: 1, batch: 0 };
         LoadReport { workers: vec![news], ..LoadReport::default() }
     };
-    share.tell(NodeId(1), failing(None), at(0));
+    share.record_report(NodeId(1), failing(None), at(0));
     assert_eq!(share.dead(at(0)), vec![]);
-    share.tell(NodeId(2), failing(None), at(10));
+    share.record_report(NodeId(2), failing(None), at(10));
     assert_eq!(share.dead(at(10)), vec![WorkerId(Arc::from("w"))]);
     assert_eq!(share.without(NodeId(3), &[], at(10)).workers[0].failing, 2);
-    share.tell(NodeId(2), failing(Some(1)), at(20));
+    share.record_report(NodeId(2), failing(Some(1)), at(20));
     assert_eq!(share.dead(at(20)), vec![]);
 }
 
@@ -368,7 +368,7 @@
                 batch: 0,
             };
             let news = LoadReport { workers: loads.iter().map(named).collect(), placed_per_s: node as u32, ..LoadReport::default() };
-            share.tell(NodeId(node), news.clone(), at(now));
+            share.record_report(NodeId(node), news.clone(), at(now));
             oracle.insert(node, Tale { news, at: now });
             let heard = share.without(NodeId(node), &[], at(now));
             let sum = |least_age: u64, worker: &WorkerId| -> u32 {
@@ -469,8 +469,8 @@
     assert_eq!(output.last_event, Some(30), "it goes on after the thirtieth event");
     output.push("piece 31", Some(31));
     assert!(second.run_ended(&item, &RunEnd::Completed, output, 3, at(100)));
-    let finished = second.unlisted().pop().expect("a result is due");
-    assert_eq!(table.apply(finished), JobOutcome::Listed);
+    let finished = second.uncommitted_results().pop().expect("a result is due");
+    assert_eq!(table.apply(finished), JobOutcome::Committed);
     let whole: Vec<String> = (1..=31).map(|number| format!("piece {number}")).collect();
     assert_eq!(&*table.job(&key("j")).expect("it is there").results[0].text, whole.join("\n"));
 }
@@ -488,6 +488,6 @@
     let after = LoggedOutput { bytes: 7, last_event: Some(2) };
     let item = ItemKey { job: key("j"), item: 0 };
     let end = JobCommand::Finish { key: item, state: ItemState::Completed, after, text: Arc::from("\nthree") };
-    assert_eq!(table.apply(end), JobOutcome::Listed);
+    assert_eq!(table.apply(end), JobOutcome::Committed);
     assert_eq!(&*table.job(&key("j")).expect("it is there").results[0].text, "one\ntwo\nthree");
 }
--- a/crates/core/tests/jobs_simulation.rs
+++ b/crates/core/tests/jobs_simulation.rs
@@ -19,7 +19,7 @@
 use stallmoor_core::serving::jobs::node::{JobsChange, JobsEffect, JobsNode, Waiter};
 use stallmoor_core::serving::jobs::pair::{PairRecord, StoredPair};
 use stallmoor_core::serving::jobs::request::JobsAnswer;
-use stallmoor_core::serving::jobs::table::ListedResult;
+use stallmoor_core::serving::jobs::table::CommittedResult;
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
 
 /// The clock's step, in milliseconds.
@@ -60,7 +60,7 @@
 #[derive(Default)]
 struct Oracle {
     accepted: BTreeSet<JobKey>,
-    listed: BTreeMap<(JobKey, u32), ListedResult>,
+    listed: BTreeMap<(JobKey, u32), CommittedResult>,
 }
 
 struct World {
@@ -247,7 +247,7 @@
             }
             let target = self.machines.values_mut().find(|machine| machine.id == to);
             if let Some(process) = target.and_then(|machine| machine.process.as_mut()) {
-                process.members.heard(from, now);
+                process.members.record_contact(from, now);
                 let effects = process.node.step(message, now);
                 process.queue.extend(effects);
             }
@@ -258,7 +258,7 @@
                 self.greetings.push_back((at, from));
             } else if !self.is_cut(from) {
                 for process in self.machines.values_mut().filter_map(|machine| machine.process.as_mut()) {
-                    process.members.heard(from, now);
+                    process.members.record_contact(from, now);
                 }
             }
         }
@@ -282,9 +282,9 @@
             self.greetings.push_back((self.now + 2, machine.id));
         }
         if store_is_up && !is_cut {
-            process.members.pair_told(self.store.pair.clone());
+            process.members.pair_read(self.store.pair.clone());
             for emptied in &self.emptied {
-                process.members.empty(emptied.clone());
+                process.members.drain(emptied.clone());
             }
         }
         let leads = process.node.may_answer(now);
--- a/crates/core/tests/load_gathering.rs
+++ b/crates/core/tests/load_gathering.rs
@@ -78,12 +78,12 @@
         for (node, told) in news.into_iter().enumerate() {
             let zone = node % ZONES;
             let share = if zone == 0 { &mut self.leader } else { &mut self.gatherers[zone] };
-            share.tell(gateway(node), told, now);
+            share.record_report(gateway(node), told, now);
             self.heard[node] = share.without(gateway(node), &[], now);
         }
         for zone in 1..ZONES {
             let Some(sums) = self.gatherers[zone].for_leader(now) else { continue };
-            self.leader.tell(gatherer(zone), sums, now);
+            self.leader.record_report(gatherer(zone), sums, now);
             let rest = self.leader.without(gatherer(zone), &[], now);
             self.gatherers[zone].apply_leader_report(rest, now);
         }
@@ -151,13 +151,13 @@
 fn the_age_of_what_is_heard_counts_from_the_gateways_word_on() {
     let news = LoadReport { placed_per_s: 10, ..LoadReport::default() };
     let (mut gatherer_share, mut leader) = (LoadAggregator::default(), LoadAggregator::default());
-    gatherer_share.tell(gateway(1), news.clone(), at(0));
+    gatherer_share.record_report(gateway(1), news.clone(), at(0));
     let sums = gatherer_share.for_leader(at(30)).expect("a gateway told it");
     assert_eq!(sums.age, Millis(30));
-    leader.tell(gatherer(1), sums, at(30));
+    leader.record_report(gatherer(1), sums, at(30));
     assert_eq!(leader.without(gateway(2), &[], at(50)).age, Millis(50));
     // One that tells just now, and places as much, halves it.
-    leader.tell(gateway(3), news, at(50));
+    leader.record_report(gateway(3), news, at(50));
     assert_eq!(leader.without(gateway(2), &[], at(50)).age, Millis(25));
 }
 
--- a/crates/gateway/src/batch/job_calls.rs
+++ b/crates/gateway/src/batch/job_calls.rs
@@ -29,9 +29,9 @@
 /// The longest wait for a result.
 const LONGEST_WAIT: Millis = Millis(2_000);
 /// When a caller whose job did not fit should come back.
-const OVER_QUOTA_COME_BACK: Millis = Millis(1_000);
+const OVER_QUOTA_RETRY_AFTER: Millis = Millis(1_000);
 /// When a caller should come back while the table has no leader.
-const NO_LEADER_COME_BACK: Millis = Millis(300);
+const NO_LEADER_RETRY_AFTER: Millis = Millis(300);
 
 /// A job as it is submitted.
 pub struct JobSubmission<'a> {
@@ -75,15 +75,15 @@
             Ok(JobsAnswer::Accepted | JobsAnswer::Ended) => empty(StatusCode::ACCEPTED),
             Ok(JobsAnswer::OverQuota { waiting }) => {
                 let detail = format!("{waiting} tokens wait on this route");
-                let refused = Refusal::new(ErrorKind::TenantLimit, detail).with_retry_after(OVER_QUOTA_COME_BACK.0);
+                let refused = Refusal::new(ErrorKind::TenantLimit, detail).with_retry_after(OVER_QUOTA_RETRY_AFTER.0);
                 refusal::answer(&refused)
             }
             Ok(JobsAnswer::KeyTaken) => refusal::of_kind(ErrorKind::KeyConflict, "another job has this id"),
             Ok(JobsAnswer::NoRoom) => {
                 let refused = Refusal::new(ErrorKind::StateUnavailable, "the storing nodes' disks have no room");
-                refusal::answer(&refused.with_retry_after(OVER_QUOTA_COME_BACK.0))
+                refusal::answer(&refused.with_retry_after(OVER_QUOTA_RETRY_AFTER.0))
             }
-            Ok(JobsAnswer::Unsure) => refusal::answer(&refuse_unsure("an earlier try may have taken the job")),
+            Ok(JobsAnswer::Indeterminate) => refusal::answer(&refuse_unsure("an earlier try may have taken the job")),
             Ok(_) => refusal::of_kind(ErrorKind::Internal, "an answer that does not fit a submission"),
             Err(no_leader) => refusal::answer(&refuse_without_leader(no_leader)),
         }
@@ -132,7 +132,7 @@
             Ok(JobsAnswer::OverQuota { .. }) => "over_quota",
             Ok(JobsAnswer::NoRoom) => "no_room",
             Ok(JobsAnswer::KeyTaken) => "key_taken",
-            Ok(JobsAnswer::Unsure) => "unknown",
+            Ok(JobsAnswer::Indeterminate) => "unknown",
             Ok(_) => "unexpected",
             Err(NoLeader { may_have_arrived: true }) => "unknown",
             Err(NoLeader { may_have_arrived: false }) => "no_leader",
@@ -146,7 +146,7 @@
     if no_leader.may_have_arrived {
         return refuse_unsure(detail);
     }
-    Refusal::new(ErrorKind::StateUnavailable, detail).with_retry_after(NO_LEADER_COME_BACK.0)
+    Refusal::new(ErrorKind::StateUnavailable, detail).with_retry_after(NO_LEADER_RETRY_AFTER.0)
 }
 
 /// A refusal that promises nothing.
--- a/crates/gateway/src/leader/client.rs
+++ b/crates/gateway/src/leader/client.rs
@@ -39,7 +39,7 @@
     /// Asks until there is an answer or the time is over.
     ///
     /// A refusal says that nothing was taken by the try that it answers. Where an earlier try may have reached
-    /// a leader, it is answered as [`JobsAnswer::Unsure`]: that try may yet take effect.
+    /// a leader, it is answered as [`JobsAnswer::Indeterminate`]: that try may yet take effect.
     ///
     /// # Errors
     ///
@@ -59,7 +59,7 @@
             };
             let timeout = (TRY_TIMEOUT + own_wait(&request)).min(Duration::from_millis(left.0));
             match self.links.ask(target.address, request.clone(), timeout).await {
-                Ok(Ok(JobsAnswer::Unsure)) => {
+                Ok(Ok(JobsAnswer::Indeterminate)) => {
                     may_have_arrived = true;
                     self.forget_leader();
                     tokio::time::sleep(ROUND_WAIT).await;
@@ -67,7 +67,7 @@
                 Ok(Ok(answer)) => {
                     self.set_leader(target.node);
                     let is_unsure = may_have_arrived && answer.took_nothing();
-                    return Ok(if is_unsure { JobsAnswer::Unsure } else { answer });
+                    return Ok(if is_unsure { JobsAnswer::Indeterminate } else { answer });
                 }
                 Ok(Err(GroupRefusal::NotLeader { leader: Some(leader), .. })) if leader != target.node => {
                     self.set_leader(leader);
--- a/crates/gateway/src/storage/registration.rs
+++ b/crates/gateway/src/storage/registration.rs
@@ -23,7 +23,7 @@
 /// The wait after a call that brought nothing.
 const RETRY_WAIT: Duration = Duration::from_millis(300);
 /// How long a founder waits for more storing nodes than the fewest that may found.
-const FOUNDING_PATIENCE: Millis = Millis(3_000);
+const FOUNDING_WAIT: Millis = Millis(3_000);
 /// The wait of each further founder, so that one goes first.
 const FOUNDING_STAGGER: Duration = Duration::from_millis(400);
 
@@ -72,7 +72,7 @@
             return;
         }
         if view.is_listed() {
-            let waited = view.clock.now().since(started) >= FOUNDING_PATIENCE;
+            let waited = view.clock.now().since(started) >= FOUNDING_WAIT;
             if let Some(voters) = choose_founders(&view, wanted, tolerated, waited) {
                 let place = voters.iter().position(|voter| *voter == id).unwrap_or(voters.len());
                 tokio::time::sleep(FOUNDING_STAGGER * place as u32).await;
--- a/crates/gateway/src/storage/service/item_runner.rs
+++ b/crates/gateway/src/storage/service/item_runner.rs
@@ -282,7 +282,7 @@
             JobCommand::Finish { key, .. } => !self.proposed.contains(key),
             _ => false,
         };
-        self.dispatcher.unlisted().into_iter().filter(is_new).collect()
+        self.dispatcher.uncommitted_results().into_iter().filter(is_new).collect()
     }
 
     /// A result was proposed.
--- a/crates/gateway/src/storage/service/load_exchange.rs
+++ b/crates/gateway/src/storage/service/load_exchange.rs
@@ -58,7 +58,7 @@
 
     /// As the leader, takes a report and returns the loads of all others, this node's batch items among them.
     pub(super) fn report_to_leader(&mut self, from: NodeId, loads: LoadReport, now: Timestamp) -> LoadReport {
-        self.aggregator.tell(from, loads, now);
+        self.aggregator.record_report(from, loads, now);
         let batch = self.view.workers().own_loads();
         let totals = self.aggregator.without(from, &batch, now);
         let online: Vec<WorkerCount> = self.aggregator.online(now);
@@ -68,7 +68,7 @@
 
     /// As the aggregator of a zone, takes a report and returns the loads of all others.
     pub(super) fn report_to_aggregator(&mut self, from: NodeId, loads: LoadReport, now: Timestamp) -> LoadReport {
-        self.aggregator.tell(from, loads, now);
+        self.aggregator.record_report(from, loads, now);
         self.aggregator.without(from, &[], now)
     }
 
--- a/crates/gateway/src/storage/service/membership.rs
+++ b/crates/gateway/src/storage/service/membership.rs
@@ -64,8 +64,8 @@
     /// The metadata store reported a change.
     pub(super) fn on_update(&mut self, update: &FleetUpdate) {
         match update {
-            FleetUpdate::DrainMachine { machine } => self.members.empty(machine.clone()),
-            FleetUpdate::Item(item) if &*item.key == PAIR_KEY => self.members.pair_told(read_pair(item)),
+            FleetUpdate::DrainMachine { machine } => self.members.drain(machine.clone()),
+            FleetUpdate::Item(item) if &*item.key == PAIR_KEY => self.members.pair_read(read_pair(item)),
             _ => {}
         }
     }
--- a/crates/gateway/src/storage/service/mod.rs
+++ b/crates/gateway/src/storage/service/mod.rs
@@ -126,7 +126,7 @@
         match event {
             PeerEvent::Replication(message) => {
                 let now = self.now();
-                self.membership.members().heard(message.from, now);
+                self.membership.members().record_contact(message.from, now);
                 let effects = self.replica.node_mut().step(message, now);
                 self.take(effects);
                 let changes = self.replica.node_mut().release_answers(now);
@@ -151,15 +151,15 @@
     fn on_changes(&mut self, changes: Vec<JobsChange>) {
         let mut reads_may_go_on = false;
         for change in changes {
-            reads_may_go_on |= matches!(change, JobsChange::Listed(_) | JobsChange::Ended(_));
+            reads_may_go_on |= matches!(change, JobsChange::ResultCommitted(_) | JobsChange::Ended(_));
             match change {
                 JobsChange::Answer { waiter, answer } => self.answers.send(waiter, Ok(answer)),
                 JobsChange::Accepted(job) => self.add_open_items(&job),
-                JobsChange::Listed(key) => {
+                JobsChange::ResultCommitted(key) => {
                     self.items.result_committed(&key);
                     self.log_result(&key);
                 }
-                JobsChange::NotListed(key) => {
+                JobsChange::ResultDropped(key) => {
                     self.items.remove(&key);
                     self.add_open_items(&key.job);
                 }
--- a/crates/gateway/src/storage/service/requests.rs
+++ b/crates/gateway/src/storage/service/requests.rs
@@ -18,7 +18,7 @@
         // An asker whose connection broke asks again: what becomes of a reply is not looked at.
         match request {
             JobsRequest::Join => {
-                self.membership.members().heard(from, now);
+                self.membership.members().record_contact(from, now);
                 let _ = reply.send(Ok(JobsAnswer::Accepted));
             }
             JobsRequest::ReportLoad(loads) | JobsRequest::AggregateLoad(loads) if self.leads => {
--- a/crates/gateway/tests/jobs_client.rs
+++ b/crates/gateway/tests/jobs_client.rs
@@ -70,14 +70,14 @@
 async fn a_refusal_after_an_unanswered_try_promises_nothing() {
     for refusal in [JobsAnswer::OverQuota { waiting: 100 }, JobsAnswer::NoRoom] {
         let answer = submit(vec![None, Some(refusal)]).await;
-        assert_eq!(answer, Ok(JobsAnswer::Unsure), "the first try may yet be taken");
+        assert_eq!(answer, Ok(JobsAnswer::Indeterminate), "the first try may yet be taken");
     }
 }
 
 #[tokio::test]
 async fn a_refusal_after_an_unsure_try_promises_nothing() {
-    let answer = submit(vec![Some(JobsAnswer::Unsure), Some(JobsAnswer::OverQuota { waiting: 100 })]).await;
-    assert_eq!(answer, Ok(JobsAnswer::Unsure));
+    let answer = submit(vec![Some(JobsAnswer::Indeterminate), Some(JobsAnswer::OverQuota { waiting: 100 })]).await;
+    assert_eq!(answer, Ok(JobsAnswer::Indeterminate));
 }
 
 #[tokio::test]
--- a/crates/wire/tests/support/mod.rs
+++ b/crates/wire/tests/support/mod.rs
@@ -21,7 +21,7 @@
 use stallmoor_core::serving::configuration::tenant::{CallerIdentity, MilliRequests};
 use stallmoor_core::serving::jobs::command::ItemState;
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
-use stallmoor_core::serving::jobs::table::{ListedResult, ResultPage};
+use stallmoor_core::serving::jobs::table::{CommittedResult, ResultPage};
 use stallmoor_core::serving::quota::message::{QuotaLevels, QuotaReport, TenantLevel, TenantUsage};
 use stallmoor_core::serving::relay::item::{ItemState as MetadataState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::message::{ChangeSet, ChangesAnswer, ChangesRequest};
@@ -236,7 +236,8 @@
 }
 
 fn jobs_answers() -> Vec<NamedMessage> {
-    let result = |item, state, text: &str| ListedResult { item, id: Arc::from("item-0"), state, text: Arc::from(text) };
+    let result =
+        |item, state, text: &str| CommittedResult { item, id: Arc::from("item-0"), state, text: Arc::from(text) };
     let results = vec![result(1, ItemState::Completed, "an answer"), result(0, ItemState::GivenUp, "")];
     let level = TenantLevel { tenant: tenant(), level: MilliRequests(-2_500), asked_per_s: MilliRequests(31_500) };
     let values = vec![
@@ -252,7 +253,7 @@
         ("ended", JobsAnswer::Ended),
         ("loads", JobsAnswer::Loads(loads())),
         ("quota", JobsAnswer::Quota(QuotaLevels { tenants: vec![level], gateways: 20 })),
-        ("unsure", JobsAnswer::Unsure),
+        ("unsure", JobsAnswer::Indeterminate),
     ];
     named("jobs-answer", values, |value| answer(Ok(GroupAnswerBody::Jobs(value))))
 }
