--- a/crates/core/src/serving/jobs/dispatch/run_estimate.rs
+++ b/crates/core/src/serving/jobs/dispatch/run_estimate.rs
@@ -8,6 +8,9 @@
 
 /// How long whole runs take, from those that ended, so that an item that can't be in time any more is
 /// known early.
+///
+/// The first run sets the means, each later one has [`WEIGHT`]. The means of [`crate::moving_mean`] weigh the first runs
+/// otherwise, which would choose other items.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RunEstimate {
     /// Events in a whole output.
--- a/crates/core/src/serving/jobs/load_aggregator.rs
+++ b/crates/core/src/serving/jobs/load_aggregator.rs
@@ -48,15 +48,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
     requests: u32,
-    told: Option<u32>,
+    self_reported: Option<u32>,
     failing: u32,
     batch: u32,
 }
 
 impl Total {
     fn report(&self, worker: &WorkerId, requests: u32) -> WorkerReport {
-        let Self { told, failing, batch, .. } = *self;
-        WorkerReport { worker: worker.clone(), requests, told, failing, batch }
+        let Self { self_reported, failing, batch, .. } = *self;
+        WorkerReport { worker: worker.clone(), requests, self_reported, ejected_by: failing, batch }
     }
 }
 
@@ -78,9 +78,9 @@
         for worker in &stored.report.workers {
             let total = self.workers.entry(worker.worker.clone()).or_default();
             total.requests += worker.requests;
-            total.failing += worker.failing;
+            total.failing += worker.ejected_by;
             total.batch += worker.batch;
-            total.told = total.told.max(worker.told);
+            total.self_reported = total.self_reported.max(worker.self_reported);
         }
     }
 
@@ -100,7 +100,7 @@
         for worker in &stored.report.workers {
             if let Some(total) = self.workers.get_mut(&worker.worker) {
                 total.requests = total.requests.saturating_sub(worker.requests);
-                total.failing = total.failing.saturating_sub(worker.failing);
+                total.failing = total.failing.saturating_sub(worker.ejected_by);
                 total.batch = total.batch.saturating_sub(worker.batch);
             }
         }
@@ -185,7 +185,7 @@
     pub fn dead(&mut self, now: Timestamp) -> Vec<WorkerId> {
         self.refresh(now);
         let reports = self.totals.workers.iter().map(|(worker, total)| total.report(worker, total.requests));
-        reports.filter(WorkerReport::is_reported_dead).map(|report| report.worker).collect()
+        reports.filter(WorkerReport::should_eject).map(|report| report.worker).collect()
     }
 
     /// Forgets everything: this node leads no longer.
--- a/crates/gateway/src/storage/service/item_runner.rs
+++ b/crates/gateway/src/storage/service/item_runner.rs
@@ -240,7 +240,7 @@
         now: Timestamp,
     ) -> Option<Placement> {
         let view = &self.workers.view;
-        let service = view.draw_service(&start.route)?;
+        let service = start.route.draw_service(&mut *view.random()).cloned()?;
         let ask = WorkerAsk {
             service: &service,
             zone: &view.zone,
