--- a/crates/gateway/src/storage/service/membership.rs
+++ b/crates/gateway/src/storage/service/membership.rs
@@ -65,7 +65,7 @@
     pub(super) fn on_update(&mut self, update: &FleetUpdate) {
         match update {
             FleetUpdate::DrainMachine { machine } => self.members.drain(machine.clone()),
-            FleetUpdate::Item(item) if &*item.key == PAIR_KEY => self.members.pair_read(read_pair(item)),
+            FleetUpdate::OwnItem(item) if &*item.key == PAIR_KEY => self.members.pair_read(read_pair(item)),
             _ => {}
         }
     }
--- a/crates/gateway/src/workers/connections.rs
+++ b/crates/gateway/src/workers/connections.rs
@@ -1,4 +1,8 @@
 //! Kept connections to workers.
+//!
+//! Owns every connection of this node to a worker and their number; how many there may be is decided in
+//! `stallmoor_core::serving::workers::connection_limit`. A connection serves one request at a time and is kept only after
+//! an answer that was read whole.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,13 +19,17 @@
 
 use crate::sockets::connect_tuned;
 
-/// How long a connection attempt may take.
+/// How long a connection attempt may take, for a request that meets a worker whose machine is gone. Not measured: several
+/// ways between zones; each try of such a worker costs a request this long.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle connections are reused for this long where the worker does not say.
-const USUAL_IDLE: Duration = Duration::from_secs(4);
-/// The share of the worker's own idle time for which a connection is reused, in percent.
+/// Idle connections are reused for this long where the worker does not say how long it keeps them. Not measured: shorter
+/// than servers usually do.
+const DEFAULT_IDLE: Duration = Duration::from_secs(4);
+/// The share of the worker's own idle time for which a connection is reused, in percent, so that none is used after the
+/// worker closed it. Not measured: the rest is more than a way to the worker.
 const IDLE_PERCENT: u32 = 75;
-/// How long a connection may take to become free after an answer.
+/// How long a connection may take to become free after an answer, before it is closed. Not measured: the HTTP library
+/// needs a moment.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A connection that serves one request now.
@@ -46,6 +54,11 @@
     open: usize,
 }
 
+struct NewConnection {
+    sender: SendRequest<Full<Bytes>>,
+    task: AbortHandle,
+}
+
 /// Why there is no connection. Nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoConnection {
@@ -68,35 +81,34 @@
     ///
     /// [`NoConnection`]: nothing was sent.
     pub async fn take(self: &Arc<Self>, address: SocketAddr, most: usize) -> Result<WorkerConnection, NoConnection> {
-        {
-            let mut addresses = self.lock();
-            let connections = addresses.entry(address).or_default();
-            while let Some(idle) = connections.idle.pop() {
-                if !idle.sender.is_closed() && idle.sender.is_ready() && Instant::now() < idle.until {
-                    let pool = self.clone();
-                    return Ok(WorkerConnection {
-                        sender: Some(idle.sender),
-                        address,
-                        task: idle.task,
-                        pool,
-                        keep: None,
-                    });
-                }
-                idle.task.abort();
-                connections.open = connections.open.saturating_sub(1);
-            }
-            if connections.open >= most {
-                return Err(NoConnection::AllInUse);
-            }
-            connections.open += 1;
+        if let Some(IdleConnection { sender, task, .. }) = self.reuse_or_reserve(address, most)? {
+            return Ok(WorkerConnection { sender: Some(sender), address, task, pool: self.clone(), keep: None });
         }
         let slot = OpenSlot { pool: self.clone(), address, kept: false };
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, connect(address)).await;
-        let Ok(Ok((sender, task))) = connected else { return Err(NoConnection::Unreachable) };
+        let Ok(Ok(NewConnection { sender, task })) = connected else { return Err(NoConnection::Unreachable) };
         slot.keep();
         Ok(WorkerConnection { sender: Some(sender), address, task, pool: self.clone(), keep: None })
     }
 
+    /// An idle connection that can be used; `None` if a new one may be opened, which is counted from now on.
+    fn reuse_or_reserve(&self, address: SocketAddr, most: usize) -> Result<Option<IdleConnection>, NoConnection> {
+        let mut addresses = self.lock();
+        let connections = addresses.entry(address).or_default();
+        while let Some(idle) = connections.idle.pop() {
+            if !idle.sender.is_closed() && idle.sender.is_ready() && Instant::now() < idle.until {
+                return Ok(Some(idle));
+            }
+            idle.task.abort();
+            connections.open = connections.open.saturating_sub(1);
+        }
+        if connections.open >= most {
+            return Err(NoConnection::AllInUse);
+        }
+        connections.open += 1;
+        Ok(None)
+    }
+
     /// Closes idle connections that are over their time.
     pub fn close_stale(&self) {
         let now = Instant::now();
@@ -175,9 +187,9 @@
     }
 
     /// The answer was whole: the connection may serve another request within `keep_alive`, where the
-    /// worker told that.
+    /// worker stated that.
     pub fn keep(&mut self, keep_alive: Option<Duration>) {
-        self.keep = Some(keep_alive.map_or(USUAL_IDLE, |span| span * IDLE_PERCENT / 100));
+        self.keep = Some(keep_alive.map_or(DEFAULT_IDLE, |span| span * IDLE_PERCENT / 100));
     }
 }
 
@@ -214,12 +226,12 @@
     }
 }
 
-async fn connect(address: SocketAddr) -> std::io::Result<(SendRequest<Full<Bytes>>, AbortHandle)> {
+async fn connect(address: SocketAddr) -> std::io::Result<NewConnection> {
     let stream = connect_tuned(address).await?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
     let task = tokio::spawn(async move {
         // How it ended shows at the requests that it carried.
         let _ = connection.await;
     });
-    Ok((sender, task.abort_handle()))
+    Ok(NewConnection { sender, task: task.abort_handle() })
 }
