--- a/crates/core/src/serving/jobs/dispatch/run_end.rs
+++ b/crates/core/src/serving/jobs/dispatch/run_end.rs
@@ -10,9 +10,6 @@
 /// shorter than the wait for the first event, since an item whose stream began holds its slot.
 pub const EVENT_TIMEOUT: Millis = Millis(1_500);
 
-/// The status by which a worker says that a request can never be done: 422.
-const UNPROCESSABLE: u16 = 422;
-
 /// How a run of an item ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEnd {
@@ -35,7 +32,8 @@
     pub fn of_status(status: u16) -> Option<Self> {
         match status {
             200..=299 => None,
-            UNPROCESSABLE => Some(Self::Impossible),
+            // Unprocessable content: by this a worker says that the request can never be done.
+            422 => Some(Self::Impossible),
             _ => Some(Self::Failed),
         }
     }
