--- a/crates/core/src/serving/jobs/command.rs
+++ b/crates/core/src/serving/jobs/command.rs
@@ -118,6 +118,21 @@
 }
 
 impl PartialOutput {
+    /// Takes the next event of a run. Events that the output has already are skipped. Returns false if events are
+    /// missing before this one: the output can't be made whole from this stream.
+    pub fn follow(&mut self, data: &str, id: Option<u64>) -> bool {
+        if let (Some(id), Some(last)) = (id, self.last_event) {
+            if id <= last {
+                return true;
+            }
+            if id > last + 1 {
+                return false;
+            }
+        }
+        self.push(data, id);
+        true
+    }
+
     /// Adds an event's data.
     pub fn push(&mut self, data: &str, id: Option<u64>) {
         if self.last_event.is_some() {
@@ -155,7 +170,7 @@
 pub enum JobCommand {
     /// Take a job.
     Accept(Submission),
-    /// List an item's result.
+    /// Commit an item's result.
     Finish {
         /// The item.
         key: ItemKey,
@@ -189,8 +204,8 @@
     Accepted,
     /// Another tenant has a job of this id.
     KeyTaken,
-    /// The result is listed, or the progress kept.
-    Listed,
+    /// The result is committed, or the progress kept.
+    Committed,
     /// The item had a result before, or its job has ended; nothing changed.
     Dropped,
     /// The job has ended.
@@ -204,6 +219,7 @@
 impl JobCommand {
     /// Encodes the command for the log.
     pub fn encode(&self) -> Arc<[u8]> {
+        // Can't fail: the length of all that is encoded is known, and a vector takes any.
         postcard::to_stdvec(self).map(Arc::from).unwrap_or_default()
     }
 
