--- a/crates/core/src/serving/jobs/node.rs
+++ b/crates/core/src/serving/jobs/node/mod.rs
@@ -3,76 +3,29 @@
 //! A driver takes the effects of each call in order. A [`JobsEffect::Persist`] must be durable before
 //! any later effect is carried out; meanwhile further events may be handled, their effects queue up.
 
+mod messages;
+
 use std::collections::BTreeMap;
 
+pub use messages::{JobsChange, JobsEffect, NotProposed, UnreadableSnapshot, Waiter};
+
 use super::command::{ItemKey, JobCommand, JobKey, JobOutcome, QueueKey, Submission};
 use super::request::JobsAnswer;
 use super::table::JobTable;
 use crate::identity::{GroupId, NodeId};
 use crate::replication::{
-    EntryPayload, GroupMembership, LogIndex, LogWrite, MembershipChange, PersistedReplica, ProposalError, Replica,
-    ReplicaEffect, ReplicaSettings, ReplicationMessage, Snapshot, Term,
+    EntryPayload, GroupMembership, LogIndex, MembershipChange, PersistedReplica, ProposalError, Replica, ReplicaEffect,
+    ReplicaSettings, ReplicationMessage, Snapshot, Term,
 };
 use crate::time::{Millis, Timestamp};
 
-/// A snapshot is taken once the log holds this many bytes.
+/// A snapshot is taken once the log has this many bytes. Bounds the disk, and the time to start. Not measured.
 const COMPACT_BYTES: usize = 8 << 20;
 /// The log up to a snapshot is dropped only once this many bytes follow it: a follower that lags by less
-/// than that needs no snapshot.
+/// than that needs no snapshot. Measured with links and threads of their own: trouble-1 0.733 -> 0.777 / 0.419 -> 0.542,
+/// scale-1 0.605 -> 0.767 / 0.580 -> 0.717 on the two grown sites.
 const TAIL_BYTES: usize = 2 << 20;
 
-/// Names who waits for an answer, as the driver numbers them.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Waiter(pub u64);
-
-/// What a driver must do, in order.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JobsEffect {
-    /// Write to disk, durably, before anything after it.
-    Persist(LogWrite),
-    /// Send to another replica.
-    Send(ReplicationMessage),
-    /// Replace the table ([`JobsNode::restore`]).
-    Restore(Snapshot),
-    /// Apply what is committed ([`JobsNode::apply_up_to`]).
-    ApplyUpTo(LogIndex),
-}
-
-/// What applying the log brought about.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum JobsChange {
-    /// Someone's answer.
-    Answer {
-        /// Who waits.
-        waiter: Waiter,
-        /// The answer.
-        answer: JobsAnswer,
-    },
-    /// A job is in the table.
-    Accepted(JobKey),
-    /// An item's result is listed.
-    Listed(ItemKey),
-    /// A result was proposed that does not follow on what the log has of the item: it must go on from
-    /// there.
-    NotListed(ItemKey),
-    /// A job has ended.
-    Ended(JobKey),
-}
-
-/// Why a command was not proposed. Nothing of it will take effect.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotProposed {
-    /// Another replica leads, if known.
-    NotLeader(Option<NodeId>),
-    /// This replica leads and is not ready.
-    Busy,
-    /// The job does not fit.
-    OverQuota {
-        /// Tokens that wait now.
-        waiting: u64,
-    },
-}
-
 struct Proposal {
     term: Term,
     waiter: Option<Waiter>,
@@ -93,6 +46,12 @@
     }
 }
 
+/// What applying one command brought about.
+struct Applied {
+    answer: JobsAnswer,
+    change: Option<JobsChange>,
+}
+
 struct HeldAnswer {
     index: LogIndex,
     waiter: Waiter,
@@ -251,11 +210,18 @@
     }
 
     /// Replaces the table by a snapshot's.
-    pub fn restore(&mut self, snapshot: &Snapshot) {
-        if let Some(table) = JobTable::decode(&snapshot.state) {
-            self.table = table;
-        }
+    ///
+    /// # Errors
+    ///
+    /// [`UnreadableSnapshot`]: the table stays as it was, behind the log. No snapshot of it is taken until one that can
+    /// be read has come, as it would stand in for entries that it doesn't have.
+    pub fn restore(&mut self, snapshot: &Snapshot) -> Result<(), UnreadableSnapshot> {
+        let Some(table) = JobTable::decode(&snapshot.state) else {
+            return Err(UnreadableSnapshot { index: snapshot.index });
+        };
+        self.table = table;
         self.restoring = false;
+        Ok(())
     }
 
     /// Applies what is committed up to a place.
@@ -267,14 +233,19 @@
             let mine = proposal.as_ref().is_some_and(|proposal| proposal.term == entry.term);
             let waiter = proposal.and_then(|proposal| proposal.waiter);
             let EntryPayload::Command(bytes) = &entry.payload else {
-                changes.extend(waiter.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Unsure }));
+                changes.extend(waiter.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Indeterminate }));
                 continue;
             };
-            let Some(command) = JobCommand::decode(bytes) else { continue };
-            let change = self.apply(command);
-            changes.extend(change.1);
+            let Some(command) = JobCommand::decode(bytes) else {
+                // Whoever waits must not wait on: what the command would have done is not known here.
+                changes.push(JobsChange::Unreadable(entry.index));
+                changes.extend(waiter.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Indeterminate }));
+                continue;
+            };
+            let applied = self.apply(command);
+            changes.extend(applied.change);
             if let Some(waiter) = waiter {
-                let answer = if mine { change.0 } else { JobsAnswer::Unsure };
+                let answer = if mine { applied.answer } else { JobsAnswer::Indeterminate };
                 let deadline = now + self.acknowledge_wait;
                 self.held.push(HeldAnswer { index: entry.index, waiter, answer, deadline });
             }
@@ -299,35 +270,37 @@
         }
         let lost = std::mem::take(&mut self.proposals);
         let waiters = lost.into_values().filter_map(|proposal| proposal.waiter);
-        waiters.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Unsure }).collect()
+        waiters.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Indeterminate }).collect()
     }
 
-    fn apply(&mut self, command: JobCommand) -> (JobsAnswer, Option<JobsChange>) {
-        let key = match &command {
+    fn apply(&mut self, command: JobCommand) -> Applied {
+        let change = match &command {
             JobCommand::Accept(submission) => Some(JobsChange::Accepted(submission.key.clone())),
-            JobCommand::Finish { key, .. } => Some(JobsChange::Listed(key.clone())),
+            JobCommand::Finish { key, .. } => Some(JobsChange::ResultCommitted(key.clone())),
             JobCommand::End { job, .. } => Some(JobsChange::Ended(job.clone())),
             JobCommand::Progress(_) | JobCommand::Forget { .. } => None,
         };
         let outcome = self.table.apply(command);
-        let key = match key {
-            Some(JobsChange::Listed(item)) if !self.is_listed(&item) => Some(JobsChange::NotListed(item)),
+        let change = match change {
+            Some(JobsChange::ResultCommitted(item)) if !self.needs_no_result(&item) => {
+                Some(JobsChange::ResultDropped(item))
+            }
             // The job is another tenant's, and goes on.
             Some(JobsChange::Ended(_)) if outcome == JobOutcome::UnknownJob => None,
             other => other,
         };
         let answer = match outcome {
-            JobOutcome::Accepted | JobOutcome::Listed | JobOutcome::Forgotten => JobsAnswer::Accepted,
+            JobOutcome::Accepted | JobOutcome::Committed | JobOutcome::Forgotten => JobsAnswer::Accepted,
             JobOutcome::Dropped | JobOutcome::Ended => JobsAnswer::Ended,
             JobOutcome::KeyTaken => JobsAnswer::KeyTaken,
             JobOutcome::UnknownJob => JobsAnswer::UnknownJob,
         };
-        (answer, key)
+        Applied { answer, change }
     }
 
     /// Whether an item needs no result any more.
-    fn is_listed(&self, key: &ItemKey) -> bool {
-        self.table.job(&key.job).is_none_or(|job| job.ended || job.is_listed(key.item))
+    fn needs_no_result(&self, key: &ItemKey) -> bool {
+        self.table.job(&key.job).is_none_or(|job| job.ended || job.has_result(key.item))
     }
 
     /// Whether a job is in the table, or its proposal is under way. It must not be refused then: it is taken
--- a/crates/core/src/serving/leader/search.rs
+++ b/crates/core/src/serving/leader/search.rs
@@ -81,7 +81,7 @@
 /// The search of one request for the leader.
 ///
 /// Invariant: a refusal says that nothing was taken by the try that it answers, and by no earlier one. So once a try
-/// may have reached a leader, an answer that says so becomes [`JobsAnswer::Unsure`].
+/// may have reached a leader, an answer that says so becomes [`JobsAnswer::Indeterminate`].
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderSearch {
     until: Timestamp,
@@ -136,13 +136,13 @@
     /// Takes the outcome of a try at a node.
     pub fn tried(&mut self, node: NodeId, outcome: TryOutcome) -> SearchVerdict {
         match outcome {
-            TryOutcome::Answered(JobsAnswer::Unsure) => {
+            TryOutcome::Answered(JobsAnswer::Indeterminate) => {
                 self.may_have_arrived = true;
                 SearchVerdict::Retry { leader: None, wait: NO_LEADER_WAIT }
             }
             TryOutcome::Answered(answer) => {
                 let is_unsure = self.may_have_arrived && answer.took_nothing();
-                SearchVerdict::Done(if is_unsure { JobsAnswer::Unsure } else { answer })
+                SearchVerdict::Done(if is_unsure { JobsAnswer::Indeterminate } else { answer })
             }
             TryOutcome::Refused(GroupRefusal::NotLeader { leader: Some(leader), .. }) if leader != node => {
                 SearchVerdict::Retry { leader: Some(leader), wait: Millis(0) }
--- a/crates/core/tests/leader_rules.rs
+++ b/crates/core/tests/leader_rules.rs
@@ -118,10 +118,10 @@
     let refusal = || TryOutcome::Answered(JobsAnswer::NoRoom);
     let mut search = LeaderSearch::new(&load_request(), at(1_000));
     assert_eq!(search.tried(NodeId(1), refusal()), SearchVerdict::Done(JobsAnswer::NoRoom));
-    for unsure in [TryOutcome::NoAnswer, TryOutcome::Answered(JobsAnswer::Unsure)] {
+    for unsure in [TryOutcome::NoAnswer, TryOutcome::Answered(JobsAnswer::Indeterminate)] {
         let mut search = LeaderSearch::new(&load_request(), at(1_000));
         assert!(matches!(search.tried(NodeId(1), unsure), SearchVerdict::Retry { leader: None, .. }));
-        assert_eq!(search.tried(NodeId(2), refusal()), SearchVerdict::Done(JobsAnswer::Unsure));
+        assert_eq!(search.tried(NodeId(2), refusal()), SearchVerdict::Done(JobsAnswer::Indeterminate));
         let accepted = TryOutcome::Answered(JobsAnswer::Accepted);
         assert_eq!(search.tried(NodeId(2), accepted), SearchVerdict::Done(JobsAnswer::Accepted));
         let given_up = SearchStep::GiveUp(NoLeader { may_have_arrived: true });
--- a/crates/gateway/src/leader/client.rs
+++ b/crates/gateway/src/leader/client.rs
@@ -32,7 +32,7 @@
     /// Asks until there is an answer or the time is over.
     ///
     /// A refusal says that nothing was taken by the try that it answers. Where an earlier try may have reached
-    /// a leader, it is answered as [`JobsAnswer::Unsure`]: that try may yet take effect.
+    /// a leader, it is answered as [`JobsAnswer::Indeterminate`]: that try may yet take effect.
     ///
     /// # Errors
     ///
--- a/crates/gateway/src/storage/peer_listener.rs
+++ b/crates/gateway/src/storage/peer_listener.rs
@@ -19,9 +19,10 @@
 use crate::peers::frames::{read_message, write_frame};
 use crate::sockets::accept_next;
 
-/// Most answers that wait for one peer.
+/// Most answers that wait for one peer. Bounds memory; beyond it, answers wait in their tasks. Not measured.
 const ANSWERS: usize = 4_096;
-/// How long one write may take before the connection is given up.
+/// How long one write may take before the connection is given up, in seconds. Frees answers to a peer that stands still.
+/// Not measured.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The answer to a request, or why there is none.
