--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,4 @@
-//! The bench: simulation, experiments and load.
+//! Measuring `stallmoor node`: simulation, experiments and load.
 //!
 //! | module | owns |
 //! |---|---|
--- a/crates/cli/tests/golden_command_line.rs
+++ b/crates/cli/tests/golden_command_line.rs
@@ -9,6 +9,8 @@
 use std::path::Path;
 use std::process::{Command, Output, Stdio};
 
+use stallmoor_adapter::names::SETTINGS_VARIABLE;
+
 fn program(folder: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_stallmoor"));
     command.current_dir(folder).env_clear().stdin(Stdio::null());
@@ -69,7 +71,7 @@
     // Sound settings that lack what the role needs.
     std::fs::write(folder.path().join("node.toml"), SERVING).expect("written");
     for command in ["gateway", "storage"] {
-        let output = program(folder.path()).env("STALLMOOR_NODE_FILE", "node.toml").arg(command).output();
+        let output = program(folder.path()).env(SETTINGS_VARIABLE, "node.toml").arg(command).output();
         describe(&mut told, &format!("{command}, not enough"), &output.expect("the program runs"));
     }
     golden::check_text("settings.txt", &told);
