--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -5,7 +5,8 @@
 //! runs their items. Decisions are in [`stallmoor_core::serving`]; this crate has the sockets, clocks and disks. How
 //! callers, workers and the metadata store spell things is known to an adapter alone ([`adapter`]).
 //!
-//! A room relies only on those above it:
+//! A room relies only on those above it, but for one: the exchanges of [`leader`] use the way to the leader that
+//! [`batch`] keeps ([`batch::job_calls::JobCalls`]).
 //!
 //! | room | owns |
 //! |---|---|
