--- a/crates/core/src/replication/leading.rs
+++ b/crates/core/src/replication/leading.rs
@@ -9,14 +9,17 @@
 use crate::identity::NodeId;
 use crate::time::{Millis, Timestamp};
 
-/// Entries count as lost after this many heartbeats without an answer: a disk may be slow.
+/// Entries count as lost, and are sent again, after this many heartbeats without an answer. A slow disk isn't sent the
+/// same entries twice. Not measured: longer than a usual write takes, shorter than a reader's wait.
 const RESEND_HEARTBEATS: u64 = 3;
-/// A snapshot counts as lost after this many times as long.
-const SNAPSHOT_PATIENCE: u64 = 4;
-/// A snapshot is expected to arrive no slower than this, in bytes a millisecond; until then it is not sent
-/// again.
+/// A snapshot counts as lost after this many times as long as lost entries do, so that one that is on its way isn't
+/// sent again. Not measured: it is written whole before it is answered.
+const SNAPSHOT_RESEND_FACTOR: u64 = 4;
+/// The slowest link that a snapshot is expected to cross, in bytes a millisecond; it isn't sent again before it could
+/// have arrived over one. Not measured: 8 Mbit/s, a small part of a link between machines.
 const SNAPSHOT_BYTES_PER_MS: u64 = 1_000;
-/// A follower is silent after this many heartbeats without an answer.
+/// A follower that owes an answer for this many heartbeats is silent and gets no entries until it answers. Saves the
+/// bytes to one that is gone. Not measured: one heartbeat more than for lost entries.
 const SILENT_HEARTBEATS: u64 = 4;
 
 impl Replica {
@@ -88,7 +91,7 @@
                     progress.next = progress.matched.next().max(LogIndex(1));
                     progress.probing = true;
                 }
-                if idle >= Millis(wait.0 * SNAPSHOT_PATIENCE) + sending {
+                if idle >= Millis(wait.0 * SNAPSHOT_RESEND_FACTOR) + sending {
                     progress.pending_snapshot = None;
                 }
             }
