--- a/crates/core/src/moving_mean.rs
+++ b/crates/core/src/moving_mean.rs
@@ -15,7 +15,7 @@
     }
 
     /// Takes a sample.
-    pub fn note(&mut self, sample: f64) {
+    pub fn record(&mut self, sample: f64) {
         self.value = self.value * (1.0 - self.weight) + sample * self.weight;
     }
 
@@ -28,20 +28,20 @@
 /// A mean that is not known until there is a sample. The first samples count alike; from `1 / least_weight` samples on
 /// it goes by about as many of the latest.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LearnedMean {
+pub struct RunningMean {
     value: f64,
     samples: u32,
     least_weight: f64,
 }
 
-impl LearnedMean {
+impl RunningMean {
     /// A mean without samples, each of which will have a weight of at least `least_weight`, between 0 and 1.
-    pub const fn unknown(least_weight: f64) -> Self {
+    pub const fn empty(least_weight: f64) -> Self {
         Self { value: 0.0, samples: 0, least_weight }
     }
 
     /// Takes a sample.
-    pub fn note(&mut self, sample: f64) {
+    pub fn record(&mut self, sample: f64) {
         self.samples = self.samples.saturating_add(1);
         let weight = (1.0 / f64::from(self.samples)).max(self.least_weight);
         self.value += (sample - self.value) * weight;
--- a/crates/core/src/node/group_repair.rs
+++ b/crates/core/src/node/group_repair.rs
@@ -33,7 +33,7 @@
             let input = RepairInput {
                 group,
                 leader: self.settings.id,
-                wanted: REPLICAS_PER_GROUP,
+                target_voters: REPLICAS_PER_GROUP,
                 membership: &membership,
                 health: &health,
                 candidates: &candidates,
--- a/crates/core/src/node/group_requests.rs
+++ b/crates/core/src/node/group_requests.rs
@@ -84,13 +84,13 @@
     /// An outcome is answered once every replica that answers holds it, or after a short wait.
     pub(super) fn answer_waiting(&mut self, group: GroupId) {
         let now = self.clock.now;
-        let wait = self.settings.replication.acknowledge_wait;
+        let wait = self.settings.replication.full_ack_timeout;
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let mut ready = Vec::new();
         for (index, waiting) in &hosted.waiting {
             let Some((applied_at, _)) = &waiting.applied else { break };
             let waited = now.since(*applied_at) >= wait;
-            if !waited && !hosted.replica.is_held_by_all_answering(*index, now) {
+            if !waited && !hosted.replica.is_on_all_responsive_voters(*index, now) {
                 break;
             }
             ready.push(*index);
--- a/crates/core/src/node/groups.rs
+++ b/crates/core/src/node/groups.rs
@@ -100,7 +100,7 @@
                 leads: hosted.replica.is_leader(),
                 term: hosted.replica.term().0,
                 commit: hosted.replica.commit().0,
-                caught_up: hosted.replica.is_established_leader() && hosted.replica.all_voters_caught_up(),
+                caught_up: hosted.replica.is_established_leader() && hosted.replica.all_members_caught_up(),
                 voters: name_all(&hosted.replica.membership().voters),
                 learners: name_all(&hosted.replica.membership().learners),
             })
@@ -149,7 +149,7 @@
         }
         let now = self.clock.now;
         if let Some(hosted) = self.groups.hosted.get_mut(&group) {
-            hosted.replica.found(membership, now);
+            hosted.replica.bootstrap(membership, now);
         }
         self.settle_group(group);
     }
@@ -262,7 +262,7 @@
         let limit = self.settings.compact_bytes;
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let bytes = hosted.replica.log().bytes();
-        let due = bytes > limit && hosted.replica.all_voters_caught_up();
+        let due = bytes > limit && hosted.replica.all_members_caught_up();
         if due || bytes > limit * COMPACT_SLACK {
             let state = hosted.state.encode();
             hosted.replica.compact(state);
--- a/crates/core/src/replication/leading.rs
+++ b/crates/core/src/replication/leading.rs
@@ -29,7 +29,7 @@
             return Err(ProposalError::NotLeader(self.leader()));
         };
         let uncommitted = self.log.last_index().0 - self.commit.0;
-        if state.transfer.is_some() || uncommitted >= self.settings.uncommitted_entries {
+        if state.transfer.is_some() || uncommitted >= self.settings.max_uncommitted_entries {
             return Err(ProposalError::Busy);
         }
         Ok(())
@@ -154,7 +154,7 @@
         let entries = if is_silent || progress.probing {
             Vec::new()
         } else {
-            self.log.entries_from(progress.next, self.settings.append_bytes)
+            self.log.entries_from(progress.next, self.settings.max_append_bytes)
         };
         let sent_up_to = entries.last().map(|entry| entry.index);
         let commit = self.commit;
--- a/crates/core/src/replication/repair.rs
+++ b/crates/core/src/replication/repair.rs
@@ -44,7 +44,7 @@
     /// Its membership.
     pub membership: &'a GroupMembership,
     /// How many voters it should have.
-    pub wanted: usize,
+    pub target_voters: usize,
     /// What is known of its members.
     pub health: &'a [ReplicaHealth],
     /// All nodes that store and are present, members included.
@@ -68,14 +68,14 @@
     let sound = input.membership.voters.iter().filter(|voter| !lost.contains(voter)).count();
     let lost_voter = input.membership.voters.iter().find(|voter| lost.contains(voter));
     if let Some(voter) = lost_voter
-        && sound >= input.wanted
+        && sound >= input.target_voters
     {
         return Some(RepairStep(MembershipChange::Remove(*voter)));
     }
-    if sound > input.wanted {
+    if sound > input.target_voters {
         return choose_surplus(input).map(|node| RepairStep(MembershipChange::Remove(node)));
     }
-    if sound < input.wanted && input.membership.learners.is_empty() {
+    if sound < input.target_voters && input.membership.learners.is_empty() {
         return choose_spare(input, &lost).map(|node| RepairStep(MembershipChange::AddLearner(node)));
     }
     None
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -20,11 +20,11 @@
     /// A follower waits at least this long for its leader, and at most twice as long.
     pub election_timeout: Millis,
     /// Most bytes of entries in one append.
-    pub append_bytes: usize,
+    pub max_append_bytes: usize,
     /// Most entries that a leader holds uncommitted; further proposals are refused.
-    pub uncommitted_entries: u64,
+    pub max_uncommitted_entries: u64,
     /// How long an acknowledgement waits for replicas beyond the majority.
-    pub acknowledge_wait: Millis,
+    pub full_ack_timeout: Millis,
 }
 
 impl Default for ReplicaSettings {
@@ -32,9 +32,9 @@
         Self {
             heartbeat_interval: Millis(150),
             election_timeout: Millis(1_000),
-            append_bytes: 1 << 20,
-            uncommitted_entries: 4_096,
-            acknowledge_wait: Millis(60),
+            max_append_bytes: 1 << 20,
+            max_uncommitted_entries: 4_096,
+            full_ack_timeout: Millis(60),
         }
     }
 }
@@ -117,7 +117,7 @@
     ///
     /// One founder, another for each group, stands for election at once, so that a new fleet need not
     /// wait for a time-out and leadership starts out spread.
-    pub fn found(&mut self, membership: GroupMembership, now: Timestamp) {
+    pub fn bootstrap(&mut self, membership: GroupMembership, now: Timestamp) {
         if self.log.last_index() > LogIndex(0) || membership.voters.is_empty() {
             return;
         }
@@ -202,7 +202,7 @@
     /// Goes on as the only voter of a group of two whose other member is lost. The caller must hold the
     /// proof that the other member never goes on: both commit only together, so this log holds all that
     /// was committed.
-    pub fn continue_alone(&mut self, now: Timestamp) -> bool {
+    pub fn become_sole_voter(&mut self, now: Timestamp) -> bool {
         let voters = &self.log.membership().voters;
         if voters.len() != 2 || !voters.contains(&self.id) {
             return false;
--- a/crates/core/src/replication/status.rs
+++ b/crates/core/src/replication/status.rs
@@ -90,7 +90,7 @@
     }
 
     /// Whether every voter that answers holds the log up to `index` on disk.
-    pub fn is_held_by_all_answering(&self, index: LogIndex, now: Timestamp) -> bool {
+    pub fn is_on_all_responsive_voters(&self, index: LogIndex, now: Timestamp) -> bool {
         let Role::Leader(state) = &self.role else { return false };
         let window = Millis(self.settings.heartbeat_interval.0 * 3);
         let answering = |progress: &Progress| progress.last_answer.is_some_and(|at| now.since(at) < window);
@@ -100,7 +100,7 @@
     }
 
     /// Whether all voters, this one included, hold the log up to the applied place.
-    pub fn all_voters_caught_up(&self) -> bool {
+    pub fn all_members_caught_up(&self) -> bool {
         let Role::Leader(state) = &self.role else { return true };
         let others = self.log.membership().members().filter(|member| *member != self.id);
         others
--- a/crates/core/src/serving/configuration/mod.rs
+++ b/crates/core/src/serving/configuration/mod.rs
@@ -33,7 +33,7 @@
 
 impl RouteKind {
     /// Whether a request may run on a second worker after it may have run on a first.
-    pub fn may_run_again(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Self::Repeatable | Self::Stream { resumable: true } | Self::Batch)
     }
 }
--- a/crates/core/src/serving/jobs/command.rs
+++ b/crates/core/src/serving/jobs/command.rs
@@ -120,7 +120,7 @@
 impl PartialOutput {
     /// Takes the next event of a run. Events that the output has already are skipped. Returns false if events are
     /// missing before this one: the output can't be made whole from this stream.
-    pub fn follow(&mut self, data: &str, id: Option<u64>) -> bool {
+    pub fn append_event(&mut self, data: &str, id: Option<u64>) -> bool {
         if let (Some(id), Some(last)) = (id, self.last_event) {
             if id <= last {
                 return true;
--- a/crates/core/src/serving/jobs/disk_budget.rs
+++ b/crates/core/src/serving/jobs/disk_budget.rs
@@ -23,17 +23,17 @@
     }
 
     /// The replica's files have that many bytes.
-    pub fn used(&mut self, bytes: u64) {
+    pub fn set_used(&mut self, bytes: u64) {
         self.used = bytes;
     }
 
     /// Whether a job may be taken. One that the table has, or may have soon, takes no further room.
     pub fn admits(&self, submission: &Submission, node: &JobsNode) -> bool {
-        node.may_hold(&submission.key) || self.has_room_for(submission.bytes())
+        node.may_hold(&submission.key) || self.has_capacity_for(submission.bytes())
     }
 
     /// Whether a job with bodies of that many bytes may be taken.
-    pub fn has_room_for(&self, bytes: u64) -> bool {
+    pub fn has_capacity_for(&self, bytes: u64) -> bool {
         let Some(limit) = self.limit else { return true };
         (self.used + bytes).saturating_mul(2) <= limit / 100 * TAKEN_UP_TO_PERCENT
     }
--- a/crates/core/src/serving/jobs/dispatch/mod.rs
+++ b/crates/core/src/serving/jobs/dispatch/mod.rs
@@ -176,7 +176,7 @@
     }
 
     /// Gives back an item that was taken and not sent.
-    pub fn put_back(&mut self, key: &ItemKey, output: PartialOutput) {
+    pub fn requeue(&mut self, key: &ItemKey, output: PartialOutput) {
         if let Some(progress) = self.items.get_mut(key) {
             progress.output = output;
             progress.phase = Phase::Ready;
@@ -185,7 +185,7 @@
     }
 
     /// Gives back an item that was taken and is quarantined. It is looked at again in a while.
-    pub fn hold(&mut self, key: &ItemKey, output: PartialOutput, now: Timestamp) {
+    pub fn delay_quarantined(&mut self, key: &ItemKey, output: PartialOutput, now: Timestamp) {
         if let Some(progress) = self.items.get_mut(key) {
             progress.output = output;
         }
--- a/crates/core/src/serving/jobs/dispatch/pacing.rs
+++ b/crates/core/src/serving/jobs/dispatch/pacing.rs
@@ -29,12 +29,12 @@
     }
 
     /// No worker had room for an item.
-    pub fn found_no_room(&mut self, now: Timestamp) {
+    pub fn record_no_capacity(&mut self, now: Timestamp) {
         self.no_room_until = now + NO_ROOM_REST;
     }
 
     /// Whether a round of progress is due. If so, the next one is due an interval from now.
-    pub fn take_progress_turn(&mut self, now: Timestamp) -> bool {
+    pub fn poll_progress(&mut self, now: Timestamp) -> bool {
         let is_due = now.since(self.last_progress) >= PROGRESS_INTERVAL;
         if is_due {
             self.last_progress = now;
--- a/crates/core/src/serving/jobs/dispatch/run_end.rs
+++ b/crates/core/src/serving/jobs/dispatch/run_end.rs
@@ -27,7 +27,7 @@
 
 impl RunEnd {
     /// What the status of a worker's answer means. `None` if the item's output follows.
-    pub fn of_status(status: u16) -> Option<Self> {
+    pub fn from_status(status: u16) -> Option<Self> {
         match status {
             200..=299 => None,
             // Unprocessable content: by this a worker says that the request can never be done.
@@ -38,7 +38,7 @@
 
     /// What an attempt that brought no answer means. Nothing is known of an attempt that broke or fell silent, so it
     /// counts as a run; one that surely did not begin does not.
-    pub fn of_attempt(end: AttemptEnd) -> Self {
+    pub fn from_attempt(end: AttemptEnd) -> Self {
         match end {
             AttemptEnd::NotConnected | AttemptEnd::NotRun { .. } => Self::NotRun,
             AttemptEnd::Failed { .. } | AttemptEnd::Broken | AttemptEnd::Silent => Self::BrokenOff,
--- a/crates/core/src/serving/jobs/load_aggregator.rs
+++ b/crates/core/src/serving/jobs/load_aggregator.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GatewayCount {
     /// Their reports reach this node, or one that reports to it.
-    pub in_reach: u32,
+    pub reachable: u32,
     /// As one of them knows, those out of reach included.
     pub known: u32,
 }
@@ -140,7 +140,7 @@
 
     /// What this aggregator of a zone reports to the leader: the sums over its gateways. What the workers reported to the
     /// leader is left out, or it would go round for ever. `None` if no gateway reported to this node of late.
-    pub fn for_leader(&mut self, now: Timestamp) -> Option<LoadReport> {
+    pub fn zone_report(&mut self, now: Timestamp) -> Option<LoadReport> {
         self.refresh(now);
         let mut totals = Totals::default();
         for (_, stored) in self.nodes.iter().filter(|(node, _)| **node != LEADER) {
@@ -152,7 +152,7 @@
 
     /// What all nodes but one reported, with the requests of `batch` added. What the workers themselves reported
     /// counts from every node.
-    pub fn without(&mut self, node: NodeId, batch: &[WorkerCount], now: Timestamp) -> LoadReport {
+    pub fn report_for(&mut self, node: NodeId, batch: &[WorkerCount], now: Timestamp) -> LoadReport {
         self.refresh(now);
         let own = self.nodes.get(&node).map(|stored| &stored.report.workers);
         let own_requests: BTreeMap<&WorkerId, u32> =
@@ -177,7 +177,7 @@
     }
 
     /// Online requests at each worker, of all nodes.
-    pub fn online(&mut self, now: Timestamp) -> Vec<WorkerCount> {
+    pub fn online_requests(&mut self, now: Timestamp) -> Vec<WorkerCount> {
         self.refresh(now);
         let busy = self.totals.workers.iter().filter(|(_, total)| total.requests > 0);
         busy.map(|(worker, total)| WorkerCount { worker: worker.clone(), requests: total.requests }).collect()
@@ -192,7 +192,7 @@
     /// How many gateways there are, by their reports.
     pub fn gateways(&mut self, now: Timestamp) -> GatewayCount {
         self.refresh(now);
-        GatewayCount { in_reach: self.totals.nodes, known: self.known_gateways() }
+        GatewayCount { reachable: self.totals.nodes, known: self.known_gateways() }
     }
 
     fn known_gateways(&self) -> u32 {
@@ -201,7 +201,7 @@
     }
 
     /// Workers that are reported dead.
-    pub fn dead(&mut self, now: Timestamp) -> Vec<WorkerId> {
+    pub fn failed_workers(&mut self, now: Timestamp) -> Vec<WorkerId> {
         self.refresh(now);
         let reports = self.totals.workers.iter().map(|(worker, total)| total.report(worker, total.requests));
         reports.filter(WorkerReport::should_eject).map(|report| report.worker).collect()
--- a/crates/core/src/serving/jobs/members.rs
+++ b/crates/core/src/serving/jobs/members.rs
@@ -1,7 +1,7 @@
 //! Who should hold the job table: lost members are replaced, machines are drained by order, and a group
 //! of two is kept able to lose one.
 //!
-//! Every replica has one of these; [`Members::plan`] says what is due, and a driver carries it out.
+//! Every replica has one of these; [`MembershipPlanner::plan`] says what is due, and a driver carries it out.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -66,11 +66,11 @@
 
 /// Something that is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum MembersAction {
+pub enum MembershipAction {
     /// Change one member.
     Change(MembershipChange),
     /// Hand leadership to a member.
-    HandOver(NodeId),
+    TransferLeadership(NodeId),
     /// Write the pair's record if the store's revision of it is still this one.
     WritePair {
         /// The record.
@@ -79,7 +79,7 @@
         revision: u64,
     },
     /// Go on as the only voter: the store says so.
-    GoOnAlone,
+    ContinueAlone,
     /// Report to the operator how far the draining of a machine is.
     ReportDrain {
         /// The machine.
@@ -91,7 +91,7 @@
 
 /// What one replica knows of the others, and what it has reported.
 #[derive(Clone, Debug)]
-pub struct Members {
+pub struct MembershipPlanner {
     own: NodeId,
     /// Losses of disks that must be borne at once.
     tolerated: usize,
@@ -104,7 +104,7 @@
     pair_write_under_way: bool,
 }
 
-impl Members {
+impl MembershipPlanner {
     /// Knows nothing of the others yet. The group should bear the loss of `tolerated` disks at once.
     pub fn new(own: NodeId, tolerated: usize, now: Timestamp) -> Self {
         Self {
@@ -131,12 +131,12 @@
     }
 
     /// The store has this as the pair's record.
-    pub fn pair_read(&mut self, pair: StoredPair) {
+    pub fn apply_pair_record(&mut self, pair: StoredPair) {
         self.pair.take(pair);
     }
 
     /// A write of the pair's record ended; `read` is the record after it, if known.
-    pub fn pair_written(&mut self, read: Option<StoredPair>) {
+    pub fn finish_pair_write(&mut self, read: Option<StoredPair>) {
         self.pair_write_under_way = false;
         if let Some(pair) = read {
             self.pair.take(pair);
@@ -146,7 +146,7 @@
     /// Whether a join request is due: this node is outside the membership, or knows no leader. If so, the next one is
     /// due an interval from now.
     /// `rank` is the node's place among the storing nodes of its zone: the leader needs to know of a few spares only.
-    pub fn take_join_turn(&mut self, replica: &Replica, rank: usize, now: Timestamp) -> bool {
+    pub fn poll_join(&mut self, replica: &Replica, rank: usize, now: Timestamp) -> bool {
         let belongs = replica.membership().contains(self.own) && replica.leader().is_some();
         let is_ready = rank < READY_SPARES || replica.membership().contains(self.own);
         let interval = if is_ready { JOIN_INTERVAL } else { RESERVE_JOIN_INTERVAL };
@@ -165,7 +165,7 @@
         directory: &StorageDirectory,
         may_hold: impl Fn(&StorageRecord) -> bool,
         now: Timestamp,
-    ) -> Vec<MembersAction> {
+    ) -> Vec<MembershipAction> {
         if now.since(self.looked_at) < INTERVAL {
             return Vec::new();
         }
@@ -195,7 +195,7 @@
         directory: &StorageDirectory,
         may_hold: impl Fn(&StorageRecord) -> bool,
         now: Timestamp,
-    ) -> Vec<MembersAction> {
+    ) -> Vec<MembershipAction> {
         let membership = replica.membership();
         let drained = self.drained_nodes(directory);
         // A member that is to be drained as well would hand leadership back at once, and so on. Until another one can take
@@ -204,7 +204,7 @@
             && membership.voters.contains(&self.own)
             && let Some(target) = self.successor_but(replica, &drained)
         {
-            return vec![MembersAction::HandOver(target)];
+            return vec![MembershipAction::TransferLeadership(target)];
         }
         let mut actions = Vec::new();
         let step = self.next_step(replica, directory, &drained, may_hold, now);
@@ -213,7 +213,7 @@
         if changes_voters && !self.pair.allows_change(membership, replica.log().membership_index()) {
             return actions;
         }
-        actions.extend(step.map(MembersAction::Change));
+        actions.extend(step.map(MembershipAction::Change));
         actions.extend(self.drain_reports(replica, directory));
         actions
     }
@@ -247,7 +247,7 @@
             group: replica.group(),
             leader: self.own,
             membership,
-            wanted: voters_tolerating(self.tolerated),
+            target_voters: voters_tolerating(self.tolerated),
             health: &health,
             candidates: &candidates,
         };
@@ -265,13 +265,13 @@
         replica: &Replica,
         directory: &StorageDirectory,
         now: Timestamp,
-    ) -> Vec<MembersAction> {
+    ) -> Vec<MembershipAction> {
         let membership = replica.membership();
         if replica.is_leader() || membership.voters.len() != 2 || !membership.voters.contains(&self.own) {
             return Vec::new();
         }
         if self.pair.makes_survivor(self.own, membership, replica.log().membership_index()) {
-            return vec![MembersAction::GoOnAlone];
+            return vec![MembershipAction::ContinueAlone];
         }
         if !self.other_of_pair_is_lost(membership, directory, now) {
             return Vec::new();
@@ -298,7 +298,7 @@
         leads: bool,
         wants_change: bool,
         other_is_lost: bool,
-    ) -> Option<MembersAction> {
+    ) -> Option<MembershipAction> {
         if self.pair_write_under_way {
             return None;
         }
@@ -314,7 +314,7 @@
         };
         let record = self.pair.next_write(&view)?;
         self.pair_write_under_way = true;
-        Some(MembersAction::WritePair { record, revision: self.pair.revision })
+        Some(MembershipAction::WritePair { record, revision: self.pair.revision })
     }
 
     fn drained_nodes(&self, directory: &StorageDirectory) -> BTreeSet<NodeId> {
@@ -343,12 +343,12 @@
 
     /// Machines whose duty has been moved: they hold no member, the change is committed, and all members
     /// hold the whole log.
-    fn drain_reports(&mut self, replica: &Replica, directory: &StorageDirectory) -> Vec<MembersAction> {
+    fn drain_reports(&mut self, replica: &Replica, directory: &StorageDirectory) -> Vec<MembershipAction> {
         let membership = replica.membership();
         let index = replica.log().membership_index();
         let is_settled = index <= replica.commit()
             && self.pair.is_whole(membership, index)
-            && replica.all_voters_caught_up()
+            && replica.all_members_caught_up()
             && membership.learners.is_empty();
         let mut reports = Vec::new();
         for (machine, reported) in &mut self.drains {
@@ -356,7 +356,7 @@
             let state = if holds_member || !is_settled { DrainState::InProgress } else { DrainState::Completed };
             if *reported != Some(state) && *reported != Some(DrainState::Completed) {
                 *reported = Some(state);
-                reports.push(MembersAction::ReportDrain { machine: machine.clone(), state });
+                reports.push(MembershipAction::ReportDrain { machine: machine.clone(), state });
             }
         }
         reports
--- a/crates/core/src/serving/jobs/mod.rs
+++ b/crates/core/src/serving/jobs/mod.rs
@@ -6,7 +6,7 @@
 //! | [`table`] | the replicated table: jobs, items, results at fixed positions |
 //! | [`request`] | what other nodes ask of the table's leader |
 //! | [`node`] | one replica of the table: the log, the table, and the acknowledgements |
-//! | [`held_reads`] | reads that wait for a result |
+//! | [`pending_reads`] | reads that wait for a result |
 //! | [`disk_budget`] | whether a job fits on the disk |
 //! | [`retention`] | when jobs that are over are forgotten |
 //! | [`dispatch`] | which item runs next, and what follows from how a run ended |
@@ -23,11 +23,11 @@
 pub mod directory;
 pub mod disk_budget;
 pub mod dispatch;
-pub mod held_reads;
 pub mod load_aggregator;
 pub mod members;
 pub mod node;
 pub mod pair;
+pub mod pending_reads;
 pub mod placement;
 pub mod request;
 pub mod retention;
--- a/crates/core/src/serving/jobs/node/mod.rs
+++ b/crates/core/src/serving/jobs/node/mod.rs
@@ -69,7 +69,7 @@
     restoring: bool,
     /// A snapshot of this replica that does not stand in for the log yet.
     prepared: Option<Snapshot>,
-    acknowledge_wait: Millis,
+    full_ack_timeout: Millis,
 }
 
 impl JobsNode {
@@ -85,7 +85,7 @@
         let announced = persisted.snapshot.index;
         let replica = Replica::new(GroupId(0), id, settings, persisted, now, seed);
         let proposals = BTreeMap::new();
-        let acknowledge_wait = settings.acknowledge_wait;
+        let full_ack_timeout = settings.full_ack_timeout;
         Some(Self {
             replica,
             table,
@@ -94,7 +94,7 @@
             announced,
             restoring: false,
             prepared: None,
-            acknowledge_wait,
+            full_ack_timeout,
         })
     }
 
@@ -114,8 +114,8 @@
     }
 
     /// Gives a replica without a log its first membership.
-    pub fn found(&mut self, membership: GroupMembership, now: Timestamp) -> Vec<JobsEffect> {
-        self.replica.found(membership, now);
+    pub fn bootstrap(&mut self, membership: GroupMembership, now: Timestamp) -> Vec<JobsEffect> {
+        self.replica.bootstrap(membership, now);
         self.gather()
     }
 
@@ -197,8 +197,8 @@
     }
 
     /// Goes on as the only voter; see [`super::pair`] for when this is right.
-    pub fn continue_alone(&mut self, now: Timestamp) -> Vec<JobsEffect> {
-        self.replica.continue_alone(now);
+    pub fn become_sole_voter(&mut self, now: Timestamp) -> Vec<JobsEffect> {
+        self.replica.become_sole_voter(now);
         self.gather()
     }
 
@@ -245,7 +245,7 @@
             changes.extend(applied.change);
             if let Some(waiter) = waiter {
                 let answer = if mine { applied.answer } else { JobsAnswer::Indeterminate };
-                let deadline = now + self.acknowledge_wait;
+                let deadline = now + self.full_ack_timeout;
                 self.held.push(HeldAnswer { index: entry.index, waiter, answer, deadline });
             }
         }
@@ -256,7 +256,7 @@
     /// Answers that waited until every replica that answers holds their entry on disk, or long enough.
     pub fn release_answers(&mut self, now: Timestamp) -> Vec<JobsChange> {
         let replica = &self.replica;
-        let is_due = |held: &HeldAnswer| held.deadline <= now || replica.is_held_by_all_answering(held.index, now);
+        let is_due = |held: &HeldAnswer| held.deadline <= now || replica.is_on_all_responsive_voters(held.index, now);
         let (due, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held).into_iter().partition(is_due);
         self.held = waiting;
         due.into_iter().map(|held| JobsChange::Answer { waiter: held.waiter, answer: held.answer }).collect()
--- a/crates/core/src/serving/jobs/held_reads.rs
+++ b/crates/core/src/serving/jobs/pending_reads.rs
@@ -17,7 +17,7 @@
 
 /// A read that waits for a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldRead {
+pub struct PendingRead {
     /// Who waits.
     pub waiter: Waiter,
     /// The job.
@@ -41,13 +41,13 @@
 
 /// The reads that wait.
 #[derive(Clone, Debug, Default)]
-pub struct HeldReads {
-    reads: Vec<HeldRead>,
+pub struct PendingReads {
+    reads: Vec<PendingRead>,
 }
 
-impl HeldReads {
-    /// Adds a read. The next [`HeldReads::take_due`] answers it if it need not wait.
-    pub fn push(&mut self, read: HeldRead) {
+impl PendingReads {
+    /// Adds a read. The next [`PendingReads::take_due`] answers it if it need not wait.
+    pub fn push(&mut self, read: PendingRead) {
         self.reads.push(read);
     }
 
@@ -72,7 +72,7 @@
 }
 
 /// The answer of a read, unless it has to wait.
-fn due_answer(read: &HeldRead, table: &JobTable, now: Timestamp) -> Option<JobsAnswer> {
+fn due_answer(read: &PendingRead, table: &JobTable, now: Timestamp) -> Option<JobsAnswer> {
     let Some(job) = table.job_for(&read.job, &read.caller) else { return Some(JobsAnswer::UnknownJob) };
     let has_more = job.results.len() > read.first as usize;
     let is_due = has_more || job.is_over() || now >= read.deadline;
--- a/crates/core/src/serving/jobs/request.rs
+++ b/crates/core/src/serving/jobs/request.rs
@@ -127,7 +127,7 @@
     }
 
     /// Whether it says that the request it answers took nothing, which tells nothing of an earlier try.
-    pub fn took_nothing(&self) -> bool {
+    pub fn is_rejection(&self) -> bool {
         matches!(self, Self::OverQuota { .. } | Self::NoRoom | Self::KeyTaken)
     }
 }
--- a/crates/core/src/serving/jobs/retention.rs
+++ b/crates/core/src/serving/jobs/retention.rs
@@ -24,7 +24,7 @@
     }
 
     /// The command of a round that is due. `civil` is the time of day, which submissions are stamped with.
-    pub fn take_round(&mut self, now: Timestamp, civil: UnixMillis) -> Option<JobCommand> {
+    pub fn poll_forget(&mut self, now: Timestamp, civil: UnixMillis) -> Option<JobCommand> {
         if now.since(self.last_round) < FORGET_INTERVAL {
             return None;
         }
--- a/crates/core/src/serving/jobs/table.rs
+++ b/crates/core/src/serving/jobs/table.rs
@@ -113,7 +113,7 @@
     }
 
     /// The item with that id, while it has no result.
-    pub fn open_item_named(&self, id: &str) -> Option<&JobItem> {
+    pub fn open_item_by_id(&self, id: &str) -> Option<&JobItem> {
         let place = self.submission.items.iter().position(|item| &*item.id == id)?;
         (!self.with_result[place]).then(|| &self.submission.items[place])
     }
--- a/crates/core/src/serving/leader/load_schedule.rs
+++ b/crates/core/src/serving/leader/load_schedule.rs
@@ -32,14 +32,14 @@
 pub struct LoadSchedule {
     aggregators: RelayChoice,
     /// There are so many gateways that loads are gathered in each zone first.
-    is_by_zone: bool,
+    uses_zone_aggregators: bool,
     interval: Millis,
 }
 
 impl Default for LoadSchedule {
     fn default() -> Self {
         let interval = LoadReport::default().interval();
-        Self { aggregators: RelayChoice::default(), is_by_zone: false, interval }
+        Self { aggregators: RelayChoice::default(), uses_zone_aggregators: false, interval }
     }
 }
 
@@ -47,7 +47,7 @@
     /// The partner of the next exchange: the leader, or, where there are many gateways, the first aggregator of the
     /// zone's ranking that is not avoided.
     pub fn partner(&self, storage: &StorageDirectory, zone: &str, own: NodeId, now: Timestamp) -> LoadPartner {
-        if !self.is_by_zone {
+        if !self.uses_zone_aggregators {
             return LoadPartner::Leader;
         }
         let aggregator = self.aggregators.usable(now, &rank_aggregators(storage, zone, own));
@@ -59,7 +59,7 @@
         if let LoadPartner::Aggregator(aggregator) = partner {
             self.aggregators.answered(aggregator);
         }
-        self.is_by_zone = gathered.is_by_zone();
+        self.uses_zone_aggregators = gathered.uses_zone_aggregators();
         self.interval = gathered.interval();
     }
 
--- a/crates/core/src/serving/leader/search.rs
+++ b/crates/core/src/serving/leader/search.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SearchStep {
     /// Ask a node.
-    Ask {
+    Send {
         /// Which.
         target: LeaderTarget,
         /// How long its answer is waited for.
@@ -49,7 +49,7 @@
     /// No storing node is known: wait.
     Wait(Millis),
     /// The time is over.
-    GiveUp(NoLeader),
+    TimedOut(NoLeader),
 }
 
 /// How a try ended.
@@ -67,7 +67,7 @@
 
 /// What follows from a try.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SearchVerdict {
+pub enum SearchDecision {
     /// The leader answered. It is the node that was asked.
     Done(JobsAnswer),
     /// Try again.
@@ -106,7 +106,7 @@
 
     /// The same search, where earlier ones made so many tries. Where there are many storing nodes, a short search would
     /// never get beyond the first of them.
-    pub fn after_tries(self, tries: usize) -> Self {
+    pub fn with_previous_tries(self, tries: usize) -> Self {
         Self { tries, ..self }
     }
 
@@ -125,12 +125,12 @@
     ) -> SearchStep {
         let left = self.until.since(now);
         if left == Millis(0) {
-            return SearchStep::GiveUp(NoLeader { may_have_arrived: self.may_have_arrived });
+            return SearchStep::TimedOut(NoLeader { may_have_arrived: self.may_have_arrived });
         }
         let target = self.target(leader, storage, zone);
         self.tries += 1;
         match target {
-            Some(target) => SearchStep::Ask { target, timeout: (TRY_TIMEOUT + self.hold).min(left) },
+            Some(target) => SearchStep::Send { target, timeout: (TRY_TIMEOUT + self.hold).min(left) },
             None => SearchStep::Wait(NO_LEADER_WAIT),
         }
     }
@@ -154,26 +154,26 @@
     }
 
     /// Takes the outcome of a try at a node.
-    pub fn tried(&mut self, node: NodeId, outcome: TryOutcome) -> SearchVerdict {
+    pub fn tried(&mut self, node: NodeId, outcome: TryOutcome) -> SearchDecision {
         match outcome {
             TryOutcome::Answered(JobsAnswer::Indeterminate) => {
                 self.may_have_arrived = true;
-                SearchVerdict::Retry { leader: None, wait: NO_LEADER_WAIT }
+                SearchDecision::Retry { leader: None, wait: NO_LEADER_WAIT }
             }
             TryOutcome::Answered(answer) => {
-                let is_unsure = self.may_have_arrived && answer.took_nothing();
-                SearchVerdict::Done(if is_unsure { JobsAnswer::Indeterminate } else { answer })
+                let is_unsure = self.may_have_arrived && answer.is_rejection();
+                SearchDecision::Done(if is_unsure { JobsAnswer::Indeterminate } else { answer })
             }
             TryOutcome::Refused(GroupRefusal::NotLeader { leader: Some(leader), .. }) if leader != node => {
                 self.redirects += 1;
                 let wait = if self.redirects > REDIRECTS_AT_ONCE { NO_LEADER_WAIT } else { Millis(0) };
-                SearchVerdict::Retry { leader: Some(leader), wait }
+                SearchDecision::Retry { leader: Some(leader), wait }
             }
-            TryOutcome::Refused(_) => SearchVerdict::Retry { leader: None, wait: NO_LEADER_WAIT },
-            TryOutcome::NotSent => SearchVerdict::Retry { leader: None, wait: LINK_FAILURE_WAIT },
+            TryOutcome::Refused(_) => SearchDecision::Retry { leader: None, wait: NO_LEADER_WAIT },
+            TryOutcome::NotSent => SearchDecision::Retry { leader: None, wait: LINK_FAILURE_WAIT },
             TryOutcome::NoAnswer => {
                 self.may_have_arrived = true;
-                SearchVerdict::Retry { leader: None, wait: LINK_FAILURE_WAIT }
+                SearchDecision::Retry { leader: None, wait: LINK_FAILURE_WAIT }
             }
         }
     }
--- a/crates/core/src/serving/online/admission.rs
+++ b/crates/core/src/serving/online/admission.rs
@@ -12,7 +12,7 @@
 
 /// How long a node that has just started lets a request wait for the configuration, in milliseconds; a refusal after
 /// that comes soon enough to be tried elsewhere.
-pub const START_TIMEOUT: Millis = Millis(60);
+pub const CONFIGURATION_TIMEOUT: Millis = Millis(60);
 
 /// What a request asks for, as far as admission goes by it.
 #[derive(Clone, Copy, Debug)]
--- a/crates/core/src/serving/online/attempt.rs
+++ b/crates/core/src/serving/online/attempt.rs
@@ -46,7 +46,7 @@
 
 /// What the head of a worker's answer says, besides the content.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerMarks<'a> {
+pub struct AnswerMetadata<'a> {
     /// The HTTP status.
     pub status: u16,
     /// The id of the request that it answers.
@@ -59,7 +59,7 @@
     pub other_instance: bool,
 }
 
-impl AnswerMarks<'_> {
+impl AnswerMetadata<'_> {
     /// Whether this is the answer to the request with that id. A success counts only with a signature and the id: it
     /// would be passed on as it is.
     ///
@@ -104,13 +104,13 @@
     }
 
     /// Whether another attempt is allowed.
-    pub fn may_try_again(&self, kind: RouteKind, max_attempts: u32) -> bool {
+    pub fn may_retry(&self, kind: RouteKind, max_attempts: u32) -> bool {
         self.may_run(kind, max_attempts) && self.not_run < MOST_NOT_RUN
     }
 
     /// Whether the request may run once more, at any time.
     pub fn may_run(&self, kind: RouteKind, max_attempts: u32) -> bool {
-        self.ran == 0 || (kind.may_run_again() && self.ran < max_attempts)
+        self.ran == 0 || (kind.is_retryable() && self.ran < max_attempts)
     }
 
     /// Forgets the attempts that did not run: the caller has waited since, so another round may begin.
--- a/crates/core/src/serving/online/event_stream.rs
+++ b/crates/core/src/serving/online/event_stream.rs
@@ -5,14 +5,14 @@
 
 /// One whole event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WholeEvent {
+pub struct ServerSentEvent {
     /// The event's bytes as they came, with the blank line that ends it.
     pub bytes: Vec<u8>,
     /// Its id, if it has one.
     pub id: Option<u64>,
 }
 
-impl WholeEvent {
+impl ServerSentEvent {
     /// The event's data lines, joined by line feeds.
     pub fn data(&self) -> String {
         let text = String::from_utf8_lossy(&self.bytes);
@@ -31,13 +31,13 @@
 
 impl EventSplitter {
     /// Takes bytes and returns the events that are whole now.
-    pub fn push(&mut self, bytes: &[u8]) -> Vec<WholeEvent> {
+    pub fn push(&mut self, bytes: &[u8]) -> Vec<ServerSentEvent> {
         self.pending.extend_from_slice(bytes);
         let mut events = Vec::new();
         let mut start = 0;
         while let Some(end) = find_event_end(&self.pending, start.max(self.searched)) {
             let event = self.pending[start..end].to_vec();
-            events.push(WholeEvent { id: event_id(&event), bytes: event });
+            events.push(ServerSentEvent { id: event_id(&event), bytes: event });
             start = end;
             self.searched = end;
         }
--- a/crates/core/src/serving/online/request_state.rs
+++ b/crates/core/src/serving/online/request_state.rs
@@ -34,7 +34,7 @@
 
 /// Why a request is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GiveUp {
+pub enum RefusalReason {
     /// Too little time is left for an attempt.
     NoTime,
     /// Every worker was tried, or there is none.
@@ -135,8 +135,8 @@
     }
 
     /// Whether the request may run on a second worker after it may have run on a first.
-    pub fn may_run_again(&self) -> bool {
-        self.route.kind.may_run_again()
+    pub fn is_retryable(&self) -> bool {
+        self.route.kind.is_retryable()
     }
 
     /// Whether there is time for an attempt.
@@ -145,7 +145,7 @@
     ///
     /// The refusal for a request without time.
     pub fn check_time(&self, now: Timestamp) -> Result<(), Refusal> {
-        if self.remaining(now) < LEAST_REMAINING { Err(self.refusal(GiveUp::NoTime)) } else { Ok(()) }
+        if self.remaining(now) < LEAST_REMAINING { Err(self.refusal(RefusalReason::NoTime)) } else { Ok(()) }
     }
 
     /// Gives the request up while it is quarantined; `left` is for how long, if it is.
@@ -156,13 +156,13 @@
     pub fn check_quarantine(&mut self, left: Option<Millis>) -> Result<(), Refusal> {
         let Some(left) = left else { return Ok(()) };
         self.is_quarantined = true;
-        Err(self.refusal(GiveUp::Quarantined(left)))
+        Err(self.refusal(RefusalReason::Quarantined(left)))
     }
 
     /// Whether the request may be shed at the worker that was chosen for it: a new stream that would wait there. One
     /// that something was done for is never shed.
     pub fn may_be_shed(&self, choice: &Choice) -> bool {
-        self.attempts == 0 && !self.is_continued && self.is_stream() && choice.place_in_queue > 0
+        self.attempts == 0 && !self.is_continued && self.is_stream() && choice.queue_position > 0
     }
 
     /// The refusal for a stream whose first event, expected `first_after` from now, would be late.
@@ -176,7 +176,7 @@
     }
 
     /// A worker was chosen for the next attempt, out of so many.
-    pub fn chosen_among(&mut self, candidates: usize) {
+    pub fn set_candidate_count(&mut self, candidates: usize) {
         self.has_alternative = candidates > 1;
     }
 
@@ -198,19 +198,19 @@
     }
 
     /// How the attempt ended whose answer has this status; `None` if the answer is the caller's.
-    pub fn failure_of(&self, status: u16) -> Option<AttemptEnd> {
+    pub fn server_failure(&self, status: u16) -> Option<AttemptEnd> {
         let is_server_error = (500..600).contains(&status);
-        (is_server_error && self.may_run_again()).then_some(AttemptEnd::Failed { status })
+        (is_server_error && self.is_retryable()).then_some(AttemptEnd::Failed { status })
     }
 
     /// Whether another attempt is allowed.
-    pub fn may_try_again(&self) -> bool {
-        self.ledger.may_try_again(self.route.kind, self.route.max_attempts)
+    pub fn may_retry(&self) -> bool {
+        self.ledger.may_retry(self.route.kind, self.route.max_attempts)
     }
 
     /// Whether a begun stream may be taken up by another worker.
     pub fn may_resume(&self) -> bool {
-        self.may_run_again() && self.may_try_again()
+        self.is_retryable() && self.may_retry()
     }
 
     /// Begins another round in which a begun stream is offered to workers, after one in which none had room. Returns how
@@ -244,32 +244,34 @@
     /// Whether the request may leave a worker that is merely slow. Without another one it would only lose what it has.
     fn may_move(&self, budget: &RetryBudget) -> bool {
         self.has_alternative
-            && self.may_run_again()
+            && self.is_retryable()
             && self.ledger.ran + 1 < self.route.max_attempts
             && budget.has_token()
     }
 
     /// Whether one worker answered the request from its first event on, so that the time of its answer is the time for
     /// which it had a slot.
-    pub fn is_undivided(&self) -> bool {
+    pub fn was_served_by_one_worker(&self) -> bool {
         self.attempts == 1 && !self.is_continued
     }
 
     /// The refusal for a request that is given up. Only one that certainly did not run is said not to have run.
-    pub fn refusal(&self, why: GiveUp) -> Refusal {
+    pub fn refusal(&self, why: RefusalReason) -> Refusal {
         let mut retry_after = RETRY_AFTER;
         let (not_run, may_have_run, detail) = match why {
-            GiveUp::NoTime => (ErrorKind::DeadlineUnmet, ErrorKind::DeadlineExceeded, "no time is left".to_owned()),
-            GiveUp::NoWorker => {
+            RefusalReason::NoTime => {
+                (ErrorKind::DeadlineUnmet, ErrorKind::DeadlineExceeded, "no time is left".to_owned())
+            }
+            RefusalReason::NoWorker => {
                 if self.attempts == 0 {
                     retry_after = NO_WORKER_RETRY_AFTER;
                 }
                 (ErrorKind::NoEngine, ErrorKind::EngineLost, "no worker is left to try".to_owned())
             }
-            GiveUp::LastAttempt(end) => {
+            RefusalReason::LastAttempt(end) => {
                 (ErrorKind::Overloaded, ErrorKind::EngineLost, format!("the last attempt ended as {end:?}"))
             }
-            GiveUp::Quarantined(left) => {
+            RefusalReason::Quarantined(left) => {
                 retry_after = left;
                 let detail = format!("workers died of this request; it is kept from others for {} ms", left.0);
                 (ErrorKind::RequestQuarantined, ErrorKind::EngineLost, detail)
--- a/crates/core/src/serving/online/shedding.rs
+++ b/crates/core/src/serving/online/shedding.rs
@@ -34,7 +34,7 @@
     }
     let detail = format!(
         "number {} to wait for {} slots, its first event expected after {} ms of {}",
-        choice.place_in_queue, choice.slots, times.expected.0, times.objective.0
+        choice.queue_position, choice.slots, times.expected.0, times.objective.0
     );
     let wait = retry_after(times.remaining, random);
     Some(Refusal::new(ErrorKind::Overloaded, detail).with_ran(Ran::NotRun).with_retry_after(wait.0))
--- a/crates/core/src/serving/online/stream_progress.rs
+++ b/crates/core/src/serving/online/stream_progress.rs
@@ -3,7 +3,7 @@
 //! A worker that takes a stream up begins after the last event that the caller has. What it sends is checked against
 //! that, so that no event reaches the caller twice and none is left out.
 
-use super::event_stream::WholeEvent;
+use super::event_stream::ServerSentEvent;
 
 /// What of a worker's events goes on to the caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     }
 
     /// Takes whole events as a worker sent them. A stream that is not resumable is passed on as it comes.
-    pub fn take(&mut self, events: Vec<WholeEvent>, is_resumable: bool) -> TakenEvents {
+    pub fn take(&mut self, events: Vec<ServerSentEvent>, is_resumable: bool) -> TakenEvents {
         let mut taken = TakenEvents::default();
         for event in events {
             match self.order_of(event.id) {
--- a/crates/core/src/serving/online/timeouts.rs
+++ b/crates/core/src/serving/online/timeouts.rs
@@ -32,7 +32,7 @@
         mean_first: Millis,
     },
     /// One that the caller waits for since the last.
-    Further,
+    Next,
 }
 
 /// How long the head of an answer is awaited, in milliseconds, where the request may move to another worker.
@@ -50,6 +50,6 @@
             let allowed = first_event_timeout(route, mean_first);
             Millis(allowed.0.saturating_sub(now.since(sent_at).0)).max(MIN_EVENT_TIMEOUT)
         }
-        AwaitedEvent::Further => Millis(gap.0 * GAP_TIMEOUT_PERCENT / 100),
+        AwaitedEvent::Next => Millis(gap.0 * GAP_TIMEOUT_PERCENT / 100),
     })
 }
--- a/crates/core/src/serving/quota/coordinator.rs
+++ b/crates/core/src/serving/quota/coordinator.rs
@@ -104,14 +104,14 @@
 
 impl RateCoordinator {
     /// Begins anew: this node has become the leader.
-    pub fn open(&mut self, now: Timestamp) {
+    pub fn reset(&mut self, now: Timestamp) {
         *self = Self { opened_at: now, ..Self::default() };
     }
 
     /// So many gateways are in reach now, of which one or the other knows that there were so many.
-    pub fn note_gateways(&mut self, in_reach: u32, known: u32, now: Timestamp) {
-        self.size.note(in_reach.max(known), now);
-        self.missing = self.size.gateways().saturating_sub(in_reach);
+    pub fn record_gateway_count(&mut self, reachable: u32, known: u32, now: Timestamp) {
+        self.size.record(reachable.max(known), now);
+        self.missing = self.size.gateways().saturating_sub(reachable);
     }
 
     /// Takes a gateway's report and answers what is left. `limit_of` gives the limits in force.
--- a/crates/core/src/serving/quota/fleet_size.rs
+++ b/crates/core/src/serving/quota/fleet_size.rs
@@ -18,7 +18,7 @@
 
 impl FleetSize {
     /// So many gateways were seen.
-    pub fn note(&mut self, gateways: u32, now: Timestamp) {
+    pub fn record(&mut self, gateways: u32, now: Timestamp) {
         if gateways >= self.gateways || now.since(self.seen_at) >= REMEMBERED_FOR {
             self.gateways = gateways;
             self.seen_at = now;
--- a/crates/core/src/serving/quota/limiter.rs
+++ b/crates/core/src/serving/quota/limiter.rs
@@ -13,12 +13,12 @@
 
 /// How long a request waits for the leader's first answer for its tenant, in milliseconds: tenants below their limits
 /// aren't refused at a gateway that knows nothing of them.
-pub const FIRST_ANSWER_WAIT: Millis = Millis(60);
+pub const FIRST_ANSWER_TIMEOUT: Millis = Millis(60);
 /// A report without an answer counts as lost after this long, in milliseconds: this gateway's own part of the limits
 /// takes over.
 pub const REPORT_TIMEOUT: Millis = Millis(250);
 /// The time between two checks whether a report is due, in milliseconds: saves processor time.
-pub const DUE_CHECK_INTERVAL: Millis = Millis(20);
+pub const REPORT_CHECK_INTERVAL: Millis = Millis(20);
 /// A level is gone by for this many intervals between reports, so that it outlives two lost reports, and for
 /// [`LEAST_LEVEL_LIFETIME`] at the least.
 const LEVEL_LIFETIME_INTERVALS: u64 = 3;
@@ -42,14 +42,14 @@
     /// When there should be room again.
     pub retry_after: Millis,
     /// What was left for this gateway, in requests.
-    pub left: f64,
+    pub remaining: f64,
     /// How old the leader's level is; `None` if there is none.
     pub age: Option<Millis>,
 }
 
 /// What is asked of the limiter.
 #[derive(Clone, Copy, Debug)]
-pub struct TenantAsk<'a> {
+pub struct AdmissionRequest<'a> {
     /// The tenant.
     pub tenant: &'a TenantName,
     /// Its limit over all gateways.
@@ -63,7 +63,7 @@
 pub enum Admission {
     /// It is admitted.
     Admitted,
-    /// The leader has not answered for its tenant of late and should be asked first, for [`FIRST_ANSWER_WAIT`] at the
+    /// The leader has not answered for its tenant of late and should be asked first, for [`FIRST_ANSWER_TIMEOUT`] at the
     /// most: many gateways that each admit one request at once would be over a small limit.
     AwaitLevel,
     /// It must be refused.
@@ -92,13 +92,13 @@
     }
 
     /// So many gateways were seen, this one among them.
-    pub fn note_gateways(&mut self, gateways: u32, now: Timestamp) {
-        self.size.note(gateways, now);
+    pub fn record_gateway_count(&mut self, gateways: u32, now: Timestamp) {
+        self.size.record(gateways, now);
     }
 
     /// Decides on a request. `drawn` is a random number from 0 to 1. A request that `has_waited` for the leader's
     /// answer is decided without it.
-    pub fn admit(&mut self, ask: &TenantAsk<'_>, drawn: f64, now: Timestamp) -> Admission {
+    pub fn admit(&mut self, ask: &AdmissionRequest<'_>, drawn: f64, now: Timestamp) -> Admission {
         let lifetime = self.level_lifetime();
         let limit = BucketLimit::of(ask.limit);
         let state = self.tenants.entry(ask.tenant.clone()).or_default();
@@ -106,16 +106,16 @@
         if !state.is_level_fresh(lifetime, now) && !ask.has_waited && !self.is_disconnected {
             return Admission::AwaitLevel;
         }
-        let left = state.left(limit, lifetime, self.size, now);
-        if left >= state.threshold(drawn) {
+        let remaining = state.remaining(limit, lifetime, self.size, now);
+        if remaining >= state.threshold(drawn) {
             state.admit(now);
             return Admission::Admitted;
         }
         let share = state.level().map_or(UNKNOWN_SHARE, |level| level.share());
-        let retry_after = limit.part(share).time_for(1.0 - left);
+        let retry_after = limit.part(share).time_for(1.0 - remaining);
         Admission::Refused(OverLimit {
             retry_after: retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
-            left,
+            remaining,
             age: state.level().map(|level| level.age(now)),
         })
     }
--- a/crates/core/src/serving/quota/tenant_level.rs
+++ b/crates/core/src/serving/quota/tenant_level.rs
@@ -38,7 +38,7 @@
 }
 
 impl Demand {
-    fn note(&mut self, now: Timestamp) {
+    fn record(&mut self, now: Timestamp) {
         self.per_s = self.at_time(now) + 1_000.0 / DEMAND_SMOOTHING.0 as f64;
         self.at = now;
     }
@@ -55,7 +55,7 @@
 }
 
 impl RecentCount {
-    fn note(&mut self, now: Timestamp) {
+    fn record(&mut self, now: Timestamp) {
         match self.steps.back_mut() {
             Some((begun, count)) if now.since(*begun) < RECENT_STEP => *count += 1,
             _ => self.steps.push_back((now, 1)),
@@ -144,7 +144,7 @@
     }
 
     /// What is left for this gateway if the others go on asking as they did.
-    fn left(&self, limit: BucketLimit, admitted: u64, now: Timestamp) -> f64 {
+    fn remaining(&self, limit: BucketLimit, admitted: u64, now: Timestamp) -> f64 {
         let age = self.age(now);
         let admitted_since = admitted.saturating_sub(self.admitted_here) as f64;
         let asked_elsewhere = (self.demand_total - self.demand_here).max(0.0) * age.0 as f64 / 1_000.0;
@@ -175,7 +175,7 @@
     pub(super) fn request_came(&mut self, has_waited: bool, now: Timestamp) {
         self.used_at = now;
         if !has_waited {
-            self.demand.note(now);
+            self.demand.record(now);
         }
     }
 
@@ -201,17 +201,18 @@
 
     /// What is left for this gateway: by the leader's level while it is younger than `lifetime`, else by a bucket of
     /// its own.
-    pub(super) fn left(&mut self, limit: BucketLimit, lifetime: Millis, size: FleetSize, now: Timestamp) -> f64 {
+    pub(super) fn remaining(&mut self, limit: BucketLimit, lifetime: Millis, size: FleetSize, now: Timestamp) -> f64 {
         if let Some(level) = self.level.filter(|level| level.age(now) < lifetime) {
             self.own = None;
-            return level.left(limit, self.admitted, now);
+            return level.remaining(limit, self.admitted, now);
         }
         let leased = self.leased(now);
         let unknown = size.even_share().map_or(UNKNOWN_SHARE, |even| even * DISCONNECTED_PART);
         let share = leased.map_or(unknown, |level| level.part(limit, size) * DISCONNECTED_PART);
         let part = limit.part(share);
         let admitted = self.admitted;
-        let at_start = leased.map_or(part.capacity, |level| level.left(limit, admitted, now).clamp(0.0, part.capacity));
+        let at_start =
+            leased.map_or(part.capacity, |level| level.remaining(limit, admitted, now).clamp(0.0, part.capacity));
         let own = self.own.get_or_insert_with(|| TokenBucket::with_level(at_start, now));
         own.refill(part, now);
         own.level()
@@ -233,7 +234,7 @@
     /// A request was admitted.
     pub(super) fn admit(&mut self, now: Timestamp) {
         self.admitted += 1;
-        self.recent.note(now);
+        self.recent.record(now);
         if let Some(own) = &mut self.own {
             own.spend(1.0, f64::NEG_INFINITY);
         }
--- a/crates/core/src/serving/relay/bounds.rs
+++ b/crates/core/src/serving/relay/bounds.rs
@@ -68,7 +68,7 @@
     }
 
     /// A relay whose view is older than this has lost the store.
-    pub fn relay_stale(self) -> Millis {
+    pub fn max_relay_age(self) -> Millis {
         percent(self.change, RELAY_STALE_PERCENT)
     }
 
@@ -101,7 +101,7 @@
     /// The longest wait after a failed call of the store, before its random part.
     pub(super) fn longest_store_wait(self, role: WatchRole) -> Millis {
         let share = match role {
-            WatchRole::Relay | WatchRole::Forwarder | WatchRole::Alone => RELAY_STORE_WAIT_PERCENT,
+            WatchRole::Relay | WatchRole::Forwarder | WatchRole::Standalone => RELAY_STORE_WAIT_PERCENT,
             WatchRole::Follower => FOLLOWER_STORE_WAIT_PERCENT,
         };
         percent(self.contact, share)
--- a/crates/core/src/serving/relay/first_view.rs
+++ b/crates/core/src/serving/relay/first_view.rs
@@ -48,7 +48,7 @@
         usable: Option<NodeId>,
         patience: Millis,
     ) -> WatchStep {
-        let Some(sought) = self.sought else { return WatchStep::SeekRelays };
+        let Some(sought) = self.sought else { return WatchStep::DiscoverRelays };
         let waited = view.now.since(sought.first);
         if tier == RelayTier::Root {
             return WatchStep::ListStore;
@@ -59,7 +59,7 @@
         match usable {
             _ if waited >= patience => WatchStep::ListStore,
             Some(relay) => WatchStep::AskRelay { relay, hold: Millis(0), timeout: CONTENTS_TIMEOUT },
-            None => WatchStep::Rest(RELAY_RETRY),
+            None => WatchStep::Wait(RELAY_RETRY),
         }
     }
 
@@ -68,9 +68,9 @@
         if waited >= SEEK_FOR {
             WatchStep::ListStore
         } else if rested >= SEEK_INTERVAL {
-            WatchStep::SeekRelays
+            WatchStep::DiscoverRelays
         } else {
-            WatchStep::Rest(Millis(SEEK_INTERVAL.0 - rested.0))
+            WatchStep::Wait(Millis(SEEK_INTERVAL.0 - rested.0))
         }
     }
 }
--- a/crates/core/src/serving/relay/message.rs
+++ b/crates/core/src/serving/relay/message.rs
@@ -30,7 +30,7 @@
 impl ChangesAnswer {
     /// Whether the answer can be believed by a node that asked for what changed since a revision: it follows on just
     /// that, or is all that the store holds and no older. A key is never empty.
-    pub fn is_sound(&self, since: Revision) -> bool {
+    pub fn is_valid_for(&self, since: Revision) -> bool {
         let is_keyed = self.changes.items.iter().all(|item| !item.key.is_empty());
         let follows = match self.changes.base {
             Some(base) => base == since,
--- a/crates/core/src/serving/relay/mirror.rs
+++ b/crates/core/src/serving/relay/mirror.rs
@@ -19,14 +19,14 @@
     /// They were removed.
     Removed,
     /// They may have lapsed in an outage, and can be written again.
-    MayHaveLapsed,
+    MayHaveExpired,
 }
 
 impl MissingKeys {
     fn state(self) -> KeyState {
         match self {
             Self::Removed => KeyState::Removed,
-            Self::MayHaveLapsed => KeyState::Lapsed,
+            Self::MayHaveExpired => KeyState::Lapsed,
         }
     }
 }
--- a/crates/core/src/serving/relay/outage.rs
+++ b/crates/core/src/serving/relay/outage.rs
@@ -25,13 +25,13 @@
     /// When it failed.
     pub ended: Timestamp,
     /// It got no answer in time; else it was refused, or its connection broke.
-    pub is_silent: bool,
+    pub timed_out: bool,
 }
 
 impl FailedCall {
     /// The way to the store was broken then, or later: a silent call may have met the silence from its first moment on.
     pub(super) fn broken_at(self) -> Timestamp {
-        if self.is_silent { self.begun } else { self.ended }
+        if self.timed_out { self.begun } else { self.ended }
     }
 }
 
@@ -63,28 +63,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordGrace {
     /// Where nobody else serves, and the record was removed.
-    pub removed_until: Timestamp,
+    pub removed_usable_until: Timestamp,
     /// Where the record may have lapsed with the store, and be written again.
-    pub lapsed_until: Option<Timestamp>,
+    pub expired_usable_until: Option<Timestamp>,
 }
 
 impl RecordGrace {
     /// What a node with a view as it was before may allow itself after an outage.
     pub(super) fn after(outage: Option<Outage>, view: ViewState, bounds: WatchBounds) -> Self {
         let known_until = view.confirmed_at() + bounds.change - IN_FLIGHT;
-        let removed_until = known_until.min(view.now + LAST_RESORT);
+        let removed_usable_until = known_until.min(view.now + LAST_RESORT);
         let long_enough = outage.filter(|outage| outage.lasts(view.now) >= bounds.least_lapse());
-        let lapsed_until = long_enough.map(|outage| {
+        let expired_usable_until = long_enough.map(|outage| {
             let excused_until = outage.lasted_to + bounds.contact - IN_FLIGHT;
             excused_until.min(view.now + RETURN_TIME)
         });
-        Self { removed_until, lapsed_until: lapsed_until.filter(|until| *until > view.now) }
+        Self { removed_usable_until, expired_usable_until: expired_usable_until.filter(|until| *until > view.now) }
     }
 
     /// What became of records that a list of the store lacks.
     pub fn missing_keys(&self) -> MissingKeys {
-        match self.lapsed_until {
-            Some(_) => MissingKeys::MayHaveLapsed,
+        match self.expired_usable_until {
+            Some(_) => MissingKeys::MayHaveExpired,
             None => MissingKeys::Removed,
         }
     }
--- a/crates/core/src/serving/relay/policy.rs
+++ b/crates/core/src/serving/relay/policy.rs
@@ -36,7 +36,7 @@
     /// It asks relays.
     Follower,
     /// It knows no relay, so it watches the store.
-    Alone,
+    Standalone,
 }
 
 /// The next call.
@@ -52,7 +52,7 @@
         timeout: Millis,
     },
     /// Read which storing nodes there are.
-    SeekRelays,
+    DiscoverRelays,
     /// Read all that the store holds.
     ListStore,
     /// Watch the store.
@@ -63,13 +63,13 @@
         wait: Millis,
     },
     /// No call for so long.
-    Rest(Millis),
+    Wait(Millis),
 }
 
 impl WatchRole {
     /// Whether a question of another node ends what the node is waiting for. The call of a node that is no relay yet
     /// may be answered long after the question, or say how old another relay's view is.
-    pub fn yields_to_questions(self) -> bool {
+    pub fn yields_to_requests(self) -> bool {
         !matches!(self, Self::Relay | Self::Forwarder)
     }
 }
@@ -137,7 +137,7 @@
             let forwards = self.tier == RelayTier::Forwarder && !relays.is_empty();
             if forwards { WatchRole::Forwarder } else { WatchRole::Relay }
         } else if relays.is_empty() {
-            WatchRole::Alone
+            WatchRole::Standalone
         } else {
             WatchRole::Follower
         }
@@ -153,7 +153,7 @@
             return store_step;
         }
         let left = Millis(self.bounds.stale().0.saturating_sub(age.0));
-        let store_rests = matches!(store_step, WatchStep::Rest(_));
+        let store_rests = matches!(store_step, WatchStep::Wait(_));
         match relay {
             Some(relay) if left > Millis(0) => self.ask(relay, left),
             // The store does not answer, so there is no hurry.
@@ -174,21 +174,21 @@
         let step = self.first_view.next(view, self.tier, relays, usable, self.bounds.contact);
         match step {
             // The store is given its rest after a failed call.
-            WatchStep::SeekRelays | WatchStep::ListStore if matches!(store_step, WatchStep::Rest(_)) => store_step,
+            WatchStep::DiscoverRelays | WatchStep::ListStore if matches!(store_step, WatchStep::Wait(_)) => store_step,
             step => step,
         }
     }
 
     /// The node has read which storing nodes there are.
-    pub fn relays_sought(&mut self, now: Timestamp) {
+    pub fn relays_discovered(&mut self, now: Timestamp) {
         self.first_view.sought(now);
     }
 
     /// A rest that is over when one of the relays may be asked again.
     fn rest_until_usable(&self, now: Timestamp, relays: &[NodeId], step: WatchStep) -> WatchStep {
-        let WatchStep::Rest(rest) = step else { return step };
+        let WatchStep::Wait(rest) = step else { return step };
         let first = self.relays.until_usable(now, relays).unwrap_or(rest);
-        WatchStep::Rest(rest.min(first.max(Millis(1))))
+        WatchStep::Wait(rest.min(first.max(Millis(1))))
     }
 
     fn ask(&self, relay: NodeId, left: Millis) -> WatchStep {
@@ -199,9 +199,9 @@
     fn store_step(&self, view: ViewState, role: WatchRole) -> WatchStep {
         let rest = self.store_rests_until.since(view.now);
         if rest > Millis(0) {
-            return WatchStep::Rest(rest);
+            return WatchStep::Wait(rest);
         }
-        let wait = if role == WatchRole::Alone { self.bounds.alone_wait() } else { self.bounds.relay_wait() };
+        let wait = if role == WatchRole::Standalone { self.bounds.alone_wait() } else { self.bounds.relay_wait() };
         match view.at {
             Some(since) if !self.must_list => WatchStep::WatchStore { since, wait },
             _ => WatchStep::ListStore,
@@ -210,7 +210,7 @@
 
     /// A relay answered. Returns whether its view is young enough; the answer may be used either way.
     pub fn relay_answered(&mut self, relay: NodeId, answer: &ChangesAnswer, now: Timestamp) -> bool {
-        let is_young = answer.age < self.bounds.relay_stale();
+        let is_young = answer.age < self.bounds.max_relay_age();
         if is_young {
             self.relays.answered(relay);
             self.must_list = false;
@@ -289,7 +289,7 @@
     pub fn pause(&self, role: WatchRole) -> Millis {
         match role {
             WatchRole::Relay => self.bounds.relay_pause(),
-            WatchRole::Alone => self.bounds.alone_pause(),
+            WatchRole::Standalone => self.bounds.alone_pause(),
             WatchRole::Follower | WatchRole::Forwarder => Millis(0),
         }
     }
--- a/crates/core/src/serving/request.rs
+++ b/crates/core/src/serving/request.rs
@@ -18,7 +18,7 @@
 
 /// A prompt part together with all parts before it: what a worker caches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PrefixLink {
+pub struct PrefixBlock {
     /// Names the model and the parts up to here.
     pub chain: u64,
     /// Tokens of the last part alone.
@@ -35,18 +35,18 @@
     /// The caller has the events up to this one.
     pub last_event: Option<u64>,
     /// The chain of its prompt.
-    pub prefix: Vec<PrefixLink>,
+    pub prefix: Vec<PrefixBlock>,
     /// Tokens in its prompt.
     pub prompt_tokens: u32,
 }
 
 /// Chains the parts of a prompt, so that a link names all parts before it too.
-pub fn chain_prefix(model: &str, parts: &[PromptPart]) -> Vec<PrefixLink> {
+pub fn hash_prefix(model: &str, parts: &[PromptPart]) -> Vec<PrefixBlock> {
     let mut links = Vec::with_capacity(parts.len());
     let mut chain = hash_parts(&[model.as_bytes()]);
     for part in parts {
         chain = hash_parts(&[&chain.to_le_bytes(), part.id.as_bytes()]);
-        links.push(PrefixLink { chain, tokens: part.tokens });
+        links.push(PrefixBlock { chain, tokens: part.tokens });
     }
     links
 }
--- a/crates/core/src/serving/workers/choice.rs
+++ b/crates/core/src/serving/workers/choice.rs
@@ -10,10 +10,10 @@
 use super::cost::{cost_slope, estimate_cost, load_cost};
 use super::load_in_transit::level_after;
 use super::table::WorkerTable;
-use super::worker::{Presence, SHARED_LIFETIME, Standing, WorkerEntry, WorkerId, WorkerLife};
+use super::worker::{Availability, Presence, SHARED_LIFETIME, WorkerEntry, WorkerId, WorkerIncarnation};
 use crate::hashing::{hash_bytes, rendezvous_weight};
 use crate::serving::regions::AllowedRegions;
-use crate::serving::request::PrefixLink;
+use crate::serving::request::PrefixBlock;
 use crate::time::{Millis, Timestamp, UnixMillis};
 
 /// Batch leaves as many slots of a service free as online requests are placed in this time, in milliseconds: they come
@@ -35,13 +35,13 @@
 
 /// What is asked of a worker.
 #[derive(Clone, Debug)]
-pub struct WorkerAsk<'a> {
+pub struct WorkerQuery<'a> {
     /// The service.
     pub service: &'a str,
     /// The zone that the request is in.
     pub zone: &'a str,
     /// The prompt.
-    pub prefix: &'a [PrefixLink],
+    pub prefix: &'a [PrefixBlock],
     /// Tokens in the prompt.
     pub prompt_tokens: u32,
     /// Bytes that would be sent.
@@ -58,7 +58,7 @@
     /// The worker.
     pub id: WorkerId,
     /// When this life of it began, if it says so.
-    pub born: Option<UnixMillis>,
+    pub started_at: Option<UnixMillis>,
     /// Its address.
     pub address: SocketAddr,
     /// Requests believed to be at it.
@@ -66,32 +66,32 @@
     /// Requests that it runs at once.
     pub slots: u32,
     /// The request's place in the queue for one of its slots, 0 if one is free or a batch item makes room.
-    pub place_in_queue: u32,
+    pub queue_position: u32,
     /// Prompt tokens believed to be cached there.
     pub cached_tokens: u32,
     /// How many workers could be chosen from.
     pub candidates: usize,
     /// On what ground it is sent the request.
-    pub standing: Standing,
+    pub availability: Availability,
 }
 
 impl Choice {
     /// The life of the worker that was chosen.
-    pub fn life(&self) -> WorkerLife {
-        WorkerLife { id: self.id.clone(), born: self.born }
+    pub fn incarnation(&self) -> WorkerIncarnation {
+        WorkerIncarnation { id: self.id.clone(), started_at: self.started_at }
     }
 
-    fn of(entry: &WorkerEntry, ask: &WorkerAsk<'_>, candidates: usize, now: Timestamp) -> Self {
+    fn of(entry: &WorkerEntry, ask: &WorkerQuery<'_>, candidates: usize, now: Timestamp) -> Self {
         Self {
             id: entry.record.id.clone(),
-            born: entry.record.born,
+            started_at: entry.record.started_at,
             address: entry.record.address,
             load: entry.estimated_load(now),
             slots: entry.record.slots,
-            place_in_queue: entry.place_in_queue(now),
+            queue_position: entry.queue_position(now),
             cached_tokens: entry.cache.cached_tokens(ask.prefix),
             candidates,
-            standing: entry.standing(),
+            availability: entry.availability(),
         }
     }
 }
@@ -99,7 +99,7 @@
 impl WorkerTable {
     /// The worker with the least estimated time to the first event. Ejected workers are chosen only if all others were
     /// tried, and workers whose records were removed only if nobody else can serve.
-    pub fn choose(&self, ask: &WorkerAsk<'_>, now: Timestamp, random: &mut impl Rng) -> Option<Choice> {
+    pub fn choose(&self, ask: &WorkerQuery<'_>, now: Timestamp, random: &mut impl Rng) -> Option<Choice> {
         let candidates = self.candidates(ask, now);
         let affinity_worker = self.affinity_worker(ask, &candidates);
         let considered = consider(&candidates, ask, affinity_worker, random);
@@ -116,7 +116,7 @@
 
     /// The workers of a service that were not tried: those that are sound; if there are none, those that are ejected; if
     /// there are none, those that were removed a moment ago.
-    fn candidates<'a>(&'a self, ask: &'a WorkerAsk<'_>, now: Timestamp) -> Vec<&'a WorkerEntry> {
+    fn candidates<'a>(&'a self, ask: &'a WorkerQuery<'_>, now: Timestamp) -> Vec<&'a WorkerEntry> {
         let untried = |entry: &&WorkerEntry| !ask.tried.contains(&entry.record.id);
         let usable = || self.eligible(ask).filter(|entry| self.is_warm_or_permitted(entry, now)).filter(untried);
         let ready: Vec<&WorkerEntry> = usable().filter(|entry| entry.takes_requests(now)).collect();
@@ -128,7 +128,7 @@
     }
 
     /// The workers of a service that may be sent the request by its regions and by the operator's orders.
-    pub(super) fn eligible<'a>(&'a self, ask: &'a WorkerAsk<'_>) -> impl Iterator<Item = &'a WorkerEntry> {
+    pub(super) fn eligible<'a>(&'a self, ask: &'a WorkerQuery<'_>) -> impl Iterator<Item = &'a WorkerEntry> {
         let of_service = self.workers.values().filter(|entry| &*entry.record.service == ask.service);
         of_service.filter(|entry| {
             !self.is_evacuated(&entry.record.zone) && self.regions.allows(ask.regions, &entry.record.zone)
@@ -154,7 +154,7 @@
 
     /// Where the shared parts of a prompt go from every node: workers of the zone first, so that
     /// nodes agree without asking each other.
-    fn affinity_worker<'a>(&self, ask: &WorkerAsk<'_>, candidates: &[&'a WorkerEntry]) -> Option<&'a WorkerEntry> {
+    fn affinity_worker<'a>(&self, ask: &WorkerQuery<'_>, candidates: &[&'a WorkerEntry]) -> Option<&'a WorkerEntry> {
         let shared = ask.prefix.len().checked_sub(2).map(|place| ask.prefix[place].chain)?;
         let in_zone = candidates.iter().filter(|entry| &*entry.record.zone == ask.zone);
         let weight = |entry: &&&WorkerEntry| rendezvous_weight(shared, hash_bytes(entry.record.id.0.as_bytes()));
@@ -165,7 +165,7 @@
     /// `online_per_s` online requests in a second need until items make room for them.
     pub fn choose_for_batch(
         &self,
-        ask: &WorkerAsk<'_>,
+        ask: &WorkerQuery<'_>,
         online_per_s: u32,
         now: Timestamp,
         random: &mut impl Rng,
@@ -197,7 +197,7 @@
 /// for the greater part, with those that are believed to have parts of the prompt.
 fn consider<'a>(
     candidates: &[&'a WorkerEntry],
-    ask: &WorkerAsk<'_>,
+    ask: &WorkerQuery<'_>,
     affinity_worker: Option<&'a WorkerEntry>,
     random: &mut impl Rng,
 ) -> Vec<&'a WorkerEntry> {
--- a/crates/core/src/serving/workers/cold_start.rs
+++ b/crates/core/src/serving/workers/cold_start.rs
@@ -11,10 +11,10 @@
 use rand::Rng;
 use rand::seq::IteratorRandom;
 
-use super::choice::WorkerAsk;
+use super::choice::WorkerQuery;
 use super::load_report::WorkerCount;
 use super::table::WorkerTable;
-use super::worker::{WorkerEntry, WorkerId, WorkerLife};
+use super::worker::{WorkerEntry, WorkerId, WorkerIncarnation};
 use crate::serving::configuration::tenant::MilliRequests;
 use crate::time::{Millis, Timestamp};
 
@@ -24,10 +24,10 @@
 /// The shortest time between two requests for permits of one node, in milliseconds, for the leader's processor.
 pub const PERMIT_INTERVAL: Millis = Millis(100);
 /// The longest wait of a request for permits where every worker of its service is cold, in milliseconds.
-pub const PERMIT_WAIT: Millis = Millis(60);
+pub const MAX_PERMIT_WAIT: Millis = Millis(60);
 /// Workers for which a node asks for permits at once. One that places few requests in a permit's lifetime would waste
 /// more.
-pub const WANTED_PERMITS: usize = 2;
+pub const MAX_WORKERS_PER_PERMIT_REQUEST: usize = 2;
 
 /// What the workers of a service bear after their start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     /// Requests a second that a cold worker bears, from all nodes together.
     pub per_s: MilliRequests,
     /// For how long a worker is cold after its start.
-    pub lasts: Millis,
+    pub duration: Millis,
 }
 
 /// What one node knows of a worker's cold start.
@@ -72,11 +72,11 @@
     }
 
     /// A worker said for how long it is cold from now on.
-    pub fn reported_cold(&mut self, life: &WorkerLife, left: Millis, now: Timestamp) {
+    pub fn mark_cold(&mut self, incarnation: &WorkerIncarnation, left: Millis, now: Timestamp) {
         if left == Millis(0) {
             return;
         }
-        if let Some(entry) = self.entry_of(life) {
+        if let Some(entry) = self.entry_of(incarnation) {
             entry.warmth.chill(now + left);
             self.cold_until = self.cold_until.max(now + left);
         }
@@ -86,8 +86,8 @@
     pub(super) fn chill_from(&mut self, id: &WorkerId, from: Timestamp) {
         let Some(entry) = self.workers.get_mut(id) else { return };
         let Some(cold_start) = self.cold_starts.get(&entry.record.service) else { return };
-        entry.warmth.chill(from + cold_start.lasts);
-        self.cold_until = self.cold_until.max(from + cold_start.lasts);
+        entry.warmth.chill(from + cold_start.duration);
+        self.cold_until = self.cold_until.max(from + cold_start.duration);
     }
 
     /// The same of all workers in a zone.
@@ -100,7 +100,7 @@
     }
 
     /// Whether any worker may be cold.
-    pub fn has_cold(&self, now: Timestamp) -> bool {
+    pub fn has_cold_workers(&self, now: Timestamp) -> bool {
         now < self.cold_until
     }
 
@@ -114,22 +114,22 @@
     }
 
     /// Whether a request could go to a worker for which this node has no permit.
-    pub fn awaits_permit(&self, ask: &WorkerAsk<'_>, now: Timestamp) -> bool {
-        self.has_cold(now) && self.unpermitted(ask, now).next().is_some()
+    pub fn needs_permit(&self, ask: &WorkerQuery<'_>, now: Timestamp) -> bool {
+        self.has_cold_workers(now) && self.unpermitted(ask, now).next().is_some()
     }
 
     /// The workers for which permits are to be asked for: those of the zone first, drawn so that nodes ask for different
     /// ones.
-    pub fn wanted_permits(&self, ask: &WorkerAsk<'_>, now: Timestamp, random: &mut impl Rng) -> Vec<WorkerId> {
+    pub fn wanted_permits(&self, ask: &WorkerQuery<'_>, now: Timestamp, random: &mut impl Rng) -> Vec<WorkerId> {
         let in_zone = self.unpermitted(ask, now).filter(|entry| &*entry.record.zone == ask.zone);
-        let mut wanted = in_zone.choose_multiple(random, WANTED_PERMITS);
+        let mut wanted = in_zone.choose_multiple(random, MAX_WORKERS_PER_PERMIT_REQUEST);
         if wanted.is_empty() {
-            wanted = self.unpermitted(ask, now).choose_multiple(random, WANTED_PERMITS);
+            wanted = self.unpermitted(ask, now).choose_multiple(random, MAX_WORKERS_PER_PERMIT_REQUEST);
         }
         wanted.into_iter().map(|entry| entry.record.id.clone()).collect()
     }
 
-    fn unpermitted<'a>(&'a self, ask: &'a WorkerAsk<'_>, now: Timestamp) -> impl Iterator<Item = &'a WorkerEntry> {
+    fn unpermitted<'a>(&'a self, ask: &'a WorkerQuery<'_>, now: Timestamp) -> impl Iterator<Item = &'a WorkerEntry> {
         let is_cold = move |entry: &&WorkerEntry| !self.is_warm_or_permitted(entry, now);
         self.eligible(ask).filter(is_cold).filter(move |entry| entry.takes_requests(now) && !entry.is_ejected(now))
     }
@@ -145,8 +145,8 @@
     }
 
     /// A request leaves for a worker: it uses a permit, if the worker is cold.
-    pub(super) fn use_permit(&mut self, life: &WorkerLife) {
-        if let Some(entry) = self.entry_of(life) {
+    pub(super) fn use_permit(&mut self, incarnation: &WorkerIncarnation) {
+        if let Some(entry) = self.entry_of(incarnation) {
             entry.warmth.permits = entry.warmth.permits.saturating_sub(1);
         }
     }
--- a/crates/core/src/serving/workers/cost.rs
+++ b/crates/core/src/serving/workers/cost.rs
@@ -1,6 +1,6 @@
 //! What it costs to send a request to a worker: the estimated time to its first event, in milliseconds.
 
-use super::choice::WorkerAsk;
+use super::choice::WorkerQuery;
 use super::load_in_transit::CostSlope;
 use super::worker::WorkerEntry;
 use crate::time::{Millis, Timestamp};
@@ -27,7 +27,7 @@
 const AFFINITY_CACHED_SHARE: f64 = 0.6;
 
 /// The estimated time to the first event, in milliseconds, with what the way there costs.
-pub(super) fn estimate_cost(entry: &WorkerEntry, ask: &WorkerAsk<'_>, has_affinity: bool, now: Timestamp) -> f64 {
+pub(super) fn estimate_cost(entry: &WorkerEntry, ask: &WorkerQuery<'_>, has_affinity: bool, now: Timestamp) -> f64 {
     let cached = f64::from(entry.cache.cached_tokens(ask.prefix));
     let shared: u32 = ask.prefix.iter().rev().skip(1).map(|link| link.tokens).sum();
     let believed = if has_affinity { cached.max(f64::from(shared) * AFFINITY_CACHED_SHARE) } else { cached };
@@ -37,7 +37,7 @@
     } else {
         ZONE_MS + ask.body_bytes as f64 / 1_024.0 * ZONE_MS_PER_KILOBYTE
     };
-    unread * READ_MS_PER_TOKEN * entry.pace(now) + away + load_cost(entry, now)
+    unread * READ_MS_PER_TOKEN * entry.slowdown(now) + away + load_cost(entry, now)
 }
 
 /// The part of the cost that is the same for every request: load and slowness, in milliseconds.
@@ -49,7 +49,7 @@
     let measured = now.since(entry.measured_at).0.min(SLOWNESS_LIFETIME.0) as f64;
     let trust = 1.0 - measured / SLOWNESS_LIFETIME.0 as f64;
     let slow = (entry.slowness.value() - SLOW_ABOVE).max(0.0) * SLOW_MS * trust;
-    (busy + waiting) * entry.pace(now) + slow
+    (busy + waiting) * entry.slowdown(now) + slow
 }
 
 /// How the load's cost rises with further requests.
--- a/crates/core/src/serving/workers/health.rs
+++ b/crates/core/src/serving/workers/health.rs
@@ -6,7 +6,7 @@
 use super::choice::Choice;
 use super::service_times::ServiceTimes;
 use super::table::WorkerTable;
-use super::worker::{WorkerId, WorkerLife};
+use super::worker::{WorkerId, WorkerIncarnation};
 use crate::backoff::Backoff;
 use crate::moving_mean::MovingMean;
 use crate::serving::online::attempt::AttemptEnd;
@@ -50,16 +50,16 @@
 
 impl WorkerTable {
     /// A worker answered as it should. `took` is the time to its first event.
-    pub fn succeeded(&mut self, life: &WorkerLife, took: Millis, now: Timestamp) {
+    pub fn succeeded(&mut self, incarnation: &WorkerIncarnation, took: Millis, now: Timestamp) {
         let took = took.0 as f64;
         let ratio = took / self.mean_first.value().max(LEAST_MEAN_FIRST_MS);
         let slowness = ratio.clamp(LEAST_SLOWNESS, GREATEST_SLOWNESS);
-        self.mean_first.note(took);
-        if let Some(entry) = self.entry_of(life) {
+        self.mean_first.record(took);
+        if let Some(entry) = self.entry_of(incarnation) {
             entry.failures = 0;
             entry.ejected_until = None;
             entry.peer_ejection = None;
-            entry.slowness.note(slowness);
+            entry.slowness.record(slowness);
             entry.measured_at = now;
         }
     }
@@ -67,47 +67,47 @@
     /// The first event of a stream came after `took` from the worker that was chosen for it. It counts in the service's
     /// times only if the worker had a free slot, or it would include the time in the queue.
     pub fn first_event(&mut self, service: &str, choice: &Choice, took: Millis, now: Timestamp) {
-        self.succeeded(&choice.life(), took, now);
+        self.succeeded(&choice.incarnation(), took, now);
         if choice.load < choice.slots {
             self.service_times(service).note_first(took);
         }
     }
 
     /// The mean time to the first event over all workers, in milliseconds.
-    pub fn mean_first_event(&self) -> Millis {
+    pub fn mean_time_to_first_event(&self) -> Millis {
         Millis(self.mean_first.value() as u64)
     }
 
     /// An attempt at a worker ended without a whole answer: what that says of the worker is noted.
-    pub fn attempt_ended(&mut self, life: &WorkerLife, end: AttemptEnd, now: Timestamp) {
+    pub fn attempt_ended(&mut self, incarnation: &WorkerIncarnation, end: AttemptEnd, now: Timestamp) {
         match end {
-            AttemptEnd::NotRun { other_instance: false } => self.mark_full(life, now),
+            AttemptEnd::NotRun { other_instance: false } => self.mark_full(incarnation, now),
             AttemptEnd::NotRun { other_instance: true } => {
                 // Another worker has the address: this one is gone, whatever its record says, and no last resort.
-                if self.entry_of(life).is_some() {
-                    self.remove(&life.id, now, now);
+                if self.entry_of(incarnation).is_some() {
+                    self.remove(&incarnation.id, now, now);
                 }
             }
             AttemptEnd::NotConnected => {
-                self.failed(life, false, now);
+                self.failed(incarnation, false, now);
             }
             AttemptEnd::Failed { .. } | AttemptEnd::Broken | AttemptEnd::Silent => {
-                self.failed(life, true, now);
+                self.failed(incarnation, true, now);
             }
         }
     }
 
     /// A worker failed this node. Returns for how long it is ejected, in milliseconds: longer if it could not even be
     /// reached, since each try costs a request the whole time to connect. `None` if it is not known.
-    pub fn failed(&mut self, life: &WorkerLife, was_reached: bool, now: Timestamp) -> Option<Millis> {
-        let entry = self.entry_of(life)?;
+    pub fn failed(&mut self, incarnation: &WorkerIncarnation, was_reached: bool, now: Timestamp) -> Option<Millis> {
+        let entry = self.entry_of(incarnation)?;
         entry.failures += 1;
         let first = if was_reached { BASE_EJECTION } else { BASE_EJECTION_UNREACHABLE };
         let span = Backoff::new(first, MAX_EJECTION).wait(entry.failures - 1);
         entry.ejected_until = Some(now + span);
         if !was_reached {
             // It may start again before its record says so.
-            self.chill_from(&life.id, now + span);
+            self.chill_from(&incarnation.id, now + span);
         }
         Some(span)
     }
@@ -131,7 +131,7 @@
 
     /// How long the first event should take of a request that goes to the worker that was chosen for it, in
     /// milliseconds. `None` while too little is known.
-    pub fn expected_first(&self, service: &str, choice: &Choice) -> Option<Millis> {
-        self.times.get(service)?.expected_first(choice.place_in_queue, choice.slots)
+    pub fn expected_time_to_first_event(&self, service: &str, choice: &Choice) -> Option<Millis> {
+        self.times.get(service)?.expected_time_to_first_event(choice.queue_position, choice.slots)
     }
 }
--- a/crates/core/src/serving/workers/load_report.rs
+++ b/crates/core/src/serving/workers/load_report.rs
@@ -70,7 +70,7 @@
 
 impl LoadReport {
     /// Whether there are so many gateways that those of a zone report to an aggregator first.
-    pub fn is_by_zone(&self) -> bool {
+    pub fn uses_zone_aggregators(&self) -> bool {
         self.nodes >= CENTRAL_NODES
     }
 
--- a/crates/core/src/serving/workers/loads.rs
+++ b/crates/core/src/serving/workers/loads.rs
@@ -6,8 +6,8 @@
 
 use super::load_report::{LoadReport, WorkerCount, WorkerReport};
 use super::table::WorkerTable;
-use super::worker::{ReportedLoad, SharedLoad, WorkPace, WorkerEntry, WorkerId, WorkerLife, WorkerLoad};
-use crate::serving::request::PrefixLink;
+use super::worker::{ReportedLoad, SharedLoad, Slowdown, WorkerEntry, WorkerId, WorkerIncarnation, WorkerLoad};
+use crate::serving::request::PrefixBlock;
 use crate::time::{Millis, Timestamp};
 
 /// The time that reports take to the aggregator and from there, in milliseconds.
@@ -30,32 +30,38 @@
 
 impl WorkerTable {
     /// A request leaves for a worker.
-    pub fn started(&mut self, life: &WorkerLife, prefix: &[PrefixLink], memory_tokens: u64, now: Timestamp) {
-        if let Some(entry) = self.entry_of(life) {
+    pub fn started(
+        &mut self,
+        incarnation: &WorkerIncarnation,
+        prefix: &[PrefixBlock],
+        memory_tokens: u64,
+        now: Timestamp,
+    ) {
+        if let Some(entry) = self.entry_of(incarnation) {
             entry.in_flight += 1;
             entry.cache.note(prefix, memory_tokens, now);
             self.placed += 1;
-            self.use_permit(life);
+            self.use_permit(incarnation);
         }
     }
 
     /// A request at a worker ended, however it did.
-    pub fn ended(&mut self, life: &WorkerLife) {
-        if let Some(entry) = self.entry_of(life) {
+    pub fn ended(&mut self, incarnation: &WorkerIncarnation) {
+        if let Some(entry) = self.entry_of(incarnation) {
             entry.in_flight = entry.in_flight.saturating_sub(1);
         }
     }
 
     /// A batch item leaves for a worker.
-    pub fn batch_started(&mut self, life: &WorkerLife) {
-        if let Some(entry) = self.entry_of(life) {
+    pub fn batch_started(&mut self, incarnation: &WorkerIncarnation) {
+        if let Some(entry) = self.entry_of(incarnation) {
             entry.batch_in_flight += 1;
         }
     }
 
     /// A batch item at a worker ended.
-    pub fn batch_ended(&mut self, life: &WorkerLife) {
-        if let Some(entry) = self.entry_of(life) {
+    pub fn batch_ended(&mut self, incarnation: &WorkerIncarnation) {
+        if let Some(entry) = self.entry_of(incarnation) {
             entry.batch_in_flight = entry.batch_in_flight.saturating_sub(1);
         }
     }
@@ -66,23 +72,23 @@
     }
 
     /// A worker reported its load.
-    pub fn reported(&mut self, life: &WorkerLife, load: WorkerLoad, now: Timestamp) {
-        if let Some(entry) = self.entry_of(life) {
+    pub fn reported(&mut self, incarnation: &WorkerIncarnation, load: WorkerLoad, now: Timestamp) {
+        if let Some(entry) = self.entry_of(incarnation) {
             entry.report = Some(ReportedLoad { load, in_flight_then: entry.in_flight, at: now });
         }
     }
 
     /// A worker had no room: it is believed to be full until it reports again.
-    pub fn mark_full(&mut self, life: &WorkerLife, now: Timestamp) {
-        if let Some(entry) = self.entry_of(life) {
+    pub fn mark_full(&mut self, incarnation: &WorkerIncarnation, now: Timestamp) {
+        if let Some(entry) = self.entry_of(incarnation) {
             let slots = entry.record.slots;
-            let load = WorkerLoad { running: slots, waiting: slots / SLOTS_PER_WAITING, pace: WorkPace::default() };
+            let load = WorkerLoad { running: slots, waiting: slots / SLOTS_PER_WAITING, slowdown: Slowdown::default() };
             entry.report = Some(ReportedLoad { load, in_flight_then: entry.in_flight, at: now });
         }
     }
 
     /// What this node reports of each worker.
-    pub fn own_report(&self, now: Timestamp) -> Vec<WorkerReport> {
+    pub fn local_report(&self, now: Timestamp) -> Vec<WorkerReport> {
         let report_of = |entry: &WorkerEntry| {
             let report = entry.report.filter(|report| now.since(report.at) < SELF_REPORT_AGE);
             let self_reported = report.map(|report| report.corrected(entry.in_flight));
@@ -113,7 +119,7 @@
     }
 
     /// Requests of this node at each worker, those without any left out.
-    pub fn own_loads(&self) -> Vec<WorkerCount> {
+    pub fn local_loads(&self) -> Vec<WorkerCount> {
         let busy = self.active_entries().filter(|entry| entry.in_flight > 0);
         busy.map(|entry| WorkerCount { worker: entry.record.id.clone(), requests: entry.in_flight }).collect()
     }
@@ -129,7 +135,7 @@
     }
 
     /// Workers where requests wait while batch items run there, and how many of those must go.
-    pub fn overfull(&self, now: Timestamp) -> Vec<WorkerCount> {
+    pub fn excess_batch_items(&self, now: Timestamp) -> Vec<WorkerCount> {
         let excess = |entry: &WorkerEntry| {
             let waiting = entry.estimated_load(now).saturating_sub(entry.record.slots);
             let over = waiting.min(entry.batch_in_flight);
--- a/crates/core/src/serving/workers/mod.rs
+++ b/crates/core/src/serving/workers/mod.rs
@@ -37,7 +37,7 @@
 pub mod table;
 pub mod worker;
 
-pub use choice::{Choice, WorkerAsk};
+pub use choice::{Choice, WorkerQuery};
 pub use load_report::{LoadReport, WorkerCount, WorkerReport};
 pub use table::{WorkerChange, WorkerTable};
-pub use worker::{Standing, WorkPace, WorkerId, WorkerLife, WorkerLoad, WorkerRecord};
+pub use worker::{Availability, Slowdown, WorkerId, WorkerIncarnation, WorkerLoad, WorkerRecord};
--- a/crates/core/src/serving/workers/permit_grants.rs
+++ b/crates/core/src/serving/workers/permit_grants.rs
@@ -35,7 +35,7 @@
 
 impl PermitGrants {
     /// Begins anew: this node has become the leader.
-    pub fn open(&mut self, now: Timestamp) {
+    pub fn reset(&mut self, now: Timestamp) {
         *self = Self { opened_at: now, workers: BTreeMap::new() };
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// Forgets workers that nobody asks for.
-    pub fn forget_unused(&mut self, now: Timestamp) {
+    pub fn evict_unused(&mut self, now: Timestamp) {
         self.workers.retain(|_, worker| now.since(worker.asked_at) < REMEMBERED_FOR);
     }
 
--- a/crates/core/src/serving/workers/prefix_cache.rs
+++ b/crates/core/src/serving/workers/prefix_cache.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::serving::request::PrefixLink;
+use crate::serving::request::PrefixBlock;
 use crate::time::Timestamp;
 
 /// The share of a worker's memory that cached parts are believed to take, in percent.
@@ -27,12 +27,12 @@
 
 impl PrefixCache {
     /// Tokens of a prompt that need not be read again: those of the links that are cached without a gap.
-    pub fn cached_tokens(&self, prefix: &[PrefixLink]) -> u32 {
+    pub fn cached_tokens(&self, prefix: &[PrefixBlock]) -> u32 {
         prefix.iter().take_while(|link| self.links.contains_key(&link.chain)).map(|link| link.tokens).sum()
     }
 
     /// Notes that a prompt was read by the worker. `memory_tokens` is the worker's memory, 0 if not known.
-    pub fn note(&mut self, prefix: &[PrefixLink], memory_tokens: u64, now: Timestamp) {
+    pub fn note(&mut self, prefix: &[PrefixBlock], memory_tokens: u64, now: Timestamp) {
         for link in prefix {
             let fresh = CachedLink { tokens: link.tokens, used_at: now };
             if self.links.insert(link.chain, fresh).is_none() {
--- a/crates/core/src/serving/workers/table.rs
+++ b/crates/core/src/serving/workers/table.rs
@@ -11,7 +11,7 @@
 use super::health::initial_mean_first;
 use super::loads::PeerRate;
 use super::service_times::ServiceTimes;
-use super::worker::{Presence, WorkerEntry, WorkerId, WorkerLife, WorkerRecord};
+use super::worker::{Presence, WorkerEntry, WorkerId, WorkerIncarnation, WorkerRecord};
 use crate::moving_mean::MovingMean;
 use crate::serving::regions::RegionMap;
 use crate::time::{Millis, Timestamp};
@@ -74,15 +74,15 @@
 
 impl WorkerTable {
     /// A table of workers in the zones of `regions`.
-    pub fn in_regions(regions: RegionMap) -> Self {
+    pub fn with_regions(regions: RegionMap) -> Self {
         Self { regions, ..Self::default() }
     }
 
     /// Takes a worker's record that was read now; see [`WorkerTable::upsert`]. It tells for how long the worker is cold.
-    pub fn take_record(&mut self, record: WorkerRecord, now: Timestamp) -> Option<WorkerChange> {
-        let (life, cold_left) = (record.life(), record.cold_left);
+    pub fn apply_record(&mut self, record: WorkerRecord, now: Timestamp) -> Option<WorkerChange> {
+        let (incarnation, cold_remaining) = (record.incarnation(), record.cold_remaining);
         let change = self.upsert(record);
-        self.reported_cold(&life, cold_left, now);
+        self.mark_cold(&incarnation, cold_remaining, now);
         change
     }
 
@@ -90,10 +90,10 @@
     /// drops all that was believed of the one before; one of an earlier life is stale.
     pub fn upsert(&mut self, record: WorkerRecord) -> Option<WorkerChange> {
         let id = record.id.clone();
-        let known = self.workers.get(&id).and_then(|entry| entry.record.born);
-        match known.zip(record.born) {
-            Some((known, born)) if born < known => return None,
-            Some((known, born)) if born > known => {
+        let known = self.workers.get(&id).and_then(|entry| entry.record.started_at);
+        match known.zip(record.started_at) {
+            Some((known, started_at)) if started_at < known => return None,
+            Some((known, started_at)) if started_at > known => {
                 self.workers.remove(&id);
             }
             _ => {}
@@ -110,8 +110,8 @@
             // A record may vanish while the store is down and be written again by the same worker.
             (Presence::Gone { .. } | Presence::Missing { .. } | Presence::Ready, false) => Presence::Ready,
         };
-        let born = record.born.or(entry.record.born);
-        entry.record = WorkerRecord { born, ..record };
+        let started_at = record.started_at.or(entry.record.started_at);
+        entry.record = WorkerRecord { started_at, ..record };
         match (was, entry.presence) {
             (Presence::Draining | Presence::Left { .. }, _) => None,
             (_, Presence::Draining) => Some(WorkerChange::Draining(id)),
@@ -140,7 +140,7 @@
 
     /// A worker's record was missing when the store was reached again. The worker serves on until `until`, by when those
     /// that live have written theirs again.
-    pub fn miss(&mut self, id: &WorkerId, until: Timestamp, now: Timestamp) -> Option<WorkerChange> {
+    pub fn mark_missing(&mut self, id: &WorkerId, until: Timestamp, now: Timestamp) -> Option<WorkerChange> {
         let entry = self.workers.get_mut(id)?;
         match entry.presence {
             Presence::Ready => {
@@ -156,7 +156,7 @@
     }
 
     /// Forgets workers that are gone for long.
-    pub fn forget_gone(&mut self, now: Timestamp) {
+    pub fn evict_departed(&mut self, now: Timestamp) {
         self.workers.retain(|_, entry| match entry.presence {
             Presence::Left { since } | Presence::Gone { since, .. } | Presence::Missing { until: since } => {
                 now.since(since) < GONE_REMEMBERED || entry.in_flight > 0
@@ -175,9 +175,10 @@
     }
 
     /// What is believed of a worker, if this life of it is the one that is known. It counts as active from then on.
-    pub(super) fn entry_of(&mut self, life: &WorkerLife) -> Option<&mut WorkerEntry> {
-        let entry = self.workers.get_mut(&life.id).filter(|entry| entry.record.life().may_be(life))?;
-        self.active.add(&life.id);
+    pub(super) fn entry_of(&mut self, incarnation: &WorkerIncarnation) -> Option<&mut WorkerEntry> {
+        let entry =
+            self.workers.get_mut(&incarnation.id).filter(|entry| entry.record.incarnation().may_be(incarnation))?;
+        self.active.add(&incarnation.id);
         Some(entry)
     }
 
--- a/crates/core/src/serving/workers/worker.rs
+++ b/crates/core/src/serving/workers/worker.rs
@@ -20,7 +20,7 @@
 /// The aggregated load of the other nodes is believed for this long, in milliseconds.
 pub(super) const SHARED_LIFETIME: Millis = Millis(1_200);
 
-/// Names a worker. It may start again under the same id; see [`WorkerLife`].
+/// Names a worker. It may start again under the same id; see [`WorkerIncarnation`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkerId(pub Arc<str>);
 
@@ -33,17 +33,17 @@
 /// One life of a worker, from its start to its end. After another start under the same id it holds nothing of before, so
 /// what is learned of one life says nothing of the next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WorkerLife {
+pub struct WorkerIncarnation {
     /// The worker.
     pub id: WorkerId,
     /// When this life began; `None` if the worker does not say, as where it never starts again under its id.
-    pub born: Option<UnixMillis>,
+    pub started_at: Option<UnixMillis>,
 }
 
-impl WorkerLife {
+impl WorkerIncarnation {
     /// Whether two lives can be the same. One that is not dated may be any of its worker's.
     pub fn may_be(&self, other: &Self) -> bool {
-        let is_same_start = self.born.zip(other.born).is_none_or(|(own, other)| own == other);
+        let is_same_start = self.started_at.zip(other.started_at).is_none_or(|(own, other)| own == other);
         self.id == other.id && is_same_start
     }
 }
@@ -64,15 +64,15 @@
     /// It takes no new requests.
     pub draining: bool,
     /// When this life of the worker began, if it says so.
-    pub born: Option<UnixMillis>,
+    pub started_at: Option<UnixMillis>,
     /// For how long it is cold, counted from when the record was written.
-    pub cold_left: Millis,
+    pub cold_remaining: Millis,
 }
 
 impl WorkerRecord {
     /// The life that the record is of.
-    pub fn life(&self) -> WorkerLife {
-        WorkerLife { id: self.id.clone(), born: self.born }
+    pub fn incarnation(&self) -> WorkerIncarnation {
+        WorkerIncarnation { id: self.id.clone(), started_at: self.started_at }
     }
 }
 
@@ -84,20 +84,20 @@
     /// Requests that wait.
     pub waiting: u32,
     /// How long work takes there.
-    pub pace: WorkPace,
+    pub slowdown: Slowdown,
 }
 
 /// How long work takes at a worker, in percent of the usual: its machine may be shared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WorkPace(pub u32);
+pub struct Slowdown(pub u32);
 
-impl Default for WorkPace {
+impl Default for Slowdown {
     fn default() -> Self {
         Self(100)
     }
 }
 
-impl WorkPace {
+impl Slowdown {
     /// The factor by which work takes longer than usual.
     pub fn factor(self) -> f64 {
         f64::from(self.0) / 100.0
@@ -106,7 +106,7 @@
 
 /// On what ground a worker is sent a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Availability {
     /// Its record says that it takes requests.
     Ready,
     /// Its record is missing and may be written again.
@@ -115,7 +115,7 @@
     LastResort,
 }
 
-impl Standing {
+impl Availability {
     /// Its name in the log.
     pub fn name(self) -> &'static str {
         match self {
@@ -224,11 +224,11 @@
     }
 
     /// On what ground it would be sent a request.
-    pub(super) fn standing(&self) -> Standing {
+    pub(super) fn availability(&self) -> Availability {
         match self.presence {
-            Presence::Ready => Standing::Ready,
-            Presence::Missing { .. } => Standing::Missing,
-            Presence::Draining | Presence::Left { .. } | Presence::Gone { .. } => Standing::LastResort,
+            Presence::Ready => Availability::Ready,
+            Presence::Missing { .. } => Availability::Missing,
+            Presence::Draining | Presence::Left { .. } | Presence::Gone { .. } => Availability::LastResort,
         }
     }
 
@@ -245,13 +245,13 @@
     }
 
     /// The factor by which work takes longer there than usual, as far as it was reported a moment ago.
-    pub(super) fn pace(&self, now: Timestamp) -> f64 {
+    pub(super) fn slowdown(&self, now: Timestamp) -> f64 {
         let fresh = self.report.filter(|report| now.since(report.at) < PACE_LIFETIME);
-        fresh.map_or(1.0, |report| report.load.pace.factor())
+        fresh.map_or(1.0, |report| report.load.slowdown.factor())
     }
 
     /// Of a request more, the place in the queue for a slot, 0 if one is free. Batch items make room.
-    pub(super) fn place_in_queue(&self, now: Timestamp) -> u32 {
+    pub(super) fn queue_position(&self, now: Timestamp) -> u32 {
         let batch = self.shared_load(now).map_or(0, |shared| shared.batch);
         let online = self.estimated_load(now).saturating_sub(batch);
         (online + 1).saturating_sub(self.record.slots)
--- a/crates/core/tests/attempts_and_events.rs
+++ b/crates/core/tests/attempts_and_events.rs
@@ -9,7 +9,7 @@
 };
 use stallmoor_core::serving::online::RETRY_LIMITS;
 use stallmoor_core::serving::online::attempt::{AttemptEnd, AttemptLedger};
-use stallmoor_core::serving::online::event_stream::{EventSplitter, WholeEvent};
+use stallmoor_core::serving::online::event_stream::{EventSplitter, ServerSentEvent};
 use stallmoor_core::serving::regions::AllowedRegions;
 use stallmoor_core::time::Millis;
 
@@ -56,19 +56,19 @@
     ledger.note(AttemptEnd::NotRun { other_instance: false });
     ledger.note(AttemptEnd::NotConnected);
     assert!(ledger.certainly_not_run());
-    assert!(ledger.may_try_again(stream, 1), "attempts that did not run don't count as runs");
+    assert!(ledger.may_retry(stream, 1), "attempts that did not run don't count as runs");
     ledger.note(AttemptEnd::Broken);
     assert!(!ledger.certainly_not_run());
-    assert!(!ledger.may_try_again(stream, 5), "at most once");
-    assert!(ledger.may_try_again(RouteKind::Repeatable, 2));
-    assert!(!ledger.may_try_again(RouteKind::Repeatable, 1), "no more workers than allowed");
+    assert!(!ledger.may_retry(stream, 5), "at most once");
+    assert!(ledger.may_retry(RouteKind::Repeatable, 2));
+    assert!(!ledger.may_retry(RouteKind::Repeatable, 1), "no more workers than allowed");
 }
 
 #[test]
 fn attempts_that_never_run_come_to_an_end() {
     let mut ledger = AttemptLedger::default();
     let mut attempts = 0;
-    while ledger.may_try_again(RouteKind::Repeatable, 2) {
+    while ledger.may_retry(RouteKind::Repeatable, 2) {
         ledger.note(AttemptEnd::NotRun { other_instance: false });
         attempts += 1;
         assert!(attempts < 20);
@@ -107,7 +107,7 @@
         }
         bytes.extend_from_slice(tail.as_bytes());
         let mut splitter = EventSplitter::default();
-        let mut whole: Vec<WholeEvent> = Vec::new();
+        let mut whole: Vec<ServerSentEvent> = Vec::new();
         let mut rest = &bytes[..];
         for cut in cuts.iter().cycle() {
             if rest.is_empty() {
--- a/crates/core/tests/cold_start_simulation.rs
+++ b/crates/core/tests/cold_start_simulation.rs
@@ -11,12 +11,12 @@
 use stallmoor_core::serving::regions::AllowedRegions;
 use stallmoor_core::serving::workers::cold_start::{ColdStart, PERMIT_INTERVAL, PERMIT_LIFETIME};
 use stallmoor_core::serving::workers::permit_grants::PermitGrants;
-use stallmoor_core::serving::workers::{WorkerAsk, WorkerCount, WorkerId, WorkerRecord, WorkerTable};
+use stallmoor_core::serving::workers::{WorkerCount, WorkerId, WorkerQuery, WorkerRecord, WorkerTable};
 use stallmoor_core::time::{Millis, Timestamp};
 
 const SERVICE: &str = "service";
 const STEP: Millis = Millis(5);
-const COLD_START: ColdStart = ColdStart { per_s: MilliRequests(23_000), lasts: Millis(3_000) };
+const COLD_START: ColdStart = ColdStart { per_s: MilliRequests(23_000), duration: Millis(3_000) };
 /// What the operators allow in one second: one and a half times what a cold worker bears, and five.
 const MOST_IN_A_SECOND: usize = 39;
 
@@ -32,8 +32,8 @@
         zone: Arc::from(zone),
         slots: 8,
         draining: false,
-        born: None,
-        cold_left: Millis(0),
+        started_at: None,
+        cold_remaining: Millis(0),
     }
 }
 
@@ -100,8 +100,8 @@
         let zone: Arc<str> = Arc::from("back");
         table.set_evacuated(&zone, true, at(0));
         for place in 0..self.play.workers {
-            table.take_record(record(place, "back"), at(0));
-            table.take_record(record(place, "full"), at(0));
+            table.apply_record(record(place, "back"), at(0));
+            table.apply_record(record(place, "full"), at(0));
         }
         table.set_evacuated(&zone, false, at(0));
         Gateway { table, wanted: Vec::new(), may_ask_at: at(0), answers: VecDeque::new() }
@@ -137,7 +137,7 @@
             .map(|place| WorkerCount { worker: record(place, "full").id, requests: 12 })
             .collect();
         gateway.table.set_shared_loads(&full, now);
-        let ask = WorkerAsk {
+        let ask = WorkerQuery {
             service: SERVICE,
             zone: "back",
             prefix: &[],
@@ -146,12 +146,12 @@
             tried: &[],
             regions: &AllowedRegions::Any,
         };
-        if gateway.table.has_cold(now) {
+        if gateway.table.has_cold_workers(now) {
             gateway.wanted = gateway.table.wanted_permits(&ask, now, &mut self.random);
         }
         let choice = gateway.table.choose(&ask, now, &mut self.random).expect("there are workers that are warm");
-        gateway.table.started(&choice.life(), &[], 0, now);
-        gateway.table.ended(&choice.life());
+        gateway.table.started(&choice.incarnation(), &[], 0, now);
+        gateway.table.ended(&choice.incarnation());
         if choice.id.0.starts_with("back") {
             self.arrivals.entry(choice.id).or_default().push(now);
         }
@@ -167,7 +167,7 @@
             _ => false,
         };
         if self.play.new_leader_at.is_some_and(|millis| now >= at(millis) && now < at(millis) + STEP) {
-            self.leader.open(now);
+            self.leader.reset(now);
         }
         let gateway = &mut self.gateways[place];
         let wanted = std::mem::take(&mut gateway.wanted);
--- a/crates/core/tests/crash_ledger.rs
+++ b/crates/core/tests/crash_ledger.rs
@@ -7,7 +7,7 @@
 use stallmoor_core::serving::crashes::{
     CrashLedger, CrashReport, MOST_CRASHES, RequestContent, RequestDigest, RequestKeys,
 };
-use stallmoor_core::serving::request::{PromptPart, RequestFacts, chain_prefix};
+use stallmoor_core::serving::request::{PromptPart, RequestFacts, hash_prefix};
 use stallmoor_core::serving::workers::WorkerId;
 use stallmoor_core::time::{Millis, UnixMillis};
 
@@ -249,7 +249,7 @@
 fn a_request_is_named_by_its_body_and_by_its_prompt() {
     let facts = |model: &str, prompt_tokens| {
         let parts = [PromptPart { id: Arc::from("aa"), tokens: 60 }];
-        RequestFacts { prefix: chain_prefix(model, &parts), prompt_tokens, ..RequestFacts::default() }
+        RequestFacts { prefix: hash_prefix(model, &parts), prompt_tokens, ..RequestFacts::default() }
     };
     let (prompt, other_model, longer) = (facts("m", 60), facts("n", 60), facts("m", 70));
     let unnamed = RequestFacts::default();
@@ -285,7 +285,7 @@
 #[test]
 fn a_run_of_a_request_with_the_same_prompt_clears_the_prompt_and_not_the_body() {
     let parts = [PromptPart { id: Arc::from("aa"), tokens: 60 }];
-    let facts = RequestFacts { prefix: chain_prefix("m", &parts), prompt_tokens: 90, ..RequestFacts::default() };
+    let facts = RequestFacts { prefix: hash_prefix("m", &parts), prompt_tokens: 90, ..RequestFacts::default() };
     let content = |body| RequestContent {
         identity: &CallerIdentity::Unchecked,
         method: "POST",
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -10,12 +10,12 @@
 use stallmoor_core::serving::regions::{AllowedRegions, RegionMap, RegionName};
 use stallmoor_core::serving::workers::cold_start::ColdStart;
 use stallmoor_core::serving::workers::{
-    WorkPace, WorkerAsk, WorkerCount, WorkerId, WorkerLoad, WorkerRecord, WorkerTable,
+    Slowdown, WorkerCount, WorkerId, WorkerLoad, WorkerQuery, WorkerRecord, WorkerTable,
 };
 use stallmoor_core::time::{Millis, Timestamp};
 
 const SERVICE: &str = "service";
-const COLD_START: ColdStart = ColdStart { per_s: MilliRequests(20_000), lasts: Millis(3_000) };
+const COLD_START: ColdStart = ColdStart { per_s: MilliRequests(20_000), duration: Millis(3_000) };
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(1_000_000 + millis)
@@ -37,8 +37,8 @@
         zone: Arc::from(zone),
         slots: 8,
         draining: false,
-        born: None,
-        cold_left: Millis(0),
+        started_at: None,
+        cold_remaining: Millis(0),
     }
 }
 
@@ -46,8 +46,8 @@
     WorkerId(Arc::from(name))
 }
 
-fn ask<'a>(tried: &'a [WorkerId], regions: &'a AllowedRegions) -> WorkerAsk<'a> {
-    WorkerAsk { service: SERVICE, zone: "a", prefix: &[], prompt_tokens: 0, body_bytes: 1_000, tried, regions }
+fn ask<'a>(tried: &'a [WorkerId], regions: &'a AllowedRegions) -> WorkerQuery<'a> {
+    WorkerQuery { service: SERVICE, zone: "a", prefix: &[], prompt_tokens: 0, body_bytes: 1_000, tried, regions }
 }
 
 fn chosen(table: &WorkerTable, millis: u64) -> Option<WorkerId> {
@@ -61,8 +61,8 @@
 fn two_zones() -> WorkerTable {
     let mut table = WorkerTable::default();
     table.set_cold_starts([(Arc::from(SERVICE), COLD_START)].into());
-    table.take_record(worker("near", "a"), at(0));
-    table.take_record(worker("far", "b"), at(0));
+    table.apply_record(worker("near", "a"), at(0));
+    table.apply_record(worker("far", "b"), at(0));
     table
 }
 
@@ -103,7 +103,7 @@
 fn workers_that_appear_in_an_evacuated_zone_get_nothing() {
     let mut table = two_zones();
     table.set_evacuated(&zone("a"), true, at(0));
-    table.take_record(worker("later", "a"), at(1));
+    table.apply_record(worker("later", "a"), at(1));
     assert_eq!(chosen(&table, 2), Some(id("far")));
 }
 
@@ -118,8 +118,8 @@
     table.add_permits(&[WorkerCount { worker: id("near"), requests: 1 }], at(5_400));
     let choice = table.choose(&ask_any, at(5_010), &mut random()).expect("there is a permit");
     assert_eq!(choice.id, id("near"));
-    table.started(&choice.life(), &[], 0, at(5_010));
-    table.ended(&choice.life());
+    table.started(&choice.incarnation(), &[], 0, at(5_010));
+    table.ended(&choice.incarnation());
     assert_eq!(chosen(&table, 5_020), Some(id("far")), "the permit is used");
     table.add_permits(&[WorkerCount { worker: id("near"), requests: 1 }], at(5_400));
     assert_eq!(chosen(&table, 5_400), Some(id("far")), "the permit has lapsed");
@@ -129,17 +129,17 @@
 #[test]
 fn a_cold_worker_is_told_by_its_record_its_answers_and_its_absence() {
     let mut table = two_zones();
-    table.take_record(WorkerRecord { cold_left: Millis(2_000), ..worker("near", "a") }, at(0));
+    table.apply_record(WorkerRecord { cold_remaining: Millis(2_000), ..worker("near", "a") }, at(0));
     assert_eq!(chosen(&table, 1_999), Some(id("far")));
     assert_eq!(chosen(&table, 2_000), Some(id("near")));
-    table.reported_cold(&worker("near", "a").life(), Millis(500), at(2_000));
+    table.mark_cold(&worker("near", "a").incarnation(), Millis(500), at(2_000));
     assert_eq!(chosen(&table, 2_499), Some(id("far")));
     assert_eq!(chosen(&table, 2_500), Some(id("near")));
-    let ejected = table.failed(&worker("near", "a").life(), false, at(3_000)).expect("it is known");
+    let ejected = table.failed(&worker("near", "a").incarnation(), false, at(3_000)).expect("it is known");
     let back = 3_000 + ejected.0;
     assert_eq!(chosen(&table, back + 1), Some(id("far")), "it may have started again");
     assert_eq!(chosen(&table, back + 3_000), Some(id("near")));
-    table.attempt_ended(&worker("near", "a").life(), AttemptEnd::Broken, at(10_000));
+    table.attempt_ended(&worker("near", "a").incarnation(), AttemptEnd::Broken, at(10_000));
     assert_eq!(chosen(&table, 11_000), Some(id("near")), "a worker that answers has not started again");
 }
 
@@ -147,7 +147,7 @@
 fn workers_of_a_service_without_a_cold_start_need_no_permits() {
     let mut table = two_zones();
     table.set_cold_starts(Default::default());
-    table.take_record(WorkerRecord { cold_left: Millis(2_000), ..worker("near", "a") }, at(0));
+    table.apply_record(WorkerRecord { cold_remaining: Millis(2_000), ..worker("near", "a") }, at(0));
     assert_eq!(chosen(&table, 1), Some(id("near")));
 }
 
@@ -156,7 +156,7 @@
     let regions = RegionMap::new(
         [("a", "north"), ("b", "south")].map(|(zone, region)| (Arc::from(zone), RegionName::new(region))),
     );
-    let mut table = WorkerTable::in_regions(regions);
+    let mut table = WorkerTable::with_regions(regions);
     table.upsert(worker("near", "a"));
     table.upsert(worker("far", "b"));
     table.upsert(worker("elsewhere", "c"));
@@ -180,9 +180,9 @@
     let mut table = WorkerTable::default();
     table.upsert(worker("near", "a"));
     table.upsert(worker("other", "a"));
-    let reported = |pace| WorkerLoad { running: 2, waiting: 0, pace: WorkPace(pace) };
-    table.reported(&worker("near", "a").life(), reported(400), at(0));
-    table.reported(&worker("other", "a").life(), reported(100), at(0));
+    let reported = |slowdown| WorkerLoad { running: 2, waiting: 0, slowdown: Slowdown(slowdown) };
+    table.reported(&worker("near", "a").incarnation(), reported(400), at(0));
+    table.reported(&worker("other", "a").incarnation(), reported(100), at(0));
     for _ in 0..20 {
         assert_eq!(chosen(&table, 10), Some(id("other")));
     }
--- a/crates/core/tests/fleet_growth.rs
+++ b/crates/core/tests/fleet_growth.rs
@@ -10,7 +10,7 @@
 use stallmoor_core::identity::{GroupId, NodeId};
 use stallmoor_core::replication::{LogIndex, PersistedReplica, Replica, ReplicaSettings};
 use stallmoor_core::serving::jobs::directory::{StorageDirectory, StorageRecord};
-use stallmoor_core::serving::jobs::members::{Members, spare_rank};
+use stallmoor_core::serving::jobs::members::{MembershipPlanner, spare_rank};
 use stallmoor_core::serving::regions::AllowedRegions;
 use stallmoor_core::serving::relay::bounds::WatchBounds;
 use stallmoor_core::serving::relay::choice::rank_aggregators;
@@ -20,7 +20,7 @@
 use stallmoor_core::serving::relay::policy::{ViewState, WatchPolicy, WatchStep};
 use stallmoor_core::serving::relay::tiers::{RelayTier, plan_relays};
 use stallmoor_core::serving::workers::{
-    WorkPace, WorkerAsk, WorkerCount, WorkerId, WorkerLoad, WorkerRecord, WorkerTable,
+    Slowdown, WorkerCount, WorkerId, WorkerLoad, WorkerQuery, WorkerRecord, WorkerTable,
 };
 use stallmoor_core::time::{Millis, Timestamp};
 
@@ -150,8 +150,8 @@
         let persisted = PersistedReplica::default();
         let replica = Replica::new(GroupId(0), storage_id(place), ReplicaSettings::default(), persisted, at(0), 1);
         assert_eq!(replica.log().last_index(), LogIndex(0));
-        let mut members = Members::new(storage_id(place), 2, at(0));
-        (0..20_000).step_by(40).filter(|millis| members.take_join_turn(&replica, rank, at(*millis))).count()
+        let mut members = MembershipPlanner::new(storage_id(place), 2, at(0));
+        (0..20_000).step_by(40).filter(|millis| members.poll_join(&replica, rank, at(*millis))).count()
     };
     // Each of them is one question and one message to the leader.
     (0..size.storage).map(joins).sum::<usize>() / 20
@@ -172,8 +172,8 @@
         zone: zone(place),
         slots: 8,
         draining: false,
-        born: None,
-        cold_left: Millis(0),
+        started_at: None,
+        cold_remaining: Millis(0),
     }
 }
 
@@ -292,8 +292,8 @@
         for (node, zone) in gateways.chain(storage) {
             let mut policy = WatchPolicy::new(bounds);
             let view = ViewState { now: at(0), at: None, age: None, asked_at: None };
-            assert_eq!(policy.next(view, &[]), WatchStep::SeekRelays, "first it looks who can tell");
-            policy.relays_sought(at(0));
+            assert_eq!(policy.next(view, &[]), WatchStep::DiscoverRelays, "first it looks who can tell");
+            policy.relays_discovered(at(0));
             let plan = plan_relays(&directory, &zone, node);
             policy.set_tier(plan.tier);
             match policy.next(view, &plan.relays) {
@@ -305,7 +305,7 @@
             if plan.tier != RelayTier::Root {
                 plan.relays.iter().take(3).for_each(|relay| policy.first_view_failed(*relay, at(10)));
                 let view = ViewState { now: at(10), ..view };
-                assert!(matches!(policy.next(view, &plan.relays), WatchStep::Rest(_)));
+                assert!(matches!(policy.next(view, &plan.relays), WatchStep::Wait(_)));
                 let view = ViewState { now: at(200), ..view };
                 assert!(matches!(policy.next(view, &plan.relays), WatchStep::AskRelay { .. }));
                 let view = ViewState { now: at(6_000), ..view };
@@ -321,11 +321,11 @@
     let bounds = WatchBounds { change: Millis(2_000), contact: Millis(3_000), heartbeat: Millis(1_200) };
     let mut policy = WatchPolicy::new(bounds);
     let view = |millis| ViewState { now: at(millis), at: None, age: None, asked_at: None };
-    policy.relays_sought(at(0));
-    assert!(matches!(policy.next(view(0), &[]), WatchStep::Rest(_)));
-    assert_eq!(policy.next(view(125), &[]), WatchStep::SeekRelays);
-    policy.relays_sought(at(125));
-    assert!(matches!(policy.next(view(126), &[]), WatchStep::Rest(_)));
+    policy.relays_discovered(at(0));
+    assert!(matches!(policy.next(view(0), &[]), WatchStep::Wait(_)));
+    assert_eq!(policy.next(view(125), &[]), WatchStep::DiscoverRelays);
+    policy.relays_discovered(at(125));
+    assert!(matches!(policy.next(view(126), &[]), WatchStep::Wait(_)));
     assert_eq!(policy.next(view(500), &[]), WatchStep::ListStore);
 }
 
@@ -337,16 +337,16 @@
         table.upsert(worker(place));
     }
     for place in 0..in_use {
-        let life = worker(place).life();
-        table.started(&life, &[], 0, at(0));
-        table.reported(&life, WorkerLoad { running: 1, waiting: 0, pace: WorkPace::default() }, at(0));
+        let incarnation = worker(place).incarnation();
+        table.started(&incarnation, &[], 0, at(0));
+        table.reported(&incarnation, WorkerLoad { running: 1, waiting: 0, slowdown: Slowdown::default() }, at(0));
     }
     let elsewhere = (0..in_use).map(|place| WorkerCount { worker: worker(in_use + place).id, requests: 2 });
     let elsewhere: Vec<_> = elsewhere.collect();
     for millis in [40, 80, 120] {
         table.set_shared_loads(&elsewhere, at(millis));
-        assert_eq!(table.own_loads().len(), in_use);
-        assert_eq!(table.own_report(at(millis)).len(), in_use);
+        assert_eq!(table.local_loads().len(), in_use);
+        assert_eq!(table.local_report(at(millis)).len(), in_use);
     }
     table.active_count()
 }
@@ -362,14 +362,14 @@
     let mut table = WorkerTable::default();
     for place in 0..SMALL.workers {
         table.upsert(worker(place));
-        table.started(&worker(place).life(), &[], 0, at(0));
-        table.ended(&worker(place).life());
+        table.started(&worker(place).incarnation(), &[], 0, at(0));
+        table.ended(&worker(place).incarnation());
     }
     table.set_shared_loads(&[WorkerCount { worker: worker(7).id, requests: 1 }], at(100));
     assert_eq!(table.active_count(), 1);
     table.set_shared_loads(&[], at(200));
     assert_eq!(table.active_count(), 0);
-    assert!(table.own_report(at(300)).is_empty());
+    assert!(table.local_report(at(300)).is_empty());
 }
 
 #[test]
@@ -387,7 +387,7 @@
             .collect();
         table.set_shared_loads(&full, at(0));
         let mut random = CountedDraws { source: Xoshiro256PlusPlus::seed_from_u64(3), draws: 0 };
-        let ask = WorkerAsk {
+        let ask = WorkerQuery {
             service: "service",
             zone: "zone-0",
             prefix: &[],
--- a/crates/core/tests/item_rules.rs
+++ b/crates/core/tests/item_rules.rs
@@ -15,9 +15,9 @@
 use stallmoor_core::serving::jobs::dispatch::{
     Dispatcher, ItemPacing, RunEnd, RunningItem, StartDecision, decide_start, max_attempts,
 };
-use stallmoor_core::serving::jobs::held_reads::{HeldRead, HeldReads, ReadAnswer};
-use stallmoor_core::serving::jobs::members::Members;
+use stallmoor_core::serving::jobs::members::MembershipPlanner;
 use stallmoor_core::serving::jobs::node::{JobsEffect, JobsNode, Waiter};
+use stallmoor_core::serving::jobs::pending_reads::{PendingRead, PendingReads, ReadAnswer};
 use stallmoor_core::serving::jobs::request::JobsAnswer;
 use stallmoor_core::serving::jobs::retention::Retention;
 use stallmoor_core::serving::jobs::table::JobTable;
@@ -175,26 +175,26 @@
 
 #[test]
 fn what_a_worker_answers_decides_whether_an_item_failed_or_never_can_be_done() {
-    assert_eq!(RunEnd::of_status(200), None);
-    assert_eq!(RunEnd::of_status(299), None);
-    assert_eq!(RunEnd::of_status(422), Some(RunEnd::Impossible));
+    assert_eq!(RunEnd::from_status(200), None);
+    assert_eq!(RunEnd::from_status(299), None);
+    assert_eq!(RunEnd::from_status(422), Some(RunEnd::Impossible));
     for status in [199, 300, 400, 429, 500, 503] {
-        assert_eq!(RunEnd::of_status(status), Some(RunEnd::Failed));
+        assert_eq!(RunEnd::from_status(status), Some(RunEnd::Failed));
     }
-    assert_eq!(RunEnd::of_attempt(AttemptEnd::NotConnected), RunEnd::NotRun);
-    assert_eq!(RunEnd::of_attempt(AttemptEnd::NotRun { other_instance: true }), RunEnd::NotRun);
+    assert_eq!(RunEnd::from_attempt(AttemptEnd::NotConnected), RunEnd::NotRun);
+    assert_eq!(RunEnd::from_attempt(AttemptEnd::NotRun { other_instance: true }), RunEnd::NotRun);
     for end in [AttemptEnd::Failed { status: 500 }, AttemptEnd::Broken, AttemptEnd::Silent] {
-        assert_eq!(RunEnd::of_attempt(end), RunEnd::BrokenOff);
+        assert_eq!(RunEnd::from_attempt(end), RunEnd::BrokenOff);
     }
 }
 
 #[test]
 fn events_follow_one_another_repeated_ones_are_skipped_and_a_gap_breaks_the_stream() {
     let mut output = PartialOutput { text: "one".to_owned(), last_event: Some(1) };
-    assert!(output.follow("again", Some(1)));
-    assert!(output.follow("two", Some(2)));
-    assert!(!output.follow("four", Some(4)));
-    assert!(output.follow("three", None), "an event without an id follows");
+    assert!(output.append_event("again", Some(1)));
+    assert!(output.append_event("two", Some(2)));
+    assert!(!output.append_event("four", Some(4)));
+    assert!(output.append_event("three", None), "an event without an id follows");
     assert_eq!(output, PartialOutput { text: "one\ntwo\nthree".to_owned(), last_event: Some(2) });
 }
 
@@ -202,13 +202,13 @@
 fn items_rest_for_15_ms_without_room_and_progress_is_due_each_second() {
     let mut pacing = ItemPacing::new(at(0));
     assert!(pacing.may_start(at(0)));
-    pacing.found_no_room(at(100));
+    pacing.record_no_capacity(at(100));
     assert!(!pacing.may_start(at(114)));
     assert!(pacing.may_start(at(115)));
-    assert!(!pacing.take_progress_turn(at(999)));
-    assert!(pacing.take_progress_turn(at(1_000)));
-    assert!(!pacing.take_progress_turn(at(1_999)));
-    assert!(pacing.take_progress_turn(at(2_000)));
+    assert!(!pacing.poll_progress(at(999)));
+    assert!(pacing.poll_progress(at(1_000)));
+    assert!(!pacing.poll_progress(at(1_999)));
+    assert!(pacing.poll_progress(at(2_000)));
 }
 
 #[test]
@@ -233,9 +233,9 @@
     assert_eq!(chosen(9), [3, 2, 0]);
 }
 
-fn read(waiter: u64, name: &str, first: u32, deadline: u64) -> HeldRead {
+fn read(waiter: u64, name: &str, first: u32, deadline: u64) -> PendingRead {
     let caller = CallerIdentity::Unchecked;
-    HeldRead { waiter: Waiter(waiter), job: key(name), first, caller, deadline: at(deadline) }
+    PendingRead { waiter: Waiter(waiter), job: key(name), first, caller, deadline: at(deadline) }
 }
 
 fn waiters(answers: &[ReadAnswer]) -> Vec<u64> {
@@ -245,7 +245,7 @@
 #[test]
 fn a_read_waits_for_a_result_for_the_end_of_its_job_or_for_its_deadline() {
     let mut table = table_of(submission("j", 3));
-    let mut reads = HeldReads::default();
+    let mut reads = PendingReads::default();
     reads.push(read(1, "j", 0, 500));
     reads.push(read(2, "j", 1, 500));
     reads.push(read(3, "nothing", 0, 500));
@@ -268,7 +268,7 @@
 #[test]
 fn a_replica_that_may_not_answer_refuses_all_reads_in_their_order() {
     let table = table_of(submission("j", 3));
-    let mut reads = HeldReads::default();
+    let mut reads = PendingReads::default();
     reads.push(read(7, "j", 0, 500));
     reads.push(read(5, "nothing", 0, 500));
     let refused = |waiter| ReadAnswer { waiter: Waiter(waiter), answer: None };
@@ -279,15 +279,15 @@
 #[test]
 fn a_job_is_forgotten_a_minute_after_its_results_need_not_be_kept() {
     let mut retention = Retention::new(Millis(100_000), at(0));
-    assert_eq!(retention.take_round(at(14_999), UnixMillis(260_001)), None);
-    let round = retention.take_round(at(15_000), UnixMillis(260_000)).expect("it is due");
+    assert_eq!(retention.poll_forget(at(14_999), UnixMillis(260_001)), None);
+    let round = retention.poll_forget(at(15_000), UnixMillis(260_000)).expect("it is due");
     assert_eq!(round, JobCommand::Forget { before: UnixMillis(100_000) });
-    assert_eq!(retention.take_round(at(15_001), UnixMillis(260_001)), None);
+    assert_eq!(retention.poll_forget(at(15_001), UnixMillis(260_001)), None);
     let mut table = table_of(submission("j", 1));
     table.apply(finish("j", 0));
     table.apply(round);
     assert!(table.job(&key("j")).is_some(), "it was received at that very time");
-    let round = retention.take_round(at(30_000), UnixMillis(260_001)).expect("it is due");
+    let round = retention.poll_forget(at(30_000), UnixMillis(260_001)).expect("it is due");
     table.apply(round);
     assert!(table.job(&key("j")).is_none());
 }
@@ -296,7 +296,7 @@
 fn leading(now: Timestamp) -> JobsNode {
     let settings = ReplicaSettings::default();
     let mut node = JobsNode::new(NodeId(1), settings, PersistedReplica::default(), now, 7).expect("an empty disk");
-    node.found(GroupMembership::of_voters(BTreeSet::from([NodeId(1)])), now);
+    node.bootstrap(GroupMembership::of_voters(BTreeSet::from([NodeId(1)])), now);
     for tick in 1..=200 {
         for effect in node.tick(now + Millis(20 * tick)) {
             if let JobsEffect::ApplyUpTo(index) = effect {
@@ -322,12 +322,12 @@
 
 #[test]
 fn a_node_outside_the_membership_asks_to_join_every_400_ms() {
-    let mut members = Members::new(NodeId(3), 1, at(0));
+    let mut members = MembershipPlanner::new(NodeId(3), 1, at(0));
     let outside: Replica = {
         let settings = ReplicaSettings::default();
         let group = stallmoor_core::identity::GroupId(0);
         Replica::new(group, NodeId(3), settings, PersistedReplica::default(), at(0), 7)
     };
-    let asked: Vec<u64> = (0..1_000).filter(|millis| members.take_join_turn(&outside, 0, at(*millis))).collect();
+    let asked: Vec<u64> = (0..1_000).filter(|millis| members.poll_join(&outside, 0, at(*millis))).collect();
     assert_eq!(asked, [400, 800]);
 }
--- a/crates/core/tests/jobs_node.rs
+++ b/crates/core/tests/jobs_node.rs
@@ -31,7 +31,7 @@
         let now = Timestamp::from_millis(100_000);
         let settings = ReplicaSettings::default();
         let mut node = JobsNode::new(SELF, settings, PersistedReplica::default(), now, 7).expect("an empty disk");
-        let effects = node.found(GroupMembership::of_voters(BTreeSet::from([SELF])), now);
+        let effects = node.bootstrap(GroupMembership::of_voters(BTreeSet::from([SELF])), now);
         let mut harness = Self { node, now, effects };
         while !harness.node.may_answer(harness.now) {
             harness.now = harness.now + Millis(20);
@@ -139,7 +139,7 @@
     let now = Timestamp::from_millis(100_000);
     let settings = ReplicaSettings::default();
     let mut node = JobsNode::new(SELF, settings, PersistedReplica::default(), now, 7).expect("an empty disk");
-    let effects = node.found(GroupMembership::of_voters(BTreeSet::from([SELF, OTHER])), now);
+    let effects = node.bootstrap(GroupMembership::of_voters(BTreeSet::from([SELF, OTHER])), now);
     let mut harness = Harness { node, now, effects };
     for _ in 0..200 {
         let messages: Vec<ReplicationMessage> = harness.sent();
--- a/crates/core/tests/jobs_rules.rs
+++ b/crates/core/tests/jobs_rules.rs
@@ -78,8 +78,8 @@
     let texts: Vec<&str> = job.results.iter().map(|result| &*result.text).collect();
     assert_eq!(texts, ["first", "zero"]);
     assert_eq!(table.open_tokens(&queue()), 100);
-    assert!(job.open_item_named("j-1").is_none(), "a listed item has no body");
-    assert!(job.open_item_named("j-2").is_some());
+    assert!(job.open_item_by_id("j-1").is_none(), "a listed item has no body");
+    assert!(job.open_item_by_id("j-2").is_some());
 }
 
 #[test]
@@ -314,13 +314,13 @@
     share.record_report(NodeId(1), first, at(0));
     share.record_report(NodeId(2), second, at(500));
     let batch = [count("v", 2)];
-    let heard = share.without(NodeId(1), &batch, at(500));
+    let heard = share.report_for(NodeId(1), &batch, at(500));
     let with_items = WorkerReport { batch: 2, ..news("v", 3, Some(1)) };
     assert_eq!(heard.workers, vec![with_items, news("w", 4, Some(9))]);
     assert_eq!(heard.placed_per_s, 30, "the asker knows its own");
     assert_eq!(heard.reporters, 2);
-    assert_eq!(share.online(at(500)), vec![count("v", 1), count("w", 7)]);
-    assert_eq!(share.online(at(1_200)), vec![count("v", 1), count("w", 4)]);
+    assert_eq!(share.online_requests(at(500)), vec![count("v", 1), count("w", 7)]);
+    assert_eq!(share.online_requests(at(1_200)), vec![count("v", 1), count("w", 4)]);
 }
 
 #[test]
@@ -337,12 +337,12 @@
         LoadReport { workers: vec![news], ..LoadReport::default() }
     };
     share.record_report(NodeId(1), failing(None), at(0));
-    assert_eq!(share.dead(at(0)), vec![]);
+    assert_eq!(share.failed_workers(at(0)), vec![]);
     share.record_report(NodeId(2), failing(None), at(10));
-    assert_eq!(share.dead(at(10)), vec![WorkerId(Arc::from("w"))]);
-    assert_eq!(share.without(NodeId(3), &[], at(10)).workers[0].ejected_by, 2);
+    assert_eq!(share.failed_workers(at(10)), vec![WorkerId(Arc::from("w"))]);
+    assert_eq!(share.report_for(NodeId(3), &[], at(10)).workers[0].ejected_by, 2);
     share.record_report(NodeId(2), failing(Some(1)), at(20));
-    assert_eq!(share.dead(at(20)), vec![]);
+    assert_eq!(share.failed_workers(at(20)), vec![]);
 }
 
 /// What one node of the oracle told, and when.
@@ -376,7 +376,7 @@
             let news = LoadReport { workers: loads.iter().map(named).collect(), placed_per_s: node as u32, ..LoadReport::default() };
             share.record_report(NodeId(node), news.clone(), at(now));
             oracle.insert(node, Tale { news, at: now });
-            let heard = share.without(NodeId(node), &[], at(now));
+            let heard = share.report_for(NodeId(node), &[], at(now));
             let sum = |least_age: u64, worker: &WorkerId| -> u32 {
                 let others = oracle.iter().filter(|(other, tale)| **other != node && now - tale.at < least_age);
                 others.flat_map(|(_, tale)| &tale.news.workers).filter(|news| news.worker == *worker).map(|news| news.requests).sum()
--- a/crates/core/tests/jobs_simulation.rs
+++ b/crates/core/tests/jobs_simulation.rs
@@ -1,5 +1,5 @@
 //! Storing nodes on a virtual clock: power losses, lost disks, emptied machines and cuts, against an
-//! oracle of what was acknowledged. The decision code is the one that runs: [`JobsNode`], [`Members`].
+//! oracle of what was acknowledged. The decision code is the one that runs: [`JobsNode`], [`MembershipPlanner`].
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     ItemKey, ItemState, JobCommand, JobItem, JobKey, LoggedOutput, Submission,
 };
 use stallmoor_core::serving::jobs::directory::{StorageDirectory, StorageRecord};
-use stallmoor_core::serving::jobs::members::{DrainState, Members, MembersAction};
+use stallmoor_core::serving::jobs::members::{DrainState, MembershipAction, MembershipPlanner};
 use stallmoor_core::serving::jobs::node::{JobsChange, JobsEffect, JobsNode, Waiter};
 use stallmoor_core::serving::jobs::pair::{PairRecord, StoredPair};
 use stallmoor_core::serving::jobs::request::JobsAnswer;
@@ -41,7 +41,7 @@
 
 struct Process {
     node: JobsNode,
-    members: Members,
+    members: MembershipPlanner,
     queue: VecDeque<JobsEffect>,
     syncing: Option<(u64, stallmoor_core::replication::LogWrite)>,
     greeted_at: u64,
@@ -141,7 +141,7 @@
             let machine = world.machines.get_mut(name).expect("it was added");
             if founders.contains(&machine.id) {
                 let process = machine.process.as_mut().expect("it was started");
-                let effects = process.node.found(GroupMembership::of_voters(founders.clone()), now);
+                let effects = process.node.bootstrap(GroupMembership::of_voters(founders.clone()), now);
                 process.queue.extend(effects);
             }
         }
@@ -181,7 +181,7 @@
         let machine = self.machines.get_mut(name).expect("it exists");
         let settings = ReplicaSettings::default();
         let node = JobsNode::new(machine.id, settings, machine.disk.clone(), now, seed).expect("it can be read");
-        let members = Members::new(machine.id, self.tolerated, now);
+        let members = MembershipPlanner::new(machine.id, self.tolerated, now);
         machine.process = Some(Process { node, members, queue: VecDeque::new(), syncing: None, greeted_at: 0 });
         machine.starts_at = None;
         let record = StorageRecord {
@@ -282,7 +282,7 @@
             self.greetings.push_back((self.now + 2, machine.id));
         }
         if store_is_up && !is_cut {
-            process.members.pair_read(self.store.pair.clone());
+            process.members.apply_pair_record(self.store.pair.clone());
             for emptied in &self.emptied {
                 process.members.drain(emptied.clone());
             }
@@ -292,17 +292,17 @@
         let mut changes = Vec::new();
         for action in actions {
             match action {
-                MembersAction::Change(change) => process.queue.extend(process.node.change_membership(change, now)),
-                MembersAction::HandOver(target) => {
+                MembershipAction::Change(change) => process.queue.extend(process.node.change_membership(change, now)),
+                MembershipAction::TransferLeadership(target) => {
                     process.queue.extend(process.node.transfer_leadership(target, now));
                 }
-                MembersAction::GoOnAlone => process.queue.extend(process.node.continue_alone(now)),
-                MembersAction::WritePair { record, revision } => {
+                MembershipAction::ContinueAlone => process.queue.extend(process.node.become_sole_voter(now)),
+                MembershipAction::WritePair { record, revision } => {
                     let reachable = store_is_up && !is_cut;
                     let read = reachable.then(|| write_pair(&mut self.store, record, revision));
-                    process.members.pair_written(read);
+                    process.members.finish_pair_write(read);
                 }
-                MembersAction::ReportDrain { machine, state } => {
+                MembershipAction::ReportDrain { machine, state } => {
                     if state == DrainState::Completed {
                         self.store.completed.insert(machine);
                     }
--- a/crates/core/tests/leader_rules.rs
+++ b/crates/core/tests/leader_rules.rs
@@ -12,7 +12,7 @@
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
 use stallmoor_core::serving::leader::load_schedule::{LoadPartner, LoadSchedule, PlacementRate};
 use stallmoor_core::serving::leader::search::{
-    LeaderSearch, NoLeader, SearchStep, SearchVerdict, TryOutcome, is_expected,
+    LeaderSearch, NoLeader, SearchDecision, SearchStep, TryOutcome, is_expected,
 };
 use stallmoor_core::serving::quota::message::{QuotaLevels, QuotaReport};
 use stallmoor_core::serving::relay::choice::rank_aggregators;
@@ -48,7 +48,7 @@
 
 fn asked(step: SearchStep) -> (NodeId, Millis) {
     match step {
-        SearchStep::Ask { target, timeout } => (target.node, timeout),
+        SearchStep::Send { target, timeout } => (target.node, timeout),
         other => panic!("no node is asked: {other:?}"),
     }
 }
@@ -66,7 +66,7 @@
         let (node, _) = asked(search.next(None, &storage, ZONE, at(0)));
         order.push(node.0);
         let verdict = search.tried(node, TryOutcome::NotSent);
-        assert_eq!(verdict, SearchVerdict::Retry { leader: None, wait: Millis(10) });
+        assert_eq!(verdict, SearchDecision::Retry { leader: None, wait: Millis(10) });
     }
     assert_eq!(order, [2, 4, 1, 3, 2]);
 }
@@ -85,7 +85,7 @@
     let founders = [NodeId(7), NodeId(50), NodeId(99)];
     storage.set_founders(founders.into());
     // Another search has gone on for long.
-    let mut search = LeaderSearch::new(&load_request(), at(60_000)).after_tries(41);
+    let mut search = LeaderSearch::new(&load_request(), at(60_000)).with_previous_tries(41);
     let mut asked_founders = std::collections::BTreeSet::new();
     let mut asked_all = std::collections::BTreeSet::new();
     for round in 0..2 * storage.len() {
@@ -106,12 +106,12 @@
     let mut search = LeaderSearch::new(&load_request(), at(60_000));
     assert_eq!(asked(search.next(Some(NodeId(3)), &storage, ZONE, at(0))).0, NodeId(3));
     let verdict = search.tried(NodeId(3), not_leader(Some(NodeId(1))));
-    assert_eq!(verdict, SearchVerdict::Retry { leader: Some(NodeId(1)), wait: Millis(0) });
+    assert_eq!(verdict, SearchDecision::Retry { leader: Some(NodeId(1)), wait: Millis(0) });
     let verdict = search.tried(NodeId(1), not_leader(Some(NodeId(1))));
-    assert_eq!(verdict, SearchVerdict::Retry { leader: None, wait: Millis(60) }, "a node can't point to itself");
+    assert_eq!(verdict, SearchDecision::Retry { leader: None, wait: Millis(60) }, "a node can't point to itself");
     assert_eq!(
         search.tried(NodeId(1), TryOutcome::Refused(GroupRefusal::Busy)),
-        SearchVerdict::Retry { leader: None, wait: Millis(60) },
+        SearchDecision::Retry { leader: None, wait: Millis(60) },
     );
     // A leader without a record is as good as none.
     assert_eq!(asked(search.next(Some(NodeId(77)), &storage, ZONE, at(0))).0, NodeId(4));
@@ -138,7 +138,7 @@
     let mut search = LeaderSearch::new(&load_request(), at(250));
     let nobody = StorageDirectory::default();
     assert_eq!(search.next(None, &nobody, ZONE, at(0)), SearchStep::Wait(Millis(60)));
-    let given_up = SearchStep::GiveUp(NoLeader { may_have_arrived: false });
+    let given_up = SearchStep::TimedOut(NoLeader { may_have_arrived: false });
     assert_eq!(search.next(None, &nobody, ZONE, at(250)), given_up);
 }
 
@@ -146,14 +146,14 @@
 fn a_refusal_says_nothing_of_an_earlier_try_that_may_have_arrived() {
     let refusal = || TryOutcome::Answered(JobsAnswer::NoRoom);
     let mut search = LeaderSearch::new(&load_request(), at(1_000));
-    assert_eq!(search.tried(NodeId(1), refusal()), SearchVerdict::Done(JobsAnswer::NoRoom));
+    assert_eq!(search.tried(NodeId(1), refusal()), SearchDecision::Done(JobsAnswer::NoRoom));
     for unsure in [TryOutcome::NoAnswer, TryOutcome::Answered(JobsAnswer::Indeterminate)] {
         let mut search = LeaderSearch::new(&load_request(), at(1_000));
-        assert!(matches!(search.tried(NodeId(1), unsure), SearchVerdict::Retry { leader: None, .. }));
-        assert_eq!(search.tried(NodeId(2), refusal()), SearchVerdict::Done(JobsAnswer::Indeterminate));
+        assert!(matches!(search.tried(NodeId(1), unsure), SearchDecision::Retry { leader: None, .. }));
+        assert_eq!(search.tried(NodeId(2), refusal()), SearchDecision::Done(JobsAnswer::Indeterminate));
         let accepted = TryOutcome::Answered(JobsAnswer::Accepted);
-        assert_eq!(search.tried(NodeId(2), accepted), SearchVerdict::Done(JobsAnswer::Accepted));
-        let given_up = SearchStep::GiveUp(NoLeader { may_have_arrived: true });
+        assert_eq!(search.tried(NodeId(2), accepted), SearchDecision::Done(JobsAnswer::Accepted));
+        let given_up = SearchStep::TimedOut(NoLeader { may_have_arrived: true });
         assert_eq!(search.next(None, &storage(), ZONE, at(1_000)), given_up);
     }
 }
@@ -238,9 +238,9 @@
 #[test]
 fn a_planned_stop_takes_connections_for_a_while_and_ends_before_the_grace() {
     let stop = GatewayStop::within(Millis(8_000));
-    assert_eq!(stop, GatewayStop { leaving: Millis(2_600), ends_after: Millis(7_600) });
+    assert_eq!(stop, GatewayStop { drain_period: Millis(2_600), ends_after: Millis(7_600) });
     let short = GatewayStop::within(Millis(3_000));
-    assert_eq!(short, GatewayStop { leaving: Millis(1_300), ends_after: Millis(2_600) });
+    assert_eq!(short, GatewayStop { drain_period: Millis(1_300), ends_after: Millis(2_600) });
     let none = GatewayStop::within(Millis(100));
-    assert_eq!(none, GatewayStop { leaving: Millis(0), ends_after: Millis(0) });
+    assert_eq!(none, GatewayStop { drain_period: Millis(0), ends_after: Millis(0) });
 }
--- a/crates/core/tests/load_gathering.rs
+++ b/crates/core/tests/load_gathering.rs
@@ -85,12 +85,12 @@
             let zone = node % ZONES;
             let share = if zone == 0 { &mut self.leader } else { &mut self.gatherers[zone] };
             share.record_report(gateway(node), told, now);
-            self.heard[node] = share.without(gateway(node), &[], now);
+            self.heard[node] = share.report_for(gateway(node), &[], now);
         }
         for zone in 1..ZONES {
-            let Some(sums) = self.gatherers[zone].for_leader(now) else { continue };
+            let Some(sums) = self.gatherers[zone].zone_report(now) else { continue };
             self.leader.record_report(gatherer(zone), sums, now);
-            let rest = self.leader.without(gatherer(zone), &[], now);
+            let rest = self.leader.report_for(gatherer(zone), &[], now);
             self.gatherers[zone].apply_leader_report(rest, now);
         }
     }
@@ -158,18 +158,18 @@
     let news = LoadReport { placed_per_s: 10, ..LoadReport::default() };
     let (mut gatherer_share, mut leader) = (LoadAggregator::default(), LoadAggregator::default());
     gatherer_share.record_report(gateway(1), news.clone(), at(0));
-    let sums = gatherer_share.for_leader(at(30)).expect("a gateway told it");
+    let sums = gatherer_share.zone_report(at(30)).expect("a gateway told it");
     assert_eq!(sums.age, Millis(30));
     leader.record_report(gatherer(1), sums, at(30));
-    assert_eq!(leader.without(gateway(2), &[], at(50)).age, Millis(50));
+    assert_eq!(leader.report_for(gateway(2), &[], at(50)).age, Millis(50));
     // One that tells just now, and places as much, halves it.
     leader.record_report(gateway(3), news, at(50));
-    assert_eq!(leader.without(gateway(2), &[], at(50)).age, Millis(25));
+    assert_eq!(leader.report_for(gateway(2), &[], at(50)).age, Millis(25));
 }
 
 #[test]
 fn a_gatherer_without_gateways_tells_nothing() {
     let mut share = LoadAggregator::default();
     share.apply_leader_report(LoadReport { placed_per_s: 5, ..LoadReport::default() }, at(0));
-    assert_eq!(share.for_leader(at(1)), None);
+    assert_eq!(share.zone_report(at(1)), None);
 }
--- a/crates/core/tests/moving_mean.rs
+++ b/crates/core/tests/moving_mean.rs
@@ -1,6 +1,6 @@
 //! Moving means, against the formulas that they stand for.
 
-use stallmoor_core::moving_mean::{LearnedMean, MovingMean};
+use stallmoor_core::moving_mean::{MovingMean, RunningMean};
 
 const SAMPLES: [f64; 8] = [20.0, 35.5, 7.25, 480.0, 33.3, 0.0, 61.7, 28.1];
 
@@ -10,7 +10,7 @@
         let mut mean = MovingMean::starting_at(value, weight);
         let mut expected: f64 = value;
         for sample in SAMPLES.iter().cycle().take(200) {
-            mean.note(*sample);
+            mean.record(*sample);
             expected = expected * rest + sample * weight;
             assert_eq!(mean.value().to_bits(), expected.to_bits());
         }
@@ -19,17 +19,17 @@
 
 #[test]
 fn a_learned_mean_is_unknown_then_that_of_all_samples_then_of_the_latest() {
-    let mut mean = LearnedMean::unknown(0.25);
+    let mut mean = RunningMean::empty(0.25);
     assert_eq!(mean.value(), None);
-    mean.note(10.0);
+    mean.record(10.0);
     assert_eq!(mean.value(), Some(10.0));
-    mean.note(20.0);
+    mean.record(20.0);
     assert_eq!(mean.value(), Some(15.0));
-    mean.note(30.0);
+    mean.record(30.0);
     assert!((mean.value().expect("there are samples") - 20.0).abs() < 1e-9);
     for _ in 0..100 {
-        mean.note(50.0);
+        mean.record(50.0);
     }
-    mean.note(10.0);
+    mean.record(10.0);
     assert!((mean.value().expect("there are samples") - 40.0).abs() < 1e-6, "a quarter of the way to the last");
 }
--- a/crates/core/tests/online_request.rs
+++ b/crates/core/tests/online_request.rs
@@ -11,15 +11,15 @@
 use stallmoor_core::serving::configuration::{CallerBounds, GatewayConfiguration, Route, RouteKind, RouteTarget};
 use stallmoor_core::serving::online::RETRY_LIMITS;
 use stallmoor_core::serving::online::admission::{RequestAddress, admit, admit_job_call};
-use stallmoor_core::serving::online::attempt::{AnswerMarks, AttemptEnd};
-use stallmoor_core::serving::online::event_stream::WholeEvent;
-use stallmoor_core::serving::online::request_state::{GiveUp, RequestState, ResumeRounds};
+use stallmoor_core::serving::online::attempt::{AnswerMetadata, AttemptEnd};
+use stallmoor_core::serving::online::event_stream::ServerSentEvent;
+use stallmoor_core::serving::online::request_state::{RefusalReason, RequestState, ResumeRounds};
 use stallmoor_core::serving::online::stream_progress::{StreamProgress, TakenEvents};
 use stallmoor_core::serving::online::timeouts::AwaitedEvent;
 use stallmoor_core::serving::regions::AllowedRegions;
 use stallmoor_core::serving::request::RequestFacts;
 use stallmoor_core::serving::workers::connection_limit::connection_limit;
-use stallmoor_core::serving::workers::{Choice, Standing, WorkerId};
+use stallmoor_core::serving::workers::{Availability, Choice, WorkerId};
 use stallmoor_core::time::{Millis, Timestamp};
 
 const RESUMABLE: RouteKind = RouteKind::Stream { resumable: true };
@@ -68,17 +68,17 @@
     RequestState::new(Arc::new(route), facts, at(0))
 }
 
-fn choice(place_in_queue: u32) -> Choice {
+fn choice(queue_position: u32) -> Choice {
     Choice {
         id: id("one"),
-        born: None,
+        started_at: None,
         address: SocketAddr::from(([10, 0, 0, 1], 80)),
-        load: 8 + place_in_queue,
+        load: 8 + queue_position,
         slots: 8,
-        place_in_queue,
+        queue_position,
         cached_tokens: 0,
         candidates: 1,
-        standing: Standing::Ready,
+        availability: Availability::Ready,
     }
 }
 
@@ -94,8 +94,8 @@
     budget
 }
 
-fn event(id: Option<u64>, text: &str) -> WholeEvent {
-    WholeEvent { bytes: text.as_bytes().to_vec(), id }
+fn event(id: Option<u64>, text: &str) -> ServerSentEvent {
+    ServerSentEvent { bytes: text.as_bytes().to_vec(), id }
 }
 
 fn whole(bytes: &str) -> TakenEvents {
@@ -147,10 +147,10 @@
 fn the_only_worker_gets_all_the_time_there_is() {
     let (budget, now) = (full_budget(), at(1_000));
     let mut state = state(RESUMABLE);
-    state.chosen_among(2);
-    assert_eq!(state.event_timeout(&budget, AwaitedEvent::Further, now), Millis(150));
-    state.chosen_among(1);
-    assert_eq!(state.event_timeout(&budget, AwaitedEvent::Further, now), Millis(4_000));
+    state.set_candidate_count(2);
+    assert_eq!(state.event_timeout(&budget, AwaitedEvent::Next, now), Millis(150));
+    state.set_candidate_count(1);
+    assert_eq!(state.event_timeout(&budget, AwaitedEvent::Next, now), Millis(4_000));
     assert_eq!(state.head_timeout(&budget, Millis(10), now), Millis(4_000));
 }
 
@@ -161,23 +161,23 @@
     assert_eq!(state(RouteKind::AtMostOnce).head_timeout(&budget, Millis(10), now), all);
     assert_eq!(state(RouteKind::Stream { resumable: false }).head_timeout(&budget, Millis(10), now), all);
     assert_eq!(state(RESUMABLE).head_timeout(&empty_budget(), Millis(10), now), all);
-    assert_eq!(state(RESUMABLE).event_timeout(&empty_budget(), AwaitedEvent::Further, now), all);
+    assert_eq!(state(RESUMABLE).event_timeout(&empty_budget(), AwaitedEvent::Next, now), all);
     let mut last = state(RESUMABLE);
     last.attempt_ended(&id("one"), AttemptEnd::Broken, &mut full_budget());
     assert_eq!(last.head_timeout(&budget, Millis(10), now), all, "the last of two attempts");
-    assert_eq!(last.event_timeout(&budget, AwaitedEvent::Further, now), all);
+    assert_eq!(last.event_timeout(&budget, AwaitedEvent::Next, now), all);
 }
 
 #[test]
 fn an_event_is_awaited_for_a_share_of_the_longest_pause_and_the_first_from_its_sending_on() {
     let budget = full_budget();
     let state = state(RESUMABLE);
-    assert_eq!(state.event_timeout(&budget, AwaitedEvent::Further, at(0)), Millis(150));
-    assert_eq!(state.event_timeout(&budget, AwaitedEvent::Further, at(4_900)), Millis(100));
+    assert_eq!(state.event_timeout(&budget, AwaitedEvent::Next, at(0)), Millis(150));
+    assert_eq!(state.event_timeout(&budget, AwaitedEvent::Next, at(4_900)), Millis(100));
     assert_eq!(state.event_timeout(&budget, first(at(0), 10), at(50)), Millis(150));
     assert_eq!(state.event_timeout(&budget, first(at(0), 10), at(199)), Millis(20), "a head that came late");
     let without = state_of(Route { gap_target: None, ..route(RESUMABLE) }, &RequestFacts::default());
-    assert_eq!(without.event_timeout(&budget, AwaitedEvent::Further, at(0)), Millis(5_000));
+    assert_eq!(without.event_timeout(&budget, AwaitedEvent::Next, at(0)), Millis(5_000));
 }
 
 #[test]
@@ -237,7 +237,7 @@
 
 #[test]
 fn an_answer_with_a_server_error_is_tried_elsewhere_where_the_request_may_run_again() {
-    let failed = |kind, status| state(kind).failure_of(status);
+    let failed = |kind, status| state(kind).server_failure(status);
     assert_eq!(failed(RESUMABLE, 500), Some(AttemptEnd::Failed { status: 500 }));
     assert_eq!(failed(RESUMABLE, 599), Some(AttemptEnd::Failed { status: 599 }));
     assert_eq!(failed(RESUMABLE, 499), None);
@@ -248,15 +248,15 @@
 fn a_refusal_says_what_is_known_of_the_request() {
     let mut state = state(RouteKind::AtMostOnce);
     state.attempt_ended(&id("one"), NOT_RUN, &mut full_budget());
-    let unrun = state.refusal(GiveUp::LastAttempt(NOT_RUN));
+    let unrun = state.refusal(RefusalReason::LastAttempt(NOT_RUN));
     assert_eq!((unrun.kind, unrun.ran, unrun.retry_after_ms), (ErrorKind::Overloaded, Ran::NotRun, Some(150)));
     assert_eq!(unrun.detail, "the last attempt ended as NotRun { other_instance: false }");
-    assert_eq!(state.refusal(GiveUp::NoWorker).kind, ErrorKind::NoEngine);
+    assert_eq!(state.refusal(RefusalReason::NoWorker).kind, ErrorKind::NoEngine);
     state.attempt_ended(&id("two"), AttemptEnd::Silent, &mut full_budget());
-    let perhaps = state.refusal(GiveUp::LastAttempt(AttemptEnd::Silent));
+    let perhaps = state.refusal(RefusalReason::LastAttempt(AttemptEnd::Silent));
     assert_eq!((perhaps.kind, perhaps.ran), (ErrorKind::EngineLost, Ran::Unknown));
-    assert_eq!(state.refusal(GiveUp::NoWorker).kind, ErrorKind::EngineLost);
-    assert_eq!(state.refusal(GiveUp::NoTime).kind, ErrorKind::DeadlineExceeded);
+    assert_eq!(state.refusal(RefusalReason::NoWorker).kind, ErrorKind::EngineLost);
+    assert_eq!(state.refusal(RefusalReason::NoTime).kind, ErrorKind::DeadlineExceeded);
 }
 
 #[test]
@@ -275,9 +275,9 @@
             state.attempt_started(&worker);
             state.attempt_ended(&worker, NOT_RUN, &mut budget);
         }
-        assert!(!state.may_try_again(), "six workers without room end a round");
+        assert!(!state.may_retry(), "six workers without room end a round");
         let Some(wait) = state.next_round(&mut rounds, now) else { break };
-        assert!(state.may_try_again());
+        assert!(state.may_retry());
         assert_eq!(state.tried(), [id("ran")], "workers that had no room are asked again, the one that failed is not");
         waits.push(wait.0);
         now = now + wait;
@@ -302,13 +302,13 @@
 fn only_one_answer_of_one_worker_shows_how_long_a_slot_is_taken() {
     let mut new = state(RESUMABLE);
     new.attempt_started(&id("one"));
-    assert!(new.is_undivided());
+    assert!(new.was_served_by_one_worker());
     new.attempt_started(&id("two"));
-    assert!(!new.is_undivided());
+    assert!(!new.was_served_by_one_worker());
     let continued = RequestFacts { last_event: Some(4), ..RequestFacts::default() };
     let mut continued = state_of(route(RESUMABLE), &continued);
     continued.attempt_started(&id("one"));
-    assert!(!continued.is_undivided());
+    assert!(!continued.was_served_by_one_worker());
 }
 
 #[test]
@@ -357,17 +357,22 @@
 
 #[test]
 fn an_answer_counts_only_for_its_request_and_a_success_only_with_a_signature() {
-    let sound =
-        AnswerMarks { status: 200, request_id: Some("mine"), is_signed: true, not_run: false, other_instance: false };
-    let check = |marks: AnswerMarks<'_>| marks.check("mine");
+    let sound = AnswerMetadata {
+        status: 200,
+        request_id: Some("mine"),
+        is_signed: true,
+        not_run: false,
+        other_instance: false,
+    };
+    let check = |marks: AnswerMetadata<'_>| marks.check("mine");
     assert_eq!(check(sound), Ok(()));
-    assert_eq!(check(AnswerMarks { request_id: Some("other"), not_run: true, ..sound }), Err(AttemptEnd::Broken));
-    assert_eq!(check(AnswerMarks { request_id: None, ..sound }), Err(AttemptEnd::Broken));
-    assert_eq!(check(AnswerMarks { is_signed: false, ..sound }), Err(AttemptEnd::Broken));
-    assert_eq!(check(AnswerMarks { status: 500, is_signed: false, request_id: None, ..sound }), Ok(()));
-    let refused = AnswerMarks { status: 421, is_signed: false, not_run: true, other_instance: true, ..sound };
+    assert_eq!(check(AnswerMetadata { request_id: Some("other"), not_run: true, ..sound }), Err(AttemptEnd::Broken));
+    assert_eq!(check(AnswerMetadata { request_id: None, ..sound }), Err(AttemptEnd::Broken));
+    assert_eq!(check(AnswerMetadata { is_signed: false, ..sound }), Err(AttemptEnd::Broken));
+    assert_eq!(check(AnswerMetadata { status: 500, is_signed: false, request_id: None, ..sound }), Ok(()));
+    let refused = AnswerMetadata { status: 421, is_signed: false, not_run: true, other_instance: true, ..sound };
     assert_eq!(check(refused), Err(AttemptEnd::NotRun { other_instance: true }));
-    assert_eq!(check(AnswerMarks { other_instance: false, ..refused }), Err(NOT_RUN));
+    assert_eq!(check(AnswerMetadata { other_instance: false, ..refused }), Err(NOT_RUN));
 }
 
 #[test]
--- a/crates/core/tests/quota_simulation.rs
+++ b/crates/core/tests/quota_simulation.rs
@@ -10,7 +10,7 @@
 use stallmoor_core::serving::configuration::tenant::{MilliRequests, RateLimit, TenantName};
 use stallmoor_core::serving::quota::bucket::{BucketLimit, TokenBucket};
 use stallmoor_core::serving::quota::coordinator::RateCoordinator;
-use stallmoor_core::serving::quota::limiter::{Admission, RateLimiter, TenantAsk};
+use stallmoor_core::serving::quota::limiter::{Admission, AdmissionRequest, RateLimiter};
 use stallmoor_core::serving::quota::message::{QuotaLevels, QuotaReport};
 use stallmoor_core::time::{Millis, Timestamp};
 
@@ -122,7 +122,7 @@
     let mut limiters: Vec<RateLimiter> = (0..day.gateways).map(|number| RateLimiter::new(machine(number))).collect();
     let mut reported_at: Vec<u64> = (0..day.gateways as u64).map(|number| number * 7 % 100).collect();
     let mut leader = RateCoordinator::default();
-    leader.open(at(0));
+    leader.reset(at(0));
     let mut ideal = TokenBucket::with_level(BucketLimit::of(day.limit).capacity, at(0));
     let mut mail: VecDeque<(u64, Mail)> = VecDeque::new();
     let mut passed: VecDeque<u64> = VecDeque::new();
@@ -134,7 +134,7 @@
         let limit = day.limit_at(now);
         let is_cut = |gateway: usize| gateway < day.cut && day.cut_span.holds(now);
         if day.new_leader_at == Some(now) {
-            leader.open(at(now));
+            leader.reset(at(now));
             mail.clear();
         }
         if day.kill_at == Some(now) {
@@ -148,10 +148,10 @@
             // Loads that were reported are gone by for a second, so a gateway is missed that much later.
             let unnoticed = Span { from: day.cut_span.from, to: day.cut_span.from + 1_000 };
             let missing = if day.cut_span.holds(now) && !unnoticed.holds(now) { day.cut } else { 0 };
-            let (known, in_reach) = (day.gateways as u32, (day.gateways - missing) as u32);
-            leader.note_gateways(in_reach, known, at(now));
+            let (known, reachable) = (day.gateways as u32, (day.gateways - missing) as u32);
+            leader.record_gateway_count(reachable, known, at(now));
             let in_touch = limiters.iter_mut().enumerate().filter(|(gateway, _)| !is_cut(*gateway));
-            in_touch.for_each(|(_, limiter)| limiter.note_gateways(known, at(now)));
+            in_touch.for_each(|(_, limiter)| limiter.record_gateway_count(known, at(now)));
         }
         leader.tick(at(now));
         while mail.front().is_some_and(|(due, _)| *due <= now) {
@@ -191,7 +191,7 @@
                 outcome.ideal += 1;
             }
             let gateway = random.random_range(0..day.used);
-            let ask = TenantAsk { tenant: &name, limit, has_waited: false };
+            let ask = AdmissionRequest { tenant: &name, limit, has_waited: false };
             match limiters[gateway].admit(&ask, random.random(), at(now)) {
                 Admission::Admitted => passed.push_back(now),
                 Admission::AwaitLevel => waiting.push_back((now, gateway)),
@@ -202,7 +202,7 @@
             if answered_at[*gateway] <= *since && now < since + FIRST_ANSWER_WAIT_MS {
                 return true;
             }
-            let ask = TenantAsk { tenant: &name, limit, has_waited: true };
+            let ask = AdmissionRequest { tenant: &name, limit, has_waited: true };
             if limiters[*gateway].admit(&ask, random.random(), at(now)) == Admission::Admitted {
                 passed.push_back(now);
             }
@@ -294,7 +294,7 @@
 fn the_leader_forgets_tenants_that_ask_nothing_more_and_counts_those_out_of_requests() {
     let name = TenantName::new("tenant");
     let (mut limiter, mut leader) = (RateLimiter::new(Arc::from("gateway")), RateCoordinator::default());
-    leader.open(at(0));
+    leader.reset(at(0));
     let limit = limit(1.0, 4.0);
     let exchange = |limiter: &mut RateLimiter, leader: &mut RateCoordinator, now: u64| {
         let report = limiter.report(at(now));
@@ -303,10 +303,10 @@
         leader.tick(at(now));
     };
     for now in (2_000..3_000).step_by(50) {
-        let ask = TenantAsk { tenant: &name, limit, has_waited: false };
+        let ask = AdmissionRequest { tenant: &name, limit, has_waited: false };
         if limiter.admit(&ask, 0.5, at(now)) == Admission::AwaitLevel {
             exchange(&mut limiter, &mut leader, now);
-            limiter.admit(&TenantAsk { has_waited: true, ..ask }, 0.5, at(now));
+            limiter.admit(&AdmissionRequest { has_waited: true, ..ask }, 0.5, at(now));
         }
         exchange(&mut limiter, &mut leader, now);
     }
@@ -323,12 +323,12 @@
     let name = TenantName::new("tenant");
     let mut limiter = RateLimiter::new(Arc::from("gateway"));
     assert_eq!(limiter.due_report(at(0), at(5_000)), None, "nothing is asked for, so there is nothing to report");
-    let ask = TenantAsk { tenant: &name, limit: limit(100.0, 100.0), has_waited: false };
+    let ask = AdmissionRequest { tenant: &name, limit: limit(100.0, 100.0), has_waited: false };
     assert_eq!(limiter.admit(&ask, 0.5, at(5_000)), Admission::AwaitLevel);
     assert_eq!(limiter.due_report(at(4_980), at(5_019)), None, "two reports are 40 ms apart at the least");
     let report = limiter.due_report(at(4_980), at(5_020)).expect("the leader has not answered for the tenant");
     let mut leader = RateCoordinator::default();
-    leader.open(at(0));
+    leader.reset(at(0));
     let levels = leader.report(NodeId(1), &report, |_| Some(ask.limit), at(5_022));
     limiter.apply(&report, &levels, at(5_025));
     assert_eq!(limiter.admit(&ask, 0.5, at(5_030)), Admission::Admitted);
@@ -340,7 +340,7 @@
 fn a_report_without_an_answer_lets_requests_wait_no_longer() {
     let name = TenantName::new("tenant");
     let mut limiter = RateLimiter::new(Arc::from("gateway"));
-    let ask = TenantAsk { tenant: &name, limit: limit(100.0, 160.0), has_waited: false };
+    let ask = AdmissionRequest { tenant: &name, limit: limit(100.0, 160.0), has_waited: false };
     assert_eq!(limiter.admit(&ask, 0.5, at(0)), Admission::AwaitLevel);
     limiter.report_failed();
     let admitted = (0..20).filter(|_| limiter.admit(&ask, 0.5, at(250)) == Admission::Admitted).count();
--- a/crates/core/tests/record_grace.rs
+++ b/crates/core/tests/record_grace.rs
@@ -24,11 +24,11 @@
 }
 
 fn silent(begun: u64, ended: u64) -> FailedCall {
-    FailedCall { begun: at(begun), ended: at(ended), is_silent: true }
+    FailedCall { begun: at(begun), ended: at(ended), timed_out: true }
 }
 
 fn refused(ended: u64) -> FailedCall {
-    FailedCall { begun: at(ended - 1), ended: at(ended), is_silent: false }
+    FailedCall { begun: at(ended - 1), ended: at(ended), timed_out: false }
 }
 
 fn answer(age: u64, away: u64) -> ChangesAnswer {
@@ -39,7 +39,7 @@
 #[test]
 fn without_an_outage_a_missing_record_was_removed() {
     let grace = WatchPolicy::new(BOUNDS).record_grace(view(1_000, 900));
-    assert_eq!(grace.lapsed_until, None);
+    assert_eq!(grace.expired_usable_until, None);
     assert_eq!(grace.missing_keys(), MissingKeys::Removed);
 }
 
@@ -47,8 +47,8 @@
 fn in_a_short_outage_no_record_lapses() {
     let mut policy = WatchPolicy::new(BOUNDS);
     policy.store_failed(WatchRole::Relay, view(1_000, 900), refused(1_000), 0.0);
-    assert_eq!(policy.record_grace(view(2_799, 900)).lapsed_until, None);
-    assert!(policy.record_grace(view(2_800, 900)).lapsed_until.is_some());
+    assert_eq!(policy.record_grace(view(2_799, 900)).expired_usable_until, None);
+    assert!(policy.record_grace(view(2_800, 900)).expired_usable_until.is_some());
 }
 
 #[test]
@@ -57,11 +57,11 @@
     policy.store_failed(WatchRole::Relay, view(1_000, 900), refused(1_000), 0.0);
     policy.store_failed(WatchRole::Relay, view(5_000, 900), silent(4_000, 5_000), 0.0);
     // 4,000 + 3,000 less 250 that a request may be under way.
-    assert_eq!(policy.record_grace(view(5_200, 900)).lapsed_until, Some(at(6_750)));
-    assert_eq!(policy.record_grace(view(6_750, 900)).lapsed_until, None, "it is over");
+    assert_eq!(policy.record_grace(view(5_200, 900)).expired_usable_until, Some(at(6_750)));
+    assert_eq!(policy.record_grace(view(6_750, 900)).expired_usable_until, None, "it is over");
     policy.store_failed(WatchRole::Relay, view(6_800, 900), refused(6_800), 0.0);
     // No longer than the two seconds in which records come back.
-    assert_eq!(policy.record_grace(view(6_810, 900)).lapsed_until, Some(at(8_810)));
+    assert_eq!(policy.record_grace(view(6_810, 900)).expired_usable_until, Some(at(8_810)));
 }
 
 #[test]
@@ -69,14 +69,14 @@
     let mut policy = WatchPolicy::new(BOUNDS);
     policy.store_failed(WatchRole::Relay, view(1_000, 900), refused(1_000), 0.0);
     assert_eq!(policy.store_answered(at(4_000)), Millis(3_000));
-    assert_eq!(policy.record_grace(view(4_100, 4_000)).lapsed_until, None);
+    assert_eq!(policy.record_grace(view(4_100, 4_000)).expired_usable_until, None);
 }
 
 #[test]
 fn a_relay_that_lost_the_store_says_nothing_of_the_store() {
     let mut policy = WatchPolicy::new(BOUNDS);
     assert!(!policy.relay_answered(RELAY, &answer(5_000, 5_000), at(6_000)));
-    assert_eq!(policy.record_grace(view(6_000, 1_000)).lapsed_until, None);
+    assert_eq!(policy.record_grace(view(6_000, 1_000)).expired_usable_until, None);
     assert_eq!(policy.away(at(6_000)), Millis(0));
 }
 
@@ -84,15 +84,15 @@
 fn a_follower_counts_an_outage_from_when_its_view_was_confirmed() {
     let mut policy = WatchPolicy::new(BOUNDS);
     policy.store_failed(WatchRole::Follower, view(2_600, 1_000), refused(2_600), 0.0);
-    assert!(policy.record_grace(view(2_800, 1_000)).lapsed_until.is_some());
+    assert!(policy.record_grace(view(2_800, 1_000)).expired_usable_until.is_some());
 }
 
 #[test]
 fn a_removed_worker_is_a_last_resort_within_the_change_bound_of_the_view_before() {
     let policy = WatchPolicy::new(BOUNDS);
-    assert_eq!(policy.record_grace(view(1_000, 900)).removed_until, at(2_000), "a second");
-    assert_eq!(policy.record_grace(view(2_000, 900)).removed_until, at(2_650), "what is left of the bound");
-    assert_eq!(policy.record_grace(view(9_000, 900)).removed_until, at(2_650), "nothing");
+    assert_eq!(policy.record_grace(view(1_000, 900)).removed_usable_until, at(2_000), "a second");
+    assert_eq!(policy.record_grace(view(2_000, 900)).removed_usable_until, at(2_650), "what is left of the bound");
+    assert_eq!(policy.record_grace(view(9_000, 900)).removed_usable_until, at(2_650), "nothing");
 }
 
 #[test]
@@ -120,16 +120,16 @@
     ) {
         let mut policy = WatchPolicy::new(BOUNDS);
         let (mut now, mut broken) = (1_000, 0);
-        for (pause, took, is_silent) in calls {
+        for (pause, took, timed_out) in calls {
             let (begun, ended) = (now + pause, now + pause + took);
-            (now, broken) = (ended, if is_silent { begun } else { ended });
-            let call = FailedCall { begun: at(begun), ended: at(ended), is_silent };
+            (now, broken) = (ended, if timed_out { begun } else { ended });
+            let call = FailedCall { begun: at(begun), ended: at(ended), timed_out };
             policy.store_failed(WatchRole::Follower, view(now, 900), call, 0.5);
         }
         let read = now + rest;
         let grace = policy.record_grace(view(read, 900));
         let excused = at(broken) + BOUNDS.contact;
-        prop_assert!(grace.lapsed_until.is_none_or(|until| until < excused && until > at(read)));
-        prop_assert!(grace.removed_until < at(900) + BOUNDS.change);
+        prop_assert!(grace.expired_usable_until.is_none_or(|until| until < excused && until > at(read)));
+        prop_assert!(grace.removed_usable_until < at(900) + BOUNDS.change);
     }
 }
--- a/crates/core/tests/relay_answers.rs
+++ b/crates/core/tests/relay_answers.rs
@@ -31,22 +31,22 @@
 
 #[test]
 fn changes_are_believed_only_if_they_follow_on_the_revision_that_was_asked_for() {
-    assert!(answer(Some(40), 45, &["a"]).is_sound(SINCE));
-    assert!(answer(Some(40), 40, &[]).is_sound(SINCE));
-    assert!(!answer(Some(39), 45, &["a"]).is_sound(SINCE));
-    assert!(!answer(Some(41), 45, &["a"]).is_sound(SINCE), "what changed in between is missing");
+    assert!(answer(Some(40), 45, &["a"]).is_valid_for(SINCE));
+    assert!(answer(Some(40), 40, &[]).is_valid_for(SINCE));
+    assert!(!answer(Some(39), 45, &["a"]).is_valid_for(SINCE));
+    assert!(!answer(Some(41), 45, &["a"]).is_valid_for(SINCE), "what changed in between is missing");
 }
 
 #[test]
 fn a_whole_list_is_believed_unless_it_is_older_than_the_view() {
-    assert!(answer(None, 40, &["a"]).is_sound(SINCE));
-    assert!(!answer(None, 39, &["a"]).is_sound(SINCE));
+    assert!(answer(None, 40, &["a"]).is_valid_for(SINCE));
+    assert!(!answer(None, 39, &["a"]).is_valid_for(SINCE));
 }
 
 #[test]
 fn an_item_without_a_key_makes_an_answer_unsound() {
-    assert!(!answer(Some(40), 45, &["a", ""]).is_sound(SINCE));
-    assert!(!answer(None, 45, &[""]).is_sound(SINCE));
+    assert!(!answer(Some(40), 45, &["a", ""]).is_valid_for(SINCE));
+    assert!(!answer(None, 45, &[""]).is_valid_for(SINCE));
 }
 
 #[test]
@@ -86,8 +86,8 @@
         let mut waits = Vec::new();
         for _ in 0..failures {
             let view = ViewState { now, at: None, age: None, asked_at: None };
-            policy.store_failed(role, view, FailedCall { begun: now, ended: now, is_silent: false }, 0.5);
-            let WatchStep::Rest(wait) = policy.next(view, &[]) else { panic!("the store is asked without a rest") };
+            policy.store_failed(role, view, FailedCall { begun: now, ended: now, timed_out: false }, 0.5);
+            let WatchStep::Wait(wait) = policy.next(view, &[]) else { panic!("the store is asked without a rest") };
             waits.push(wait.0);
             now = now + wait;
         }
@@ -95,5 +95,5 @@
     };
     assert_eq!(waits(WatchRole::Relay, 3_000, 5), [50, 100, 200, 400, 450]);
     assert_eq!(waits(WatchRole::Follower, 3_000, 6), [50, 100, 200, 400, 750, 750]);
-    assert_eq!(waits(WatchRole::Alone, 3_600_000, 10)[7..], [6_400, 12_800, 12_800]);
+    assert_eq!(waits(WatchRole::Standalone, 3_600_000, 10)[7..], [6_400, 12_800, 12_800]);
 }
--- a/crates/core/tests/relay_mirror.rs
+++ b/crates/core/tests/relay_mirror.rs
@@ -97,7 +97,7 @@
     prop_oneof![
         4 => (0..KEYS).prop_map(Step::Put),
         3 => (0..KEYS).prop_map(Step::Remove),
-        1 => (view(), prop_oneof![Just(MissingKeys::Removed), Just(MissingKeys::MayHaveLapsed)])
+        1 => (view(), prop_oneof![Just(MissingKeys::Removed), Just(MissingKeys::MayHaveExpired)])
             .prop_map(|(view, missing)| Step::List { view, missing }),
         1 => view().prop_map(|view| Step::ListLater { view }),
         1 => view().prop_map(|view| Step::TakeLater { view }),
@@ -223,9 +223,9 @@
 fn a_key_that_is_missing_after_an_absence_has_lapsed_and_those_who_ask_hear_that() {
     let mut mirror = Mirror::default();
     mirror.replace(vec![present(1, 1), present(2, 2)], Revision(2), MissingKeys::Removed);
-    let news = mirror.replace(vec![present(1, 1)], Revision(5), MissingKeys::MayHaveLapsed);
+    let news = mirror.replace(vec![present(1, 1)], Revision(5), MissingKeys::MayHaveExpired);
     assert_eq!(states(&news), [KeyState::Lapsed]);
-    assert_eq!(mirror.replace(vec![present(1, 1)], Revision(6), MissingKeys::MayHaveLapsed), [], "it is told once");
+    assert_eq!(mirror.replace(vec![present(1, 1)], Revision(6), MissingKeys::MayHaveExpired), [], "it is told once");
     let mut asker = Mirror::default();
     asker.replace(vec![present(1, 1), present(2, 2)], Revision(2), MissingKeys::Removed);
     let changes = mirror.changes_since(Revision(2)).expect("it was listed");
--- a/crates/core/tests/relay_simulation/world.rs
+++ b/crates/core/tests/relay_simulation/world.rs
@@ -15,7 +15,7 @@
 use stallmoor_core::serving::relay::outage::{FailedCall, RecordGrace};
 use stallmoor_core::serving::relay::policy::{ViewState, WatchPolicy, WatchRole, WatchStep};
 use stallmoor_core::serving::relay::tiers::RelayTier;
-use stallmoor_core::serving::workers::{WorkerAsk, WorkerId, WorkerRecord, WorkerTable};
+use stallmoor_core::serving::workers::{WorkerId, WorkerQuery, WorkerRecord, WorkerTable};
 use stallmoor_core::time::{Millis, Timestamp};
 
 pub const BOUNDS: WatchBounds = WatchBounds { change: Millis(2_000), contact: Millis(3_000), heartbeat: Millis(1_200) };
@@ -235,12 +235,12 @@
     fn begin(&mut self, node: usize) {
         let (view, relays) = (self.view(node), self.relays_of(node));
         let call = match self.nodes[node].policy.next(view, &relays) {
-            WatchStep::Rest(span) => {
+            WatchStep::Wait(span) => {
                 self.nodes[node].paused_until = self.now + span.0;
                 return;
             }
-            WatchStep::SeekRelays => {
-                self.nodes[node].policy.relays_sought(at(self.now));
+            WatchStep::DiscoverRelays => {
+                self.nodes[node].policy.relays_discovered(at(self.now));
                 return;
             }
             WatchStep::ListStore => Call::List,
@@ -295,7 +295,7 @@
             if !is_refused && passed < timeout {
                 return false;
             }
-            let call = FailedCall { begun: at(begun), ended: at(now), is_silent: !is_refused };
+            let call = FailedCall { begun: at(begun), ended: at(now), timed_out: !is_refused };
             entry.policy.store_failed(role, view, call, spread);
             return true;
         }
@@ -343,7 +343,7 @@
         }
         let Some(age) = self.nodes[relay].mirror.age(at(now)) else { return false };
         let relay_at = self.nodes[relay].mirror.at().expect("it has an age");
-        let has_news = age < BOUNDS.relay_stale() && relay_at.0 > since;
+        let has_news = age < BOUNDS.max_relay_age() && relay_at.0 > since;
         if !has_news && passed < hold + 2 * WAY {
             return false;
         }
@@ -390,7 +390,7 @@
         let (workers, random) = (&self.nodes[node].workers, &mut self.random);
         let is_looked_for = |left: u64| (BOUNDS.change.0 + 1..LOOKED_FOR).contains(&(now - left));
         for (worker, left) in self.left.iter().filter(|(_, left)| is_looked_for(*left)) {
-            let ask = WorkerAsk {
+            let ask = WorkerQuery {
                 service: worker,
                 zone: "zone",
                 prefix: &[],
@@ -399,7 +399,7 @@
                 tried: &[],
                 regions: &AllowedRegions::Any,
             };
-            let chosen = workers.choose(&ask, at(now), random).map(|choice| choice.standing);
+            let chosen = workers.choose(&ask, at(now), random).map(|choice| choice.availability);
             assert_eq!(chosen, None, "node {node} sends requests to {worker}, which left {} ms ago", now - left);
         }
     }
@@ -449,10 +449,10 @@
     fn tell(&mut self, news: &[MetadataItem], grace: &RecordGrace, now: Timestamp) {
         for item in news {
             let id = WorkerId(item.key.clone());
-            match (&item.state, grace.lapsed_until) {
+            match (&item.state, grace.expired_usable_until) {
                 (KeyState::Present(_), _) => drop(self.workers.upsert(record(&item.key))),
-                (KeyState::Lapsed, Some(until)) => drop(self.workers.miss(&id, until, now)),
-                _ => drop(self.workers.remove(&id, grace.removed_until, now)),
+                (KeyState::Lapsed, Some(until)) => drop(self.workers.mark_missing(&id, until, now)),
+                _ => drop(self.workers.remove(&id, grace.removed_usable_until, now)),
             }
         }
     }
@@ -466,7 +466,7 @@
         zone: Arc::from("zone"),
         slots: 8,
         draining: false,
-        born: None,
-        cold_left: Millis(0),
+        started_at: None,
+        cold_remaining: Millis(0),
     }
 }
--- a/crates/core/tests/replicated_log.rs
+++ b/crates/core/tests/replicated_log.rs
@@ -111,7 +111,7 @@
             if id <= FOUNDERS {
                 let founders = GroupMembership::of_voters((1..=FOUNDERS).map(NodeId));
                 let now = cluster.time();
-                cluster.act(id, |replica| replica.found(founders, now));
+                cluster.act(id, |replica| replica.bootstrap(founders, now));
             }
         }
         cluster
@@ -123,7 +123,7 @@
 
     fn start(&mut self, id: u64, disk: PersistedReplica) {
         self.restarts += 1;
-        let settings = ReplicaSettings { append_bytes: 200, ..ReplicaSettings::default() };
+        let settings = ReplicaSettings { max_append_bytes: 200, ..ReplicaSettings::default() };
         let replica = Replica::new(GROUP, NodeId(id), settings, disk.clone(), self.time(), id * 1_000 + self.restarts);
         let applied = restore(&disk.snapshot.state);
         self.members.insert(id, Member { replica, disk, applied });
@@ -288,7 +288,7 @@
     let settings = ReplicaSettings { heartbeat_interval: Millis(100), ..ReplicaSettings::default() };
     let now = Timestamp::from_millis(10_000);
     let mut replica = Replica::new(GROUP, NodeId(1), settings, PersistedReplica::default(), now, 1);
-    replica.found(founders.clone(), now);
+    replica.bootstrap(founders.clone(), now);
     let entry = |index: u64| stallmoor_core::replication::Entry {
         term: Term(1),
         index: LogIndex(index),
--- a/crates/core/tests/replication_rules.rs
+++ b/crates/core/tests/replication_rules.rs
@@ -34,7 +34,7 @@
         let mut harness = Self::open(PersistedReplica::default());
         let founders = GroupMembership::of_voters([SELF, NodeId(2), NodeId(3)]);
         let now = harness.time();
-        harness.replica.found(founders, now);
+        harness.replica.bootstrap(founders, now);
         harness.drain();
         harness
     }
--- a/crates/core/tests/worker_choice.rs
+++ b/crates/core/tests/worker_choice.rs
@@ -9,12 +9,12 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stallmoor_core::serving::online::attempt::AttemptEnd;
 use stallmoor_core::serving::regions::AllowedRegions;
-use stallmoor_core::serving::request::{PrefixLink, PromptPart, chain_prefix};
+use stallmoor_core::serving::request::{PrefixBlock, PromptPart, hash_prefix};
 use stallmoor_core::serving::workers::load_in_transit::{CostSlope, level_after};
 use stallmoor_core::serving::workers::service_times::ServiceTimes;
 use stallmoor_core::serving::workers::{
-    LoadReport, Standing, WorkPace, WorkerAsk, WorkerChange, WorkerCount, WorkerId, WorkerLife, WorkerLoad,
-    WorkerRecord, WorkerReport, WorkerTable,
+    Availability, LoadReport, Slowdown, WorkerChange, WorkerCount, WorkerId, WorkerIncarnation, WorkerLoad,
+    WorkerQuery, WorkerRecord, WorkerReport, WorkerTable,
 };
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
 
@@ -36,8 +36,8 @@
         zone: Arc::from(zone),
         slots: 8,
         draining: false,
-        born: None,
-        cold_left: Millis(0),
+        started_at: None,
+        cold_remaining: Millis(0),
     }
 }
 
@@ -45,13 +45,13 @@
     WorkerId(Arc::from(name))
 }
 
-fn life(name: &str) -> WorkerLife {
-    worker(name, "a").life()
+fn incarnation(name: &str) -> WorkerIncarnation {
+    worker(name, "a").incarnation()
 }
 
-fn ask<'a>(prefix: &'a [PrefixLink], tried: &'a [WorkerId]) -> WorkerAsk<'a> {
+fn ask<'a>(prefix: &'a [PrefixBlock], tried: &'a [WorkerId]) -> WorkerQuery<'a> {
     let prompt_tokens = prefix.iter().map(|link| link.tokens).sum();
-    WorkerAsk {
+    WorkerQuery {
         service: SERVICE,
         zone: "a",
         prefix,
@@ -96,16 +96,17 @@
 #[test]
 fn a_choice_says_on_what_ground_the_worker_is_sent_the_request() {
     let mut table = WorkerTable::default();
-    let standing = |table: &WorkerTable, now| table.choose(&ask(&[], &[]), at(now), &mut random()).map(|c| c.standing);
+    let availability =
+        |table: &WorkerTable, now| table.choose(&ask(&[], &[]), at(now), &mut random()).map(|c| c.availability);
     table.upsert(worker("one", "a"));
-    assert_eq!(standing(&table, 0), Some(Standing::Ready));
-    table.miss(&id("one"), at(2_000), at(0));
-    assert_eq!(standing(&table, 1), Some(Standing::Missing));
+    assert_eq!(availability(&table, 0), Some(Availability::Ready));
+    table.mark_missing(&id("one"), at(2_000), at(0));
+    assert_eq!(availability(&table, 1), Some(Availability::Missing));
     table.remove(&id("one"), at(1_000), at(2));
-    assert_eq!(standing(&table, 3), None, "a record that was missing and is found removed leaves no last resort");
+    assert_eq!(availability(&table, 3), None, "a record that was missing and is found removed leaves no last resort");
     table.upsert(worker("three", "a"));
     table.remove(&id("three"), at(1_000), at(4));
-    assert_eq!(standing(&table, 5), Some(Standing::LastResort));
+    assert_eq!(availability(&table, 5), Some(Availability::LastResort));
 }
 
 #[test]
@@ -113,12 +114,12 @@
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
     table.upsert(worker("three", "a"));
-    assert_eq!(table.miss(&id("one"), at(2_000), at(0)), Some(WorkerChange::Missing(id("one"))));
-    assert_eq!(table.miss(&id("three"), at(2_000), at(0)), Some(WorkerChange::Missing(id("three"))));
+    assert_eq!(table.mark_missing(&id("one"), at(2_000), at(0)), Some(WorkerChange::Missing(id("one"))));
+    assert_eq!(table.mark_missing(&id("three"), at(2_000), at(0)), Some(WorkerChange::Missing(id("three"))));
     assert_eq!(table.ready_count(SERVICE, at(1_999)), 2);
     assert!(choose(&table, 1_999).is_some());
     assert_eq!(table.upsert(worker("one", "a")), Some(WorkerChange::Seen(id("one"))));
-    assert_eq!(table.miss(&id("three"), at(3_000), at(1_000)), None, "a second list does not prolong the time");
+    assert_eq!(table.mark_missing(&id("three"), at(3_000), at(1_000)), None, "a second list does not prolong the time");
     assert_eq!(table.ready_count(SERVICE, at(2_000)), 1);
     for _ in 0..20 {
         assert_eq!(choose(&table, 2_000), Some(id("one")));
@@ -131,7 +132,7 @@
 fn a_worker_that_leaves_does_not_return_with_the_store() {
     let mut table = WorkerTable::default();
     table.upsert(WorkerRecord { draining: true, ..worker("one", "a") });
-    assert_eq!(table.miss(&id("one"), at(2_000), at(0)), None);
+    assert_eq!(table.mark_missing(&id("one"), at(2_000), at(0)), None);
     assert_eq!(choose(&table, 1), None);
 }
 
@@ -144,14 +145,14 @@
     table.upsert(worker("vanished", "a"));
     table.upsert(leaving("stays"));
     table.remove(&id("removed"), at(1_000), at(0));
-    table.miss(&id("lapsed"), at(2_000), at(0));
+    table.mark_missing(&id("lapsed"), at(2_000), at(0));
     table.remove(&id("vanished"), at(1_000), at(0));
     table.upsert(worker("removed", "a"));
     assert_eq!(choose(&table, 10), Some(id("vanished")), "one that was draining does not return");
     table.remove(&id("removed"), at(1_000), at(0));
-    table.forget_gone(at(59_999));
+    table.evict_departed(at(59_999));
     assert!(["removed", "lapsed", "vanished", "stays"].iter().all(|name| table.record(&id(name)).is_some()));
-    table.forget_gone(at(60_000));
+    table.evict_departed(at(60_000));
     assert!(["removed", "lapsed", "vanished"].iter().all(|name| table.record(&id(name)).is_none()));
     assert!(table.record(&id("stays")).is_some(), "its record still stands");
 }
@@ -161,31 +162,31 @@
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
     table.upsert(worker("three", "b"));
-    table.failed(&life("one"), true, at(0));
+    table.failed(&incarnation("one"), true, at(0));
     assert_eq!(choose(&table, 100), Some(id("three")));
     assert_eq!(choose(&table, 400), Some(id("one")), "its zone is nearer");
-    let first = table.failed(&life("one"), true, at(400)).expect("it is known");
-    let second = table.failed(&life("one"), true, at(400)).expect("it is known");
+    let first = table.failed(&incarnation("one"), true, at(400)).expect("it is known");
+    let second = table.failed(&incarnation("one"), true, at(400)).expect("it is known");
     assert!(second > first);
-    table.succeeded(&life("one"), Millis(30), at(500));
+    table.succeeded(&incarnation("one"), Millis(30), at(500));
     assert_eq!(choose(&table, 501), Some(id("one")));
 }
 
 #[test]
 fn a_prompt_goes_where_its_parts_are_cached_unless_that_worker_is_full() {
     let part = |name: &str, tokens| PromptPart { id: Arc::from(name), tokens };
-    let prefix = chain_prefix("m", &[part("shared", 4_000), part("session", 2_000), part("own", 100)]);
+    let prefix = hash_prefix("m", &[part("shared", 4_000), part("session", 2_000), part("own", 100)]);
     let mut table = WorkerTable::default();
     for name in ["one", "three", "seven77"] {
         table.upsert(worker(name, "a"));
     }
-    table.started(&life("three"), &prefix, 100_000, at(0));
-    table.ended(&life("three"));
+    table.started(&incarnation("three"), &prefix, 100_000, at(0));
+    table.ended(&incarnation("three"));
     let chosen = |table: &WorkerTable| table.choose(&ask(&prefix, &[]), at(10), &mut random()).expect("there is one");
     assert_eq!(chosen(&table).id, id("three"));
     assert_eq!(chosen(&table).cached_tokens, 6_100);
     for _ in 0..10 {
-        table.started(&life("three"), &[], 100_000, at(10));
+        table.started(&incarnation("three"), &[], 100_000, at(10));
     }
     assert_ne!(chosen(&table).id, id("three"));
 }
@@ -197,7 +198,7 @@
     table.upsert(worker("three", "a"));
     table.set_shared_loads(&[WorkerCount { worker: id("one"), requests: 6 }], at(0));
     assert_eq!(choose(&table, 10), Some(id("three")));
-    table.reported(&life("three"), WorkerLoad { running: 8, waiting: 4, pace: WorkPace::default() }, at(10));
+    table.reported(&incarnation("three"), WorkerLoad { running: 8, waiting: 4, slowdown: Slowdown::default() }, at(10));
     assert_eq!(choose(&table, 15), Some(id("one")), "the worker's own word is newer than the shared loads");
     table.set_shared_loads(&[WorkerCount { worker: id("one"), requests: 6 }], at(20));
     assert_eq!(choose(&table, 25), Some(id("three")), "the shared loads are newer than the worker's own word");
@@ -210,7 +211,7 @@
     table.upsert(worker("three", "a"));
     table.set_shared_loads(&[WorkerCount { worker: id("three"), requests: 6 }], at(0));
     assert_eq!(choose(&table, 10), Some(id("one")));
-    table.mark_full(&life("one"), at(10));
+    table.mark_full(&incarnation("one"), at(10));
     assert_eq!(choose(&table, 20), Some(id("three")));
 }
 
@@ -252,13 +253,13 @@
     assert_eq!(choose(&table, 30), Some(id("one")), "it answers somebody");
     apply(&mut table, 2, None, 40);
     assert_eq!(choose(&table, 50), Some(id("three")));
-    assert_eq!(table.own_report(at(50)), vec![], "what others reported is not reported again");
+    assert_eq!(table.local_report(at(50)), vec![], "what others reported is not reported again");
     assert_eq!(choose(&table, 600), Some(id("one")), "old reports are forgotten");
     apply(&mut table, 2, None, 700);
-    table.succeeded(&life("one"), Millis(50), at(710));
+    table.succeeded(&incarnation("one"), Millis(50), at(710));
     assert_eq!(choose(&table, 720), Some(id("one")), "own success counts more");
-    table.failed(&life("one"), false, at(800));
-    assert_eq!(table.own_report(at(810)).iter().map(|report| report.ejected_by).collect::<Vec<_>>(), vec![1]);
+    table.failed(&incarnation("one"), false, at(800));
+    assert_eq!(table.local_report(at(810)).iter().map(|report| report.ejected_by).collect::<Vec<_>>(), vec![1]);
 }
 
 /// Nodes that choose by the same reports, a little old, must not all choose the same worker.
@@ -324,17 +325,17 @@
 #[test]
 fn the_first_event_is_expected_later_with_each_request_that_waits() {
     let mut times = ServiceTimes::default();
-    assert_eq!(times.expected_first(0, 6), None, "nothing is known yet");
+    assert_eq!(times.expected_time_to_first_event(0, 6), None, "nothing is known yet");
     times.note_first(Millis(20));
-    assert_eq!(times.expected_first(3, 6), None);
-    times.note_in_slot(Millis(600));
-    assert_eq!(times.expected_first(0, 6), Some(Millis(20)));
-    assert_eq!(times.expected_first(3, 6), Some(Millis(320)), "a slot of six is free every 100 ms");
+    assert_eq!(times.expected_time_to_first_event(3, 6), None);
+    times.record_slot_time(Millis(600));
+    assert_eq!(times.expected_time_to_first_event(0, 6), Some(Millis(20)));
+    assert_eq!(times.expected_time_to_first_event(3, 6), Some(Millis(320)), "a slot of six is free every 100 ms");
     for _ in 0..30 {
-        times.note_in_slot(Millis(600));
+        times.record_slot_time(Millis(600));
     }
-    times.note_in_slot(Millis(u64::MAX));
-    let later = times.expected_first(1, 6).expect("it is known");
+    times.record_slot_time(Millis(u64::MAX));
+    let later = times.expected_time_to_first_event(1, 6).expect("it is known");
     assert!(later < Millis(700), "one absurd value moves the mean a little: {later:?}");
 }
 
@@ -343,12 +344,12 @@
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
     table.service_times(SERVICE).note_first(Millis(20));
-    table.service_times(SERVICE).note_in_slot(Millis(800));
+    table.service_times(SERVICE).record_slot_time(Millis(800));
     let mut expected = |requests: u32, batch: u32| {
         let report = WorkerReport { worker: id("one"), requests, self_reported: None, ejected_by: 0, batch };
         table.apply_report(&LoadReport { workers: vec![report], ..LoadReport::default() }, at(0));
         let choice = table.choose(&ask(&[], &[]), at(0), &mut random()).expect("there is one");
-        table.expected_first(SERVICE, &choice)
+        table.expected_time_to_first_event(SERVICE, &choice)
     };
     assert_eq!(expected(7, 0), Some(Millis(20)), "a slot of eight is free");
     assert_eq!(expected(10, 0), Some(Millis(320)), "the third to wait");
@@ -363,7 +364,7 @@
         table.upsert(worker("other", "a"));
         let mut started = 0;
         while let Some(choice) = table.choose_for_batch(&ask(&[], &[]), online_per_s, at(0), &mut random()) {
-            table.started(&choice.life(), &[], 0, at(0));
+            table.started(&choice.incarnation(), &[], 0, at(0));
             started += 1;
             assert!(started <= 16);
         }
@@ -392,15 +393,19 @@
     table.upsert(worker("one", "a"));
     let mut started = 0;
     while let Some(choice) = table.choose_for_batch(&ask(&[], &[]), 0, at(0), &mut random()) {
-        table.started(&choice.life(), &[], 0, at(0));
-        table.batch_started(&choice.life());
+        table.started(&choice.incarnation(), &[], 0, at(0));
+        table.batch_started(&choice.incarnation());
         started += 1;
         assert!(started <= 8);
     }
     assert_eq!(started, 7, "a slot of eight stays free");
-    assert!(table.overfull(at(0)).is_empty());
+    assert!(table.excess_batch_items(at(0)).is_empty());
     table.set_shared_loads(&[WorkerCount { worker: id("one"), requests: 4 }], at(10));
-    assert_eq!(table.overfull(at(10)), vec![WorkerCount { worker: id("one"), requests: 3 }], "nobody waits for batch");
+    assert_eq!(
+        table.excess_batch_items(at(10)),
+        vec![WorkerCount { worker: id("one"), requests: 3 }],
+        "nobody waits for batch"
+    );
     assert!(table.choose_for_batch(&ask(&[], &[]), 0, at(10), &mut random()).is_none());
 }
 
@@ -409,13 +414,13 @@
     let expected_after = |load: u32| {
         let mut table = WorkerTable::default();
         table.upsert(worker("one", "a"));
-        table.service_times(SERVICE).note_in_slot(Millis(800));
+        table.service_times(SERVICE).record_slot_time(Millis(800));
         table.set_shared_loads(&[WorkerCount { worker: id("one"), requests: load }], at(0));
         let choice = table.choose(&ask(&[], &[]), at(0), &mut random()).expect("there is one");
         table.first_event(SERVICE, &choice, Millis(30), at(100));
         table.set_shared_loads(&[], at(100));
         let choice = table.choose(&ask(&[], &[]), at(100), &mut random()).expect("there is one");
-        table.expected_first(SERVICE, &choice)
+        table.expected_time_to_first_event(SERVICE, &choice)
     };
     assert_eq!(expected_after(7), Some(Millis(30)));
     assert_eq!(expected_after(8), None, "the time in the queue is not the service's");
@@ -427,7 +432,7 @@
         let mut table = WorkerTable::default();
         table.upsert(worker("one", "a"));
         table.upsert(worker("three", "b"));
-        table.attempt_ended(&life("one"), end, at(0));
+        table.attempt_ended(&incarnation("one"), end, at(0));
         choose(&table, millis)
     };
     for end in [AttemptEnd::Broken, AttemptEnd::Silent, AttemptEnd::Failed { status: 500 }] {
@@ -441,55 +446,55 @@
     assert_eq!(chosen_after(AttemptEnd::NotRun { other_instance: true }, 2_000), Some(id("three")), "gone for good");
 }
 
-fn born(name: &str, born: u64) -> WorkerRecord {
-    WorkerRecord { born: Some(UnixMillis(born)), ..worker(name, "a") }
+fn started_at(name: &str, started_at: u64) -> WorkerRecord {
+    WorkerRecord { started_at: Some(UnixMillis(started_at)), ..worker(name, "a") }
 }
 
 #[test]
 fn a_later_life_of_a_worker_drops_what_was_believed_of_the_one_before() {
     let mut table = WorkerTable::default();
-    let (before, after) = (born("one", 5_000), born("one", 9_000));
+    let (before, after) = (started_at("one", 5_000), started_at("one", 9_000));
     table.upsert(before.clone());
-    table.started(&before.life(), &[], 0, at(0));
-    table.reported(&before.life(), WorkerLoad { running: 8, waiting: 8, pace: WorkPace::default() }, at(0));
+    table.started(&before.incarnation(), &[], 0, at(0));
+    table.reported(&before.incarnation(), WorkerLoad { running: 8, waiting: 8, slowdown: Slowdown::default() }, at(0));
     for _ in 0..4 {
-        table.failed(&before.life(), true, at(0));
+        table.failed(&before.incarnation(), true, at(0));
     }
     table.upsert(WorkerRecord { draining: true, ..before.clone() });
     assert_eq!(choose(&table, 1), None);
     assert_eq!(table.upsert(after.clone()), Some(WorkerChange::Seen(id("one"))), "it starts again under its id");
     let choice = table.choose(&ask(&[], &[]), at(1), &mut random()).expect("it takes requests");
-    assert_eq!((choice.load, choice.born), (0, after.born), "nothing runs there, and it is not ejected");
+    assert_eq!((choice.load, choice.started_at), (0, after.started_at), "nothing runs there, and it is not ejected");
     // Ends of requests at the former life, and its record, say nothing of this one.
-    table.started(&after.life(), &[], 0, at(2));
-    table.ended(&before.life());
-    table.failed(&before.life(), true, at(2));
-    table.attempt_ended(&before.life(), AttemptEnd::NotRun { other_instance: true }, at(2));
+    table.started(&after.incarnation(), &[], 0, at(2));
+    table.ended(&before.incarnation());
+    table.failed(&before.incarnation(), true, at(2));
+    table.attempt_ended(&before.incarnation(), AttemptEnd::NotRun { other_instance: true }, at(2));
     assert_eq!(table.upsert(before), None);
     let choice = table.choose(&ask(&[], &[]), at(3), &mut random()).expect("it takes requests");
-    assert_eq!((choice.load, choice.born), (1, after.born));
-    table.failed(&after.life(), true, at(3));
-    assert_eq!(table.failed(&after.life(), true, at(3)), Some(Millis(600)), "its own failures begin anew");
+    assert_eq!((choice.load, choice.started_at), (1, after.started_at));
+    table.failed(&after.incarnation(), true, at(3));
+    assert_eq!(table.failed(&after.incarnation(), true, at(3)), Some(Millis(600)), "its own failures begin anew");
 }
 
 #[test]
 fn a_worker_that_does_not_date_its_start_keeps_one_life() {
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
-    table.started(&life("one"), &[], 0, at(0));
+    table.started(&incarnation("one"), &[], 0, at(0));
     // A writer of records that begins to date them speaks of the same worker.
-    table.upsert(born("one", 5_000));
-    table.ended(&life("one"));
+    table.upsert(started_at("one", 5_000));
+    table.ended(&incarnation("one"));
     let choice = table.choose(&ask(&[], &[]), at(1), &mut random()).expect("it takes requests");
-    assert_eq!((choice.load, choice.born), (0, Some(UnixMillis(5_000))));
+    assert_eq!((choice.load, choice.started_at), (0, Some(UnixMillis(5_000))));
     table.upsert(worker("one", "a"));
-    assert_eq!(table.record(&id("one")).and_then(|record| record.born), Some(UnixMillis(5_000)));
-    assert_eq!(table.upsert(born("one", 4_999)), None, "it is known to be later");
+    assert_eq!(table.record(&id("one")).and_then(|record| record.started_at), Some(UnixMillis(5_000)));
+    assert_eq!(table.upsert(started_at("one", 4_999)), None, "it is known to be later");
 }
 
 #[test]
 fn two_starts_in_quick_succession_come_to_the_last_in_any_order() {
-    let lives = [born("one", 1_000), born("one", 1_200), born("one", 1_300)];
+    let lives = [started_at("one", 1_000), started_at("one", 1_200), started_at("one", 1_300)];
     for order in [[0, 1, 2], [0, 2, 1], [2, 1, 0], [1, 0, 2], [1, 2, 0], [2, 0, 1]] {
         let mut table = WorkerTable::default();
         for place in order {
