--- a/crates/gateway/src/adapter/dialect.rs
+++ b/crates/gateway/src/adapter/dialect.rs
@@ -56,7 +56,7 @@
 
 /// What the gateway adds to a request for one attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptTerms<'a> {
+pub struct AttemptContext<'a> {
     /// The worker that is meant; no other may run the request.
     pub worker: &'a WorkerId,
     /// How long the caller still waits.
@@ -79,7 +79,7 @@
     /// The worker's load.
     pub load: Option<WorkerLoad>,
     /// For how much longer the worker is slow after its start.
-    pub cold_left: Option<Millis>,
+    pub cold_remaining: Option<Millis>,
     /// How long the worker keeps the connection when idle; `None` if it does not say.
     pub keep_alive: Option<Millis>,
     /// The answer bears the worker's signature.
@@ -124,13 +124,13 @@
 
     /// The head of a request for a worker, from the caller's. The caller's key is not in it, and its tenant only
     /// as it was found here, unless nobody was asked for a key.
-    fn attempt_headers(&self, headers: &HeaderMap, terms: &AttemptTerms<'_>) -> HeaderMap;
+    fn attempt_headers(&self, headers: &HeaderMap, terms: &AttemptContext<'_>) -> HeaderMap;
 
     /// What an item's request says of itself.
     fn item_facts(&self, item: &JobItem) -> RequestFacts;
 
     /// The head of an item's request for a worker.
-    fn item_headers(&self, item: &JobItem, host: &str, terms: &AttemptTerms<'_>) -> HeaderMap;
+    fn item_headers(&self, item: &JobItem, host: &str, terms: &AttemptContext<'_>) -> HeaderMap;
 
     /// Reads what a worker's answer says besides its content.
     fn answer_facts(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
--- a/crates/gateway/src/adapter/metadata.rs
+++ b/crates/gateway/src/adapter/metadata.rs
@@ -47,7 +47,7 @@
         machine: Arc<str>,
     },
     /// One of the product's own keys changed.
-    OwnItem(MetadataItem),
+    InternalItem(MetadataItem),
     /// An item that can't be read. It is skipped; the last version of it stays, but for a worker's record, which then names
     /// no worker.
     Unreadable {
@@ -72,9 +72,9 @@
     /// What a worker without a record means to this node. A record that lapsed for another node is gone for this one
     /// unless its own view allows for a lapse.
     pub fn without_record(worker: WorkerId, state: &KeyState, grace: &RecordGrace) -> Self {
-        match (state, grace.lapsed_until) {
+        match (state, grace.expired_usable_until) {
             (KeyState::Lapsed, Some(until)) => Self::WorkerMissing { worker, until },
-            _ => Self::WorkerGone { worker, usable_until: grace.removed_until },
+            _ => Self::WorkerGone { worker, usable_until: grace.removed_usable_until },
         }
     }
 }
@@ -106,7 +106,7 @@
 
 /// Items that were read, and the revision up to which they are complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ItemsAt {
+pub struct ItemSnapshot {
     /// The items.
     pub items: Vec<MetadataItem>,
     /// The revision.
@@ -125,7 +125,7 @@
     fn get(&self, key: String) -> BoxFuture<'_, Option<MetadataItem>>;
 
     /// Reads all keys. Items may be newer than the revision that comes with them.
-    fn list(&self) -> BoxFuture<'_, Result<ItemsAt, ReadFailure>>;
+    fn list(&self) -> BoxFuture<'_, Result<ItemSnapshot, ReadFailure>>;
 
     /// Reads the records of the storing nodes, which may be some seconds old: enough to find one to ask for the rest.
     fn storage_records(&self) -> BoxFuture<'_, Result<Vec<MetadataItem>, ReadFailure>> {
@@ -133,7 +133,7 @@
     }
 
     /// Waits for up to `wait` until something has changed since a revision.
-    fn changes(&self, since: Revision, wait: Millis) -> BoxFuture<'_, Result<ItemsAt, ReadFailure>>;
+    fn changes(&self, since: Revision, wait: Millis) -> BoxFuture<'_, Result<ItemSnapshot, ReadFailure>>;
 
     /// What an item means; `None` if it concerns nobody here. `grace` holds for workers whose records are missing.
     fn interpret(&self, item: &MetadataItem, grace: &RecordGrace) -> Option<FleetUpdate>;
--- a/crates/gateway/src/batch/job_calls.rs
+++ b/crates/gateway/src/batch/job_calls.rs
@@ -69,15 +69,15 @@
         if let Some(refused) = self.refuse_outside(regions) {
             return refusal::answer(&refused);
         }
-        let received_at = self.view.clock.civil();
+        let received_at = self.view.clock.wall_time();
         let submission = match self.dialect.submission(facts, route, identity.tenant(), body, received_at) {
             Ok(submission) => Submission { configuration_version: version, ..submission },
-            Err(bad) => return refusal::of_kind(ErrorKind::MalformedRequest, &bad.detail),
+            Err(bad) => return refusal::from_kind(ErrorKind::MalformedRequest, &bad.detail),
         };
         let held = facts.deadline.unwrap_or(SUBMIT_WITHIN).min(SUBMIT_WITHIN).min(route.timeout);
         let key = submission.key.clone();
         let items = submission.items.len() as u64;
-        let result = self.client.ask(JobsRequest::Submit(submission), arrived_at + held).await;
+        let result = self.client.send_request(JobsRequest::Submit(submission), arrived_at + held).await;
         self.log_submission(&key, items, &result, arrived_at);
         match result {
             Ok(JobsAnswer::Accepted | JobsAnswer::Ended) => empty(StatusCode::ACCEPTED),
@@ -86,13 +86,13 @@
                 let refused = Refusal::new(ErrorKind::TenantLimit, detail).with_retry_after(OVER_QUOTA_RETRY_AFTER.0);
                 refusal::answer(&refused)
             }
-            Ok(JobsAnswer::KeyTaken) => refusal::of_kind(ErrorKind::KeyConflict, "another job has this id"),
+            Ok(JobsAnswer::KeyTaken) => refusal::from_kind(ErrorKind::KeyConflict, "another job has this id"),
             Ok(JobsAnswer::NoRoom) => {
                 let refused = Refusal::new(ErrorKind::StateUnavailable, "the storing nodes' disks have no room");
                 refusal::answer(&refused.with_retry_after(OVER_QUOTA_RETRY_AFTER.0))
             }
             Ok(JobsAnswer::Indeterminate) => refusal::answer(&refuse_unsure("an earlier try may have taken the job")),
-            Ok(_) => refusal::of_kind(ErrorKind::Internal, "an answer that does not fit a submission"),
+            Ok(_) => refusal::from_kind(ErrorKind::Internal, "an answer that does not fit a submission"),
             Err(no_leader) => refusal::answer(&refuse_without_leader(no_leader)),
         }
     }
@@ -103,21 +103,21 @@
             JobCall::Read { job, first, wait } => {
                 let wait = wait.min(LONGEST_WAIT);
                 let until = arrived_at + wait + CALL_WITHIN;
-                match self.client.ask(JobsRequest::Read { job, first, wait, caller }, until).await {
+                match self.client.send_request(JobsRequest::Read { job, first, wait, caller }, until).await {
                     Ok(JobsAnswer::Page(page)) => whole(self.dialect.result_page(first, &page), "application/json"),
                     other => refuse_call(other),
                 }
             }
             JobCall::Body { job, item } => {
                 let request = JobsRequest::Body { job, item, caller };
-                match self.client.ask(request, arrived_at + CALL_WITHIN).await {
+                match self.client.send_request(request, arrived_at + CALL_WITHIN).await {
                     Ok(JobsAnswer::Body(body)) => whole(Bytes::from(body.to_vec()), "application/octet-stream"),
                     other => refuse_call(other),
                 }
             }
             JobCall::End { job } => {
                 let request = JobsRequest::End { job, caller };
-                match self.client.ask(request, arrived_at + CALL_WITHIN).await {
+                match self.client.send_request(request, arrived_at + CALL_WITHIN).await {
                     Ok(JobsAnswer::Ended | JobsAnswer::Accepted) => empty(StatusCode::OK),
                     // Unlike a read, an end may have taken effect.
                     Err(no_leader) => refusal::answer(&refuse_without_leader(no_leader)),
@@ -172,10 +172,10 @@
 
 fn refuse_call(result: Result<JobsAnswer, NoLeader>) -> Response<AnswerBody> {
     match result {
-        Ok(JobsAnswer::UnknownJob) => refusal::of_kind(ErrorKind::UnknownJob, "there is no such job"),
-        Ok(JobsAnswer::UnknownItem) => refusal::of_kind(ErrorKind::UnknownPath, "no such item without a result"),
-        Ok(_) => refusal::of_kind(ErrorKind::Internal, "an answer that does not fit the call"),
-        Err(_) => refusal::of_kind(ErrorKind::StateUnavailable, "the job table has no leader that answers"),
+        Ok(JobsAnswer::UnknownJob) => refusal::from_kind(ErrorKind::UnknownJob, "there is no such job"),
+        Ok(JobsAnswer::UnknownItem) => refusal::from_kind(ErrorKind::UnknownPath, "no such item without a result"),
+        Ok(_) => refusal::from_kind(ErrorKind::Internal, "an answer that does not fit the call"),
+        Err(_) => refusal::from_kind(ErrorKind::StateUnavailable, "the job table has no leader that answers"),
     }
 }
 
--- a/crates/gateway/src/callers/server.rs
+++ b/crates/gateway/src/callers/server.rs
@@ -20,7 +20,9 @@
 use stallmoor_core::log_event::LogEvent;
 use stallmoor_core::serving::configuration::tenant::CallerIdentity;
 use stallmoor_core::serving::configuration::{CallerBounds, Route, RouteKind};
-use stallmoor_core::serving::online::admission::{self, AdmittedRoute, RequestAddress, START_TIMEOUT, admit_job_call};
+use stallmoor_core::serving::online::admission::{
+    self, AdmittedRoute, CONFIGURATION_TIMEOUT, RequestAddress, admit_job_call,
+};
 use stallmoor_core::serving::regions::AllowedRegions;
 use stallmoor_core::serving::request::RequestFacts;
 use stallmoor_core::time::Timestamp;
@@ -65,7 +67,7 @@
     /// How far a planned stop is.
     pub stop: watch::Receiver<StopPhase>,
     /// Lives as long as any connection does.
-    pub alive: tokio::sync::mpsc::Sender<()>,
+    pub connection_guard: tokio::sync::mpsc::Sender<()>,
 }
 
 impl CallerServer {
@@ -78,7 +80,7 @@
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
-        let _alive = self.alive.clone();
+        let _alive = self.connection_guard.clone();
         // Without it small pieces of an answer leave later; a socket that refuses it is broken, which shows below.
         let _ = stream.set_nodelay(true);
         let bounds = self.bounds();
@@ -140,8 +142,8 @@
 
     /// Reads a request and checks whether it may be served.
     async fn admit(&self, request: Request<Incoming>, arrived_at: Timestamp) -> Result<Admitted, Refusal> {
-        let within = Duration::from_millis(START_TIMEOUT.0);
-        let known = self.workers.view.known_configuration(within).await;
+        let within = Duration::from_millis(CONFIGURATION_TIMEOUT.0);
+        let known = self.workers.view.wait_for_configuration(within).await;
         let configuration = known.ok_or_else(admission::not_configured)?;
         let (parts, body) = request.into_parts();
         let dialect = &self.workers.dialect;
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -41,7 +41,7 @@
     }
 
     /// The time of day. It may jump.
-    pub fn civil(&self) -> UnixMillis {
+    pub fn wall_time(&self) -> UnixMillis {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         UnixMillis(since.map_or(0, |since| since.as_millis() as u64))
     }
--- a/crates/gateway/src/fleet/crash_reports.rs
+++ b/crates/gateway/src/fleet/crash_reports.rs
@@ -13,7 +13,7 @@
 use crate::fleet::fleet_view::{FleetView, read_record};
 
 /// The keys of machines' crash reports begin so.
-pub const CRASH_KEYS: &str = "stallmoor/crashes/";
+pub const CRASH_KEY_PREFIX: &str = "stallmoor/crashes/";
 /// The wait between a crash and the record's write, in milliseconds: one worker that dies takes several requests with
 /// it, and one call of the store is enough for them.
 const GATHER_WAIT: Duration = Duration::from_millis(100);
@@ -30,10 +30,10 @@
 
 /// Writes what this node learns of crashes until the process ends.
 pub async fn report_crashes(view: Arc<FleetView>, metadata: Arc<dyn MetadataStore>, machine: String) {
-    let key = format!("{CRASH_KEYS}{machine}");
+    let key = format!("{CRASH_KEY_PREFIX}{machine}");
     let mut own = OwnRecord { key, written: CrashReport::default(), revision: Revision(0) };
     loop {
-        view.crash_facts_changed().await;
+        view.crashes_changed().await;
         tokio::time::sleep(GATHER_WAIT).await;
         own.write(&view, &*metadata).await;
     }
--- a/crates/gateway/src/fleet/fleet_view.rs
+++ b/crates/gateway/src/fleet/fleet_view.rs
@@ -25,18 +25,18 @@
 
 use crate::adapter::metadata::FleetUpdate;
 use crate::clock::NodeClock;
-use crate::fleet::crash_reports::CRASH_KEYS;
+use crate::fleet::crash_reports::CRASH_KEY_PREFIX;
 use crate::observe::journal::{Field, record};
 use crate::observe::measures;
 
 /// The product's keys of storing nodes begin so.
-pub const STORAGE_KEYS: &str = "stallmoor/storage/";
+pub const STORAGE_KEY_PREFIX: &str = "stallmoor/storage/";
 /// The key of the founding record of the job table's group. It is written once.
 pub const FOUNDING_KEY: &str = "stallmoor/jobs/founding";
 
 /// A worker that died while it ran a request of this node.
 #[derive(Clone, Debug)]
-pub struct SeenCrash {
+pub struct ObservedCrash {
     /// The request's id.
     pub request: Arc<str>,
     /// Its names.
@@ -92,8 +92,8 @@
     }
 
     /// The same view in a fleet of several regions.
-    pub fn in_regions(self, regions: RegionMap) -> Self {
-        let workers = Mutex::new(WorkerTable::in_regions(regions.clone()));
+    pub fn with_regions(self, regions: RegionMap) -> Self {
+        let workers = Mutex::new(WorkerTable::with_regions(regions.clone()));
         Self { regions, workers, ..self }
     }
 
@@ -104,7 +104,7 @@
 
     /// The configuration in force. A node that has just started waits up to `within` for its first view of
     /// the fleet.
-    pub async fn known_configuration(&self, within: Duration) -> Option<Arc<GatewayConfiguration>> {
+    pub async fn wait_for_configuration(&self, within: Duration) -> Option<Arc<GatewayConfiguration>> {
         let mut changes = self.changes();
         let is_known = |_: &u64| self.is_synced() && self.configuration().is_some();
         // Whatever is known by then has to do.
@@ -133,8 +133,8 @@
     }
 
     /// So many gateways exchange loads with each other.
-    pub fn note_gateways(&self, gateways: u32) {
-        lock(&self.size).note(gateways, self.clock.now());
+    pub fn record_gateway_count(&self, gateways: u32) {
+        lock(&self.size).record(gateways, self.clock.now());
     }
 
     /// How many gateways there are, those out of reach included; 0 if nothing is known.
@@ -148,13 +148,13 @@
     }
 
     /// Whether no crash is known of any request.
-    pub fn knows_no_crash(&self) -> bool {
+    pub fn has_no_crashes(&self) -> bool {
         self.crashes().is_empty()
     }
 
     /// For how long a request is to be kept from all workers; `None` if it may run.
     pub fn quarantined_for(&self, keys: RequestKeys) -> Option<Millis> {
-        let now = self.clock.civil();
+        let now = self.clock.wall_time();
         let crashes = self.crashes();
         keys.digests().filter_map(|digest| crashes.quarantined_for(digest, now)).max()
     }
@@ -166,11 +166,11 @@
     }
 
     /// A worker died while it ran a request.
-    pub fn note_crash(&self, crash: &SeenCrash) {
+    pub fn record_crash(&self, crash: &ObservedCrash) {
         for digest in crash.keys.digests() {
             let (quarantine, count) = {
                 let mut crashes = self.crashes();
-                let quarantine = crashes.crashed(digest, crash.worker.clone(), crash.progress, self.clock.civil());
+                let quarantine = crashes.crashed(digest, crash.worker.clone(), crash.progress, self.clock.wall_time());
                 (quarantine, crashes.count(digest))
             };
             let fields = [
@@ -188,8 +188,8 @@
     }
 
     /// A request ran to its end.
-    pub fn note_completion(&self, request: &str, keys: RequestKeys) {
-        let now = self.clock.civil();
+    pub fn record_completion(&self, request: &str, keys: RequestKeys) {
+        let now = self.clock.wall_time();
         for digest in keys.digests() {
             let Some(before) = self.crashes().completed(digest, now) else { continue };
             self.crash_facts.notify_one();
@@ -199,14 +199,14 @@
 
     /// Takes a machine's report of crashes.
     pub fn merge_crashes(&self, report: &CrashReport, is_own: bool) {
-        let quarantines = self.crashes().merge(report, is_own, self.clock.civil());
+        let quarantines = self.crashes().merge(report, is_own, self.clock.wall_time());
         for quarantine in quarantines {
             self.log_quarantine(Some(quarantine));
         }
     }
 
     /// Waits until this node has something new to report of crashes.
-    pub async fn crash_facts_changed(&self) {
+    pub async fn crashes_changed(&self) {
         self.crash_facts.notified().await;
     }
 
@@ -215,7 +215,7 @@
         let fields = [
             Field::text("digest", digest),
             Field::number("crashes", crashes as u64),
-            Field::number("for_ms", until.0.saturating_sub(self.clock.civil().0)),
+            Field::number("for_ms", until.0.saturating_sub(self.clock.wall_time().0)),
         ];
         record(LogEvent::RequestQuarantined, &fields);
     }
@@ -236,7 +236,7 @@
     }
 
     /// The memory of one worker of a service, in tokens; 0 if not known.
-    pub fn worker_memory(&self, service: &str) -> u64 {
+    pub fn worker_cache_tokens(&self, service: &str) -> u64 {
         let configuration = self.configuration();
         configuration.and_then(|known| known.services.get(service).map(|found| found.cache_tokens)).unwrap_or(0)
     }
@@ -246,14 +246,14 @@
         match update {
             FleetUpdate::Configuration(configuration) => self.take_configuration(configuration),
             FleetUpdate::Worker(worker) => {
-                let change = self.workers().take_record(worker.clone(), self.clock.now());
+                let change = self.workers().apply_record(worker.clone(), self.clock.now());
                 log_worker(change, Some(Field::text("address", worker.address)));
             }
             FleetUpdate::WorkerGone { worker, usable_until } => self.remove_worker(worker, *usable_until),
             FleetUpdate::WorkerMissing { worker, until } => self.miss_worker(worker, *until),
             FleetUpdate::ZoneEvacuation { zone, evacuated } => self.evacuate_zone(zone, *evacuated),
             FleetUpdate::Synced => self.is_synced.store(true, Ordering::Relaxed),
-            FleetUpdate::OwnItem(item) => self.take_item(item),
+            FleetUpdate::InternalItem(item) => self.take_item(item),
             FleetUpdate::Unreadable { detail, worker } => {
                 record(LogEvent::RecordUnreadable, &[Field::text("detail", detail)]);
                 if let Some(worker) = worker {
@@ -297,16 +297,16 @@
 
     fn miss_worker(&self, id: &WorkerId, until: Timestamp) {
         let now = self.clock.now();
-        let change = self.workers().miss(id, until, now);
+        let change = self.workers().mark_missing(id, until, now);
         log_worker(change, Some(Field::number("serves_ms", until.since(now).0)));
-        self.workers().forget_gone(now);
+        self.workers().evict_departed(now);
     }
 
     fn remove_worker(&self, id: &WorkerId, usable_until: Timestamp) {
         let now = self.clock.now();
         let change = self.workers().remove(id, usable_until, now);
         log_worker(change, None);
-        self.workers().forget_gone(now);
+        self.workers().evict_departed(now);
     }
 
     fn take_item(&self, item: &MetadataItem) {
@@ -317,13 +317,13 @@
             }
             return;
         }
-        if item.key.starts_with(CRASH_KEYS) {
+        if item.key.starts_with(CRASH_KEY_PREFIX) {
             if let Some(report) = read_record(item) {
                 self.merge_crashes(&report, false);
             }
             return;
         }
-        let Some(name) = item.key.strip_prefix(STORAGE_KEYS) else { return };
+        let Some(name) = item.key.strip_prefix(STORAGE_KEY_PREFIX) else { return };
         match read_record::<StorageRecord>(item) {
             Some(stored) => {
                 let fields = [Field::text("machine", name), Field::text("node", stored.node)];
--- a/crates/gateway/src/fleet/metadata_view.rs
+++ b/crates/gateway/src/fleet/metadata_view.rs
@@ -126,7 +126,7 @@
     }
 
     /// For how long the store has been out of this node's reach.
-    pub fn set_away(&self, away: Millis) {
+    pub fn set_unreachable_for(&self, away: Millis) {
         let now = self.clock.now();
         let since = Timestamp::from_millis(now.as_millis().saturating_sub(away.0));
         self.lock().away_since = (away > Millis(0)).then_some(since);
@@ -186,7 +186,7 @@
     fn has_changes(&self, since: Revision) -> bool {
         let now = self.clock.now();
         let state = self.lock();
-        let is_young = state.mirror.age(now).is_some_and(|age| age < self.bounds.relay_stale());
+        let is_young = state.mirror.age(now).is_some_and(|age| age < self.bounds.max_relay_age());
         is_young && state.mirror.at() > Some(since)
     }
 
--- a/crates/gateway/src/fleet/metadata_watch.rs
+++ b/crates/gateway/src/fleet/metadata_watch.rs
@@ -19,7 +19,7 @@
 use stallmoor_core::time::{Millis, Timestamp};
 use tokio::sync::mpsc::UnboundedSender;
 
-use crate::adapter::metadata::{FleetUpdate, ItemsAt, MetadataStore, ReadFailure};
+use crate::adapter::metadata::{FleetUpdate, ItemSnapshot, MetadataStore, ReadFailure};
 use crate::fleet::fleet_view::FleetView;
 use crate::fleet::metadata_view::MetadataView;
 use crate::fleet::relay_calls::RelayCalls;
@@ -53,7 +53,7 @@
         updates: UnboundedSender<FleetUpdate>,
     ) -> Self {
         let (relay_calls, policy) = (RelayCalls::new(id, fleet.clock), WatchPolicy::new(bounds));
-        let (followed, role, is_synced) = (None, WatchRole::Alone, false);
+        let (followed, role, is_synced) = (None, WatchRole::Standalone, false);
         Self { id, store, fleet, view, relay_calls, policy, updates, followed, role, is_synced }
     }
 
@@ -67,15 +67,15 @@
             measures::view_age(state.age.unwrap_or_default());
             match self.policy.next(state, &relays) {
                 WatchStep::AskRelay { relay, hold, timeout } => self.ask_relay(relay, state.at, hold, timeout).await,
-                WatchStep::SeekRelays => self.seek_relays().await,
+                WatchStep::DiscoverRelays => self.seek_relays().await,
                 WatchStep::ListStore => self.list_store().await,
                 WatchStep::WatchStore { since, wait } => self.watch_store(since, wait).await,
-                WatchStep::Rest(span) => {
+                WatchStep::Wait(span) => {
                     // A question ends the rest early.
                     let _ = self.until_asked(tokio::time::sleep(as_duration(span))).await;
                 }
             }
-            self.view.set_away(self.policy.away(self.fleet.clock.now()));
+            self.view.set_unreachable_for(self.policy.away(self.fleet.clock.now()));
         }
     }
 
@@ -91,7 +91,7 @@
     async fn until_asked<T>(&self, call: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             answer = call => Some(answer),
-            () = self.view.asked(), if self.role.yields_to_questions() => None,
+            () = self.view.asked(), if self.role.yields_to_requests() => None,
         }
     }
 
@@ -104,11 +104,11 @@
         // Without a view, everything since the beginning is wanted.
         let since = since.unwrap_or_default();
         let request = ChangesRequest { since, hold };
-        let call = self.relay_calls.ask(relay, address, request, as_duration(timeout));
+        let call = self.relay_calls.send_request(relay, address, request, as_duration(timeout));
         let Some(answered) = self.until_asked(call).await else { return };
         let now = self.fleet.clock.now();
         match answered {
-            Ok(answer) if answer.is_sound(since) => self.take_answer(relay, answer, asked_at),
+            Ok(answer) if answer.is_valid_for(since) => self.take_answer(relay, answer, asked_at),
             Ok(answer) => {
                 let detail =
                     format!("changes from {:?} to {}, asked from {since}", answer.changes.base, answer.changes.at);
@@ -126,9 +126,9 @@
         match self.store.storage_records().await {
             Ok(records) => {
                 for item in records {
-                    self.fleet.apply(&FleetUpdate::OwnItem(item));
+                    self.fleet.apply(&FleetUpdate::InternalItem(item));
                 }
-                self.policy.relays_sought(begun);
+                self.policy.relays_discovered(begun);
             }
             Err(failure) => self.store_failed(failure, begun),
         }
@@ -177,7 +177,7 @@
         let begun = self.fleet.clock.now();
         measures::store_call("list");
         match self.store.list().await {
-            Ok(ItemsAt { items, at }) => {
+            Ok(ItemSnapshot { items, at }) => {
                 let grace = self.policy.record_grace(self.view.state());
                 self.store_answered();
                 let changed = self.view.replace(items, at, grace.missing_keys(), begun);
@@ -202,7 +202,7 @@
         let store = self.store.clone();
         let Some(result) = self.until_asked(store.changes(since, wait)).await else { return };
         match result {
-            Ok(ItemsAt { items, at }) => {
+            Ok(ItemSnapshot { items, at }) => {
                 let grace = self.policy.record_grace(self.view.state());
                 self.store_answered();
                 let has_changes = !items.is_empty();
@@ -228,7 +228,7 @@
 
     fn store_failed(&mut self, failure: ReadFailure, begun: Timestamp) {
         let ended = self.fleet.clock.now();
-        let call = FailedCall { begun, ended, is_silent: failure == ReadFailure::TimedOut };
+        let call = FailedCall { begun, ended, timed_out: failure == ReadFailure::TimedOut };
         let spread = self.fleet.random().random::<f64>();
         if self.policy.store_failed(self.role, self.view.state(), call, spread) {
             self.send(FleetUpdate::StoreLost { detail: format!("{failure:?}") });
--- a/crates/gateway/src/fleet/relay_calls.rs
+++ b/crates/gateway/src/fleet/relay_calls.rs
@@ -13,7 +13,7 @@
 use stallmoor_core::time::{Millis, Timestamp};
 
 use crate::clock::NodeClock;
-use crate::peers::peer_link::{AskFailure, FollowAnswer, FollowRequest, PeerLinks};
+use crate::peers::peer_link::{FollowAnswer, FollowRequest, PeerCallError, PeerLinks};
 
 /// A relay that gave no answer is asked the older question for this long, in milliseconds: it may be of the version
 /// before, and will be replaced.
@@ -37,7 +37,7 @@
     /// # Errors
     ///
     /// Why there is no answer, for the log.
-    pub(super) async fn ask(
+    pub(super) async fn send_request(
         &self,
         relay: NodeId,
         address: SocketAddr,
@@ -46,13 +46,13 @@
     ) -> Result<ChangesAnswer, String> {
         let now = self.clock.now();
         if self.older().get(&relay).is_some_and(|until| now < *until) {
-            return self.links.ask(address, request, within).await.map_err(describe);
+            return self.links.send_request(address, request, within).await.map_err(describe);
         }
-        match self.links.ask(address, FollowRequest(request), within).await {
+        match self.links.send_request(address, FollowRequest(request), within).await {
             Ok(FollowAnswer::Changes(answer)) => Ok(answer),
             Ok(FollowAnswer::Contents(contents)) => contents.unpack().map_err(|error| error.to_string()),
             Err(failure) => {
-                if failure == AskFailure::NoAnswer {
+                if failure == PeerCallError::NoAnswer {
                     self.older().insert(relay, now + OLDER_QUESTION_FOR);
                 }
                 Err(describe(failure))
@@ -67,9 +67,9 @@
     }
 }
 
-fn describe(failure: AskFailure) -> String {
+fn describe(failure: PeerCallError) -> String {
     match failure {
-        AskFailure::Refused(refusal) => format!("{refusal:?}"),
+        PeerCallError::Refused(refusal) => format!("{refusal:?}"),
         failure => format!("{failure:?}"),
     }
 }
--- a/crates/gateway/src/http/answer_body.rs
+++ b/crates/gateway/src/http/answer_body.rs
@@ -23,14 +23,14 @@
 impl std::error::Error for Aborted {}
 
 /// Sends the pieces of a streamed answer.
-pub type PieceSender = mpsc::Sender<Result<Bytes, Aborted>>;
+pub type ChunkSender = mpsc::Sender<Result<Bytes, Aborted>>;
 
 /// A body that is known whole, or comes in pieces.
 pub enum AnswerBody {
     /// Whole.
     Whole(Option<Bytes>),
     /// In pieces.
-    Pieces(mpsc::Receiver<Result<Bytes, Aborted>>),
+    Chunks(mpsc::Receiver<Result<Bytes, Aborted>>),
 }
 
 impl AnswerBody {
@@ -41,9 +41,9 @@
     }
 
     /// A body in pieces, and where to send them.
-    pub fn pieces() -> (PieceSender, Self) {
+    pub fn channel() -> (ChunkSender, Self) {
         let (sender, receiver) = mpsc::channel(PIECES);
-        (sender, Self::Pieces(receiver))
+        (sender, Self::Chunks(receiver))
     }
 }
 
@@ -54,7 +54,7 @@
     fn poll_frame(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Aborted>>> {
         match &mut *self {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Pieces(receiver) => {
+            Self::Chunks(receiver) => {
                 receiver.poll_recv(context).map(|piece| piece.map(|result| result.map(Frame::data)))
             }
         }
@@ -67,7 +67,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64)),
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Chunks(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/gateway/src/http/refusal.rs
+++ b/crates/gateway/src/http/refusal.rs
@@ -30,6 +30,6 @@
 }
 
 /// The answer for a kind of refusal.
-pub fn of_kind(kind: ErrorKind, detail: &str) -> Response<AnswerBody> {
+pub fn from_kind(kind: ErrorKind, detail: &str) -> Response<AnswerBody> {
     answer(&Refusal::new(kind, detail))
 }
--- a/crates/gateway/src/leader/client.rs
+++ b/crates/gateway/src/leader/client.rs
@@ -8,13 +8,13 @@
 use stallmoor_core::identity::NodeId;
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
 use stallmoor_core::serving::leader::search::{
-    LeaderSearch, LeaderTarget, NoLeader, SearchStep, SearchVerdict, TryOutcome,
+    LeaderSearch, LeaderTarget, NoLeader, SearchDecision, SearchStep, TryOutcome,
 };
 use stallmoor_core::time::{Millis, Timestamp};
 
 use crate::fleet::fleet_view::FleetView;
 use crate::leader::log_unexpected;
-use crate::peers::peer_link::{AskFailure, PeerLinks};
+use crate::peers::peer_link::{PeerCallError, PeerLinks};
 
 /// Finds the leader and asks it.
 pub struct LeaderClient {
@@ -40,27 +40,27 @@
     /// # Errors
     ///
     /// [`NoLeader`]: nobody answered in time.
-    pub async fn ask(&self, request: JobsRequest, until: Timestamp) -> Result<JobsAnswer, NoLeader> {
-        let mut search = LeaderSearch::new(&request, until).after_tries(self.tries.load(Ordering::Relaxed));
+    pub async fn send_request(&self, request: JobsRequest, until: Timestamp) -> Result<JobsAnswer, NoLeader> {
+        let mut search = LeaderSearch::new(&request, until).with_previous_tries(self.tries.load(Ordering::Relaxed));
         loop {
             let step = self.next_step(&mut search);
             self.tries.store(search.tries(), Ordering::Relaxed);
             let (target, timeout) = match step {
-                SearchStep::Ask { target, timeout } => (target, timeout),
+                SearchStep::Send { target, timeout } => (target, timeout),
                 SearchStep::Wait(span) => {
                     sleep(span).await;
                     continue;
                 }
-                SearchStep::GiveUp(failure) => return Err(failure),
+                SearchStep::TimedOut(failure) => return Err(failure),
             };
             let outcome = self.try_node(target, request.clone(), timeout).await;
             match search.tried(target.node, outcome) {
-                SearchVerdict::Done(answer) => {
+                SearchDecision::Done(answer) => {
                     log_unexpected(target.address, &request, &answer);
                     self.set_leader(Some(target.node));
                     return Ok(answer);
                 }
-                SearchVerdict::Retry { leader, wait } => {
+                SearchDecision::Retry { leader, wait } => {
                     self.set_leader(leader);
                     if wait > Millis(0) {
                         sleep(wait).await;
@@ -75,11 +75,11 @@
     }
 
     async fn try_node(&self, target: LeaderTarget, request: JobsRequest, timeout: Millis) -> TryOutcome {
-        match self.links.ask(target.address, request, Duration::from_millis(timeout.0)).await {
+        match self.links.send_request(target.address, request, Duration::from_millis(timeout.0)).await {
             Ok(answer) => TryOutcome::Answered(answer),
-            Err(AskFailure::Refused(refusal)) => TryOutcome::Refused(refusal),
-            Err(AskFailure::NotSent) => TryOutcome::NotSent,
-            Err(AskFailure::NoAnswer) => TryOutcome::NoAnswer,
+            Err(PeerCallError::Refused(refusal)) => TryOutcome::Refused(refusal),
+            Err(PeerCallError::NotSent) => TryOutcome::NotSent,
+            Err(PeerCallError::NoAnswer) => TryOutcome::NoAnswer,
         }
     }
 
--- a/crates/gateway/src/leader/load_exchange.rs
+++ b/crates/gateway/src/leader/load_exchange.rs
@@ -21,13 +21,13 @@
     let mut schedule = LoadSchedule::default();
     let exchange = LoadExchange { view: view.clone(), jobs, links: PeerLinks::new(id) };
     loop {
-        let own = own_report(&view, &mut rate);
+        let own = local_report(&view, &mut rate);
         let partner = schedule.partner(&view.storage(), &view.zone, id, view.clock.now());
         match exchange.exchange(partner, own.clone()).await {
             Some(gathered) => {
                 schedule.answered(partner, &gathered);
                 view.workers().apply_report(&gathered, view.clock.now());
-                view.note_gateways(gathered.nodes + 1);
+                view.record_gateway_count(gathered.nodes + 1);
             }
             None => schedule.failed(partner, view.clock.now()),
         }
@@ -35,12 +35,12 @@
     }
 }
 
-fn own_report(view: &FleetView, rate: &mut PlacementRate) -> LoadReport {
+fn local_report(view: &FleetView, rate: &mut PlacementRate) -> LoadReport {
     let now = view.clock.now();
     let workers = view.workers();
     let placed_per_s = rate.sample(workers.placed(), now);
     let reporters = view.gateways();
-    LoadReport { workers: workers.own_report(now), placed_per_s, reporters, ..LoadReport::default() }
+    LoadReport { workers: workers.local_report(now), placed_per_s, reporters, ..LoadReport::default() }
 }
 
 /// The calls of an exchange.
@@ -61,7 +61,7 @@
 
     async fn ask_leader(&self, own: LoadReport) -> Option<LoadReport> {
         let until = self.view.clock.now() + EXCHANGE_TIMEOUT;
-        match self.jobs.client.ask(JobsRequest::ReportLoad(own), until).await {
+        match self.jobs.client.send_request(JobsRequest::ReportLoad(own), until).await {
             Ok(JobsAnswer::Loads(gathered)) => Some(gathered),
             // The client has logged a wrong answer; without a leader loads age out.
             Ok(_) | Err(_) => None,
@@ -72,7 +72,7 @@
         let address = self.view.storage().of_node(aggregator).map(|record| record.address)?;
         let within = Duration::from_millis(EXCHANGE_TIMEOUT.0);
         let request = JobsRequest::AggregateLoad(own);
-        match self.links.ask(address, request.clone(), within).await {
+        match self.links.send_request(address, request.clone(), within).await {
             Ok(JobsAnswer::Loads(gathered)) => Some(gathered),
             Ok(answer) => {
                 log_unexpected(address, &request, &answer);
--- a/crates/gateway/src/leader/rate_limits.rs
+++ b/crates/gateway/src/leader/rate_limits.rs
@@ -8,7 +8,7 @@
 use stallmoor_core::serving::configuration::tenant::{CallerIdentity, RateLimit, TenantName};
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
 use stallmoor_core::serving::quota::limiter::{
-    Admission, DUE_CHECK_INTERVAL, FIRST_ANSWER_WAIT, OverLimit, REPORT_TIMEOUT, RateLimiter, TenantAsk,
+    Admission, AdmissionRequest, FIRST_ANSWER_TIMEOUT, OverLimit, REPORT_CHECK_INTERVAL, REPORT_TIMEOUT, RateLimiter,
 };
 use stallmoor_core::serving::quota::message::QuotaReport;
 use stallmoor_core::time::Timestamp;
@@ -48,7 +48,7 @@
         if admission == Admission::AwaitLevel {
             self.report_needed.notify_one();
             // Without an answer this gateway's own part of the limit has to do.
-            let _ = tokio::time::timeout(Duration::from_millis(FIRST_ANSWER_WAIT.0), reports.changed()).await;
+            let _ = tokio::time::timeout(Duration::from_millis(FIRST_ANSWER_TIMEOUT.0), reports.changed()).await;
             admission = self.decide(tenant, limit, true);
         }
         match admission {
@@ -63,10 +63,10 @@
 
     fn decide(&self, tenant: &TenantName, limit: RateLimit, has_waited: bool) -> Admission {
         let drawn = self.view.random().random();
-        let ask = TenantAsk { tenant, limit, has_waited };
+        let ask = AdmissionRequest { tenant, limit, has_waited };
         let now = self.view.clock.now();
         let mut limiter = self.limiter();
-        limiter.note_gateways(self.view.gateways(), now);
+        limiter.record_gateway_count(self.view.gateways(), now);
         limiter.admit(&ask, drawn, now)
     }
 
@@ -85,7 +85,7 @@
         let is_idle = self.limiter().is_idle();
         tokio::select! {
             () = self.report_needed.notified() => {}
-            () = tokio::time::sleep(Duration::from_millis(DUE_CHECK_INTERVAL.0)), if !is_idle => {}
+            () = tokio::time::sleep(Duration::from_millis(REPORT_CHECK_INTERVAL.0)), if !is_idle => {}
         }
     }
 }
@@ -99,7 +99,7 @@
         let Some(report) = limits.due_report(last) else { continue };
         last = clock.now();
         let request = JobsRequest::ReportQuota(report.clone());
-        match jobs.client.ask(request, last + REPORT_TIMEOUT).await {
+        match jobs.client.send_request(request, last + REPORT_TIMEOUT).await {
             // Its levels count from the answer's arrival.
             Ok(JobsAnswer::Quota(levels)) => limits.limiter().apply(&report, &levels, clock.now()),
             // The gateway's own part of the limits has to do. The client has logged a wrong answer.
@@ -112,6 +112,6 @@
 fn refuse(tenant: &TenantName, over: OverLimit) -> Refusal {
     measures::rate_refused();
     let age = over.age.map_or_else(|| "never told".to_owned(), |age| format!("told {} ms ago", age.0));
-    let detail = format!("the tenant {tenant} has {:.2} requests left at this gateway, {age}", over.left);
+    let detail = format!("the tenant {tenant} has {:.2} requests left at this gateway, {age}", over.remaining);
     Refusal::new(ErrorKind::RateExceeded, detail).with_retry_after(over.retry_after.0)
 }
--- a/crates/gateway/src/observe/measures.rs
+++ b/crates/gateway/src/observe/measures.rs
@@ -22,7 +22,7 @@
 
 /// A metric and its meaning.
 #[derive(Clone, Copy, Debug)]
-pub struct Measure {
+pub struct Metric {
     /// Its name.
     pub name: &'static str,
     /// Its kind: counter, gauge or histogram.
@@ -38,8 +38,8 @@
         $(const $constant: &str = $name;)*
 
         /// Every measure, in the order of `docs/METRICS.md`.
-        pub const ALL: &[Measure] =
-            &[$(Measure { name: $name, kind: $kind, labels: $labels, meaning: $meaning },)*];
+        pub const ALL: &[Metric] =
+            &[$(Metric { name: $name, kind: $kind, labels: $labels, meaning: $meaning },)*];
     };
 }
 
--- a/crates/gateway/src/online/mod.rs
+++ b/crates/gateway/src/online/mod.rs
@@ -23,14 +23,14 @@
 use stallmoor_core::serving::configuration::tenant::CallerIdentity;
 use stallmoor_core::serving::crashes::{RequestContent, RequestKeys};
 use stallmoor_core::serving::online::attempt::AttemptEnd;
-use stallmoor_core::serving::online::request_state::{GiveUp, RequestState};
+use stallmoor_core::serving::online::request_state::{RefusalReason, RequestState};
 use stallmoor_core::serving::regions::AllowedRegions;
 use stallmoor_core::serving::request::RequestFacts;
-use stallmoor_core::serving::workers::{Choice, WorkerAsk, WorkerLife};
+use stallmoor_core::serving::workers::{Choice, WorkerIncarnation, WorkerQuery};
 use stallmoor_core::time::{Millis, Timestamp};
 use tokio::task::JoinHandle;
 
-use crate::adapter::dialect::AttemptTerms;
+use crate::adapter::dialect::AttemptContext;
 use crate::http::answer_body::{Aborted, AnswerBody};
 use crate::http::refusal;
 use crate::workers::attempt::{Attempt, OpenAnswer, WorkerClient};
@@ -79,7 +79,7 @@
 pub async fn serve(client: Arc<WorkerClient>, request: OnlineRequest) -> Response<AnswerBody> {
     let drawn = request.route.draw_service(&mut *client.view.random()).cloned();
     let Some(service) = drawn else {
-        return refusal::of_kind(ErrorKind::NoEngine, "the route leads to no service");
+        return refusal::from_kind(ErrorKind::NoEngine, "the route leads to no service");
     };
     client.view.retry_budget().deposit();
     let state = RequestState::new(request.route.clone(), &request.facts, request.arrived_at);
@@ -116,19 +116,19 @@
         loop {
             self.check_quarantine().await?;
             self.state.check_time(self.now())?;
-            let choice = self.choose_or_wait().await.ok_or_else(|| self.state.refusal(GiveUp::NoWorker))?;
+            let choice = self.choose_or_wait().await.ok_or_else(|| self.state.refusal(RefusalReason::NoWorker))?;
             if let Some(refused) = self.shed(&choice) {
                 return Err(refused);
             }
             match self.attempt(choice).await {
                 Ok(answer) => {
-                    let Some(end) = self.state.failure_of(answer.status.as_u16()) else { return Ok(answer) };
+                    let Some(end) = self.state.server_failure(answer.status.as_u16()) else { return Ok(answer) };
                     self.end_attempt(&answer.worker, end);
-                    if !self.state.may_try_again() {
+                    if !self.state.may_retry() {
                         return Ok(answer);
                     }
                 }
-                Err(end) if !self.state.may_try_again() => return Err(self.state.refusal(GiveUp::LastAttempt(end))),
+                Err(end) if !self.state.may_retry() => return Err(self.state.refusal(RefusalReason::LastAttempt(end))),
                 Err(_) => {}
             }
         }
@@ -138,7 +138,7 @@
     /// worker is awaited first.
     async fn check_quarantine(&mut self) -> Result<(), Refusal> {
         let view = self.client.view.clone();
-        if self.crash_check.is_none() && view.knows_no_crash() {
+        if self.crash_check.is_none() && view.has_no_crashes() {
             return Ok(());
         }
         let keys = self.keys;
@@ -154,7 +154,7 @@
     async fn choose_or_wait(&self) -> Option<Choice> {
         let chosen = self.choose();
         let now = self.now();
-        if chosen.is_some() || !self.client.view.workers().awaits_permit(&self.ask(), now) {
+        if chosen.is_some() || !self.client.view.workers().needs_permit(&self.ask(), now) {
             return chosen;
         }
         self.client.permits.answered().await;
@@ -167,14 +167,14 @@
         let now = self.now();
         let mut random = view.random();
         let workers = view.workers();
-        if workers.has_cold(now) {
+        if workers.has_cold_workers(now) {
             self.client.permits.want(workers.wanted_permits(&ask, now, &mut *random));
         }
         workers.choose(&ask, now, &mut *random)
     }
 
-    fn ask(&self) -> WorkerAsk<'_> {
-        WorkerAsk {
+    fn ask(&self) -> WorkerQuery<'_> {
+        WorkerQuery {
             service: &self.service,
             zone: &self.client.view.zone,
             prefix: &self.request.facts.prefix,
@@ -190,14 +190,14 @@
             return None;
         }
         let view = &self.client.view;
-        let first_after = view.workers().expected_first(&self.service, choice)?;
+        let first_after = view.workers().expected_time_to_first_event(&self.service, choice)?;
         self.state.shed(choice, first_after, self.now(), &mut *view.random())
     }
 
     /// Sends the request to a worker and waits for the head of its answer.
     async fn attempt(&mut self, choice: Choice) -> Result<OpenAnswer, AttemptEnd> {
         let worker = choice.id.clone();
-        self.state.chosen_among(choice.candidates);
+        self.state.set_candidate_count(choice.candidates);
         let timeout = self.head_timeout();
         self.last_choice = Some(choice.clone());
         self.watch_run(choice.clone());
@@ -216,7 +216,7 @@
 
     fn attempt_at(&self, choice: Choice) -> Attempt {
         let request = &self.request;
-        let terms = AttemptTerms {
+        let terms = AttemptContext {
             worker: &choice.id,
             remaining: self.state.worker_deadline(self.now()),
             after_event: self.state.progress.last_event,
@@ -237,7 +237,7 @@
     }
 
     /// An attempt ended whose worker had begun to answer.
-    fn end_attempt(&mut self, worker: &WorkerLife, end: AttemptEnd) {
+    fn end_attempt(&mut self, worker: &WorkerIncarnation, end: AttemptEnd) {
         self.client.view.workers().attempt_ended(worker, end, self.now());
         self.log_attempt(&worker.id, end);
         self.state.attempt_ended(&worker.id, end, &mut self.client.view.retry_budget());
@@ -259,7 +259,7 @@
     fn run_ended(&mut self, end: AttemptEnd) {
         let Some(run) = self.run.take() else { return };
         match end {
-            AttemptEnd::Broken | AttemptEnd::Silent => self.crash_check = run.broke_off(),
+            AttemptEnd::Broken | AttemptEnd::Silent => self.crash_check = run.interrupted(),
             AttemptEnd::NotConnected | AttemptEnd::NotRun { .. } | AttemptEnd::Failed { .. } => run.ended(),
         }
     }
@@ -269,12 +269,12 @@
         if let Some(run) = self.run.take() {
             run.ended();
         }
-        self.client.view.note_completion(&self.request.facts.id, self.keys);
+        self.client.view.record_completion(&self.request.facts.id, self.keys);
     }
 
     fn head_timeout(&self) -> Duration {
         let view = &self.client.view;
-        let mean_first = view.workers().mean_first_event();
+        let mean_first = view.workers().mean_time_to_first_event();
         let timeout = self.state.head_timeout(&view.retry_budget(), mean_first, self.now());
         Duration::from_millis(timeout.0)
     }
@@ -286,7 +286,7 @@
             Err(Aborted) => {
                 self.run_ended(AttemptEnd::Broken);
                 self.log_end("broken off");
-                return refusal::of_kind(ErrorKind::AnswerIncomplete, "the worker broke off its answer");
+                return refusal::from_kind(ErrorKind::AnswerIncomplete, "the worker broke off its answer");
             }
         };
         self.log_end(answer.status.as_str());
--- a/crates/gateway/src/online/records.rs
+++ b/crates/gateway/src/online/records.rs
@@ -30,7 +30,7 @@
             Field::number("load", choice.load),
             Field::number("held_tokens", choice.cached_tokens),
             Field::number("candidates", choice.candidates as u64),
-            Field::text("standing", choice.standing.name()),
+            Field::text("standing", choice.availability.name()),
         ]
     }
 
--- a/crates/gateway/src/online/stream.rs
+++ b/crates/gateway/src/online/stream.rs
@@ -10,13 +10,13 @@
 use hyper::Response;
 use hyper::header::CONTENT_LENGTH;
 use stallmoor_core::serving::online::attempt::AttemptEnd;
-use stallmoor_core::serving::online::event_stream::{EventSplitter, WholeEvent};
+use stallmoor_core::serving::online::event_stream::{EventSplitter, ServerSentEvent};
 use stallmoor_core::serving::online::request_state::ResumeRounds;
 use stallmoor_core::serving::online::timeouts::AwaitedEvent;
 use stallmoor_core::time::{Millis, Timestamp};
 
 use super::Passage;
-use crate::http::answer_body::{Aborted, AnswerBody, PieceSender};
+use crate::http::answer_body::{Aborted, AnswerBody, ChunkSender};
 use crate::workers::attempt::OpenAnswer;
 
 /// How a stream from one worker ended.
@@ -30,7 +30,7 @@
 impl Passage {
     /// Answers with a stream that is passed on as it comes.
     pub(super) fn stream(mut self, answer: OpenAnswer) -> Response<AnswerBody> {
-        let (sender, body) = AnswerBody::pieces();
+        let (sender, body) = AnswerBody::channel();
         let mut response = Response::new(body);
         *response.status_mut() = answer.status;
         *response.headers_mut() = self.client.dialect.answer_headers(&answer.headers);
@@ -39,7 +39,7 @@
         response
     }
 
-    async fn pass_on(&mut self, answer: OpenAnswer, sender: &PieceSender) {
+    async fn pass_on(&mut self, answer: OpenAnswer, sender: &ChunkSender) {
         let mut current = answer;
         let mut how = "broken off";
         loop {
@@ -86,7 +86,7 @@
     }
 
     /// Passes on whole events until the stream ends, breaks, pauses for too long, or the caller leaves.
-    async fn pass_on_from(&mut self, mut answer: OpenAnswer, sender: &PieceSender) -> StreamEnd {
+    async fn pass_on_from(&mut self, mut answer: OpenAnswer, sender: &ChunkSender) -> StreamEnd {
         let mut splitter = EventSplitter::default();
         let mut first = true;
         let mut began = None;
@@ -123,10 +123,10 @@
         }
     }
 
-    async fn pass_on_events(&mut self, events: Vec<WholeEvent>, sender: &PieceSender) -> Result<(), StreamEnd> {
-        let taken = self.state.progress.take(events, self.state.may_run_again());
+    async fn pass_on_events(&mut self, events: Vec<ServerSentEvent>, sender: &ChunkSender) -> Result<(), StreamEnd> {
+        let taken = self.state.progress.take(events, self.state.is_retryable());
         if let (Some(run), Some(event)) = (&mut self.run, self.state.progress.last_event) {
-            run.progressed(event);
+            run.record_progress(event);
         }
         if !taken.bytes.is_empty() {
             self.send(taken.bytes, sender).await?;
@@ -134,7 +134,7 @@
         if taken.has_gap { Err(StreamEnd::Broken(AttemptEnd::Broken)) } else { Ok(()) }
     }
 
-    async fn send(&self, piece: Vec<u8>, sender: &PieceSender) -> Result<(), StreamEnd> {
+    async fn send(&self, piece: Vec<u8>, sender: &ChunkSender) -> Result<(), StreamEnd> {
         let left = Duration::from_millis(self.state.remaining(self.now()).0);
         match tokio::time::timeout(left, sender.send(Ok(Bytes::from(piece)))).await {
             Ok(Ok(())) => Ok(()),
@@ -153,9 +153,9 @@
 
     /// A stream that was read from its first event on took up its slot since then.
     fn note_slot_time(&self, began: Option<Timestamp>) {
-        if let Some(began) = began.filter(|_| self.state.is_undivided()) {
+        if let Some(began) = began.filter(|_| self.state.was_served_by_one_worker()) {
             let took = self.now().since(began);
-            self.client.view.workers().service_times(&self.service).note_in_slot(took);
+            self.client.view.workers().service_times(&self.service).record_slot_time(took);
         }
     }
 
@@ -163,9 +163,9 @@
     fn event_timeout(&self, is_first: bool, sent_at: Timestamp) -> Duration {
         let view = &self.client.view;
         let awaited = if is_first && self.state.progress.events == 0 {
-            AwaitedEvent::First { sent_at, mean_first: view.workers().mean_first_event() }
+            AwaitedEvent::First { sent_at, mean_first: view.workers().mean_time_to_first_event() }
         } else {
-            AwaitedEvent::Further
+            AwaitedEvent::Next
         };
         let timeout = self.state.event_timeout(&view.retry_budget(), awaited, self.now());
         Duration::from_millis(timeout.0)
--- a/crates/gateway/src/peers/peer_link.rs
+++ b/crates/gateway/src/peers/peer_link.rs
@@ -39,7 +39,7 @@
 
 /// Why a request brought no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AskFailure {
+pub enum PeerCallError {
     /// The node answered that it won't serve the request.
     Refused(GroupRefusal),
     /// The request was not sent.
@@ -189,19 +189,19 @@
     ///
     /// # Errors
     ///
-    /// [`AskFailure`]: the node refused, or there is no answer.
-    pub async fn ask<R: PeerRequest>(
+    /// [`PeerCallError`]: the node refused, or there is no answer.
+    pub async fn send_request<R: PeerRequest>(
         &self,
         to: SocketAddr,
         request: R,
         within: Duration,
-    ) -> Result<R::Answer, AskFailure> {
+    ) -> Result<R::Answer, PeerCallError> {
         let body = self.exchange(to, request.into_body(), within).await?;
         R::answer_of(body).ok_or_else(|| {
             // It counts as none; the line tells a faulty peer from a silent one.
             let detail = "an answer that does not belong to its request";
             record(LogEvent::MessageRefused, &[Field::text("peer", to), Field::text("detail", detail)]);
-            AskFailure::NoAnswer
+            PeerCallError::NoAnswer
         })
     }
 
@@ -210,7 +210,7 @@
         to: SocketAddr,
         body: GroupRequestBody,
         within: Duration,
-    ) -> Result<GroupAnswerBody, AskFailure> {
+    ) -> Result<GroupAnswerBody, PeerCallError> {
         let id = self.next_id();
         let message = PeerMessage::GroupRequest(GroupRequest { id, from: self.id, group: JOBS_GROUP, body });
         let frame = encode(&message);
@@ -220,15 +220,15 @@
         lock(&link.pending).insert(id, answer_sender);
         let _forget = ForgetPending { pending: link.pending.clone(), id };
         if link.queue.try_send(Outgoing { frame, sent: Some(sent_sender) }).is_err() {
-            return Err(AskFailure::NotSent);
+            return Err(PeerCallError::NotSent);
         }
         match tokio::time::timeout(within, answer).await {
-            Ok(Ok(GroupAnswer { result, .. })) => result.map_err(AskFailure::Refused),
+            Ok(Ok(GroupAnswer { result, .. })) => result.map_err(PeerCallError::Refused),
             _ => {
                 // Refuse to send it any more, unless it has gone already.
                 sent.close();
                 let was_sent = sent.try_recv().is_ok();
-                Err(if was_sent { AskFailure::NoAnswer } else { AskFailure::NotSent })
+                Err(if was_sent { PeerCallError::NoAnswer } else { PeerCallError::NotSent })
             }
         }
     }
--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinHandle;
 
 use super::ProcessError;
-use super::parts::{NodeParts, fresh_identity, log_start, open_listener, start_measures};
+use super::parts::{NodeComponents, log_start, new_node_id, open_listener, start_metrics};
 use super::reload::wait_for_stop;
 use super::settings::ServingSettings;
 use super::signals::ProcessSignals;
@@ -44,9 +44,9 @@
 ) -> Result<(), ProcessError> {
     let callers = settings.listen.callers.ok_or(ProcessError::Lacking { field: "listen.callers" })?;
     let readiness = settings.listen.readiness.ok_or(ProcessError::Lacking { field: "listen.readiness" })?;
-    start_measures(settings)?;
-    let parts = NodeParts::new(settings, adapter);
-    let id = fresh_identity();
+    start_metrics(settings)?;
+    let parts = NodeComponents::new(settings, adapter);
+    let id = new_node_id();
     parts.follow_metadata(id, settings, adapter, None);
     let calls = LeaderCalls::start(&parts.view, id, settings, adapter);
     tokio::spawn(exchange_permits(parts.workers.clone(), id));
@@ -90,12 +90,12 @@
 
 impl ServingGateway {
     /// Starts to take connections, and to answer whether the gateway is ready.
-    fn start(parts: &NodeParts, calls: LeaderCalls, callers: TcpListener, readiness: TcpListener) -> Self {
+    fn start(parts: &NodeComponents, calls: LeaderCalls, callers: TcpListener, readiness: TcpListener) -> Self {
         let (stop, stopping) = watch::channel(StopPhase::Serving);
-        let (alive, all_closed) = mpsc::channel(1);
+        let (connection_guard, all_closed) = mpsc::channel(1);
         let LeaderCalls { jobs, limits } = calls;
         let workers = parts.workers.clone();
-        let server = CallerServer { workers, jobs, limits, stop: stopping.clone(), alive };
+        let server = CallerServer { workers, jobs, limits, stop: stopping.clone(), connection_guard };
         let accepting = tokio::spawn(Arc::new(server).run(callers));
         let view = parts.view.clone();
         let is_ready = move || *stopping.borrow() == StopPhase::Serving && view.configuration().is_some();
@@ -109,7 +109,7 @@
         let ends_at = tokio::time::Instant::now() + Duration::from_millis(times.ends_after.0);
         // Whoever takes the phase is gone only with the last connection.
         let _ = self.stop.send(StopPhase::Leaving);
-        tokio::time::sleep(Duration::from_millis(times.leaving.0)).await;
+        tokio::time::sleep(Duration::from_millis(times.drain_period.0)).await;
         self.accepting.abort();
         let _ = self.stop.send(StopPhase::Closing);
         // What is open when the time is over is cut off by the end of the process.
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -9,7 +9,7 @@
 //! | [`signals`] | the signals that a process gets |
 //! | `parts` | the parts that both kinds of process have |
 //! | `gateway` | a gateway's start and planned stop |
-//! | `storing` | a storing node's start and planned stop |
+//! | `storage_node` | a storing node's start and planned stop |
 //! | `reload` | reading the settings again at a signal |
 
 mod gateway;
@@ -17,12 +17,12 @@
 mod reload;
 pub mod settings;
 pub mod signals;
-mod storing;
+mod storage_node;
 
 pub use gateway::run_gateway;
 use snafu::Snafu;
 use stallmoor_storage::StorageError;
-pub use storing::run_storage;
+pub use storage_node::run_storage;
 
 /// Why a process ends.
 #[derive(Debug, Snafu)]
--- a/crates/gateway/src/process/parts.rs
+++ b/crates/gateway/src/process/parts.rs
@@ -28,7 +28,7 @@
 use crate::workers::permits::PermitRequests;
 
 /// What a node knows of the fleet, and its way to workers.
-pub(super) struct NodeParts {
+pub(super) struct NodeComponents {
     /// The configuration in force, the workers, the storing nodes.
     pub(super) view: Arc<FleetView>,
     /// The metadata store's contents, which other nodes may ask for.
@@ -37,11 +37,11 @@
     pub(super) workers: Arc<WorkerClient>,
 }
 
-impl NodeParts {
+impl NodeComponents {
     /// The parts of a node that knows nothing yet.
     pub(super) fn new(settings: &ServingSettings, adapter: &dyn PlatformAdapter) -> Self {
         let zone = Arc::from(settings.node.zone.as_str());
-        let view = Arc::new(FleetView::new(NodeClock::start(), zone, draw()).in_regions(settings.regions()));
+        let view = Arc::new(FleetView::new(NodeClock::start(), zone, random_u64()).with_regions(settings.regions()));
         let metadata = Arc::new(MetadataView::new(view.clock, settings.metadata.watch_bounds()));
         let connections = Arc::new(ConnectionPool::new(view.clock));
         let permits = Arc::new(PermitRequests::default());
@@ -85,7 +85,7 @@
 }
 
 /// Serves figures where the settings name a port for them.
-pub(super) fn start_measures(settings: &ServingSettings) -> Result<(), ProcessError> {
+pub(super) fn start_metrics(settings: &ServingSettings) -> Result<(), ProcessError> {
     if let Some(address) = settings.metrics_address() {
         measures::start();
         tokio::spawn(measures::serve(open_listener(address)?));
@@ -99,13 +99,13 @@
 }
 
 /// A number from the system's source of randomness.
-pub(super) fn draw() -> u64 {
+pub(super) fn random_u64() -> u64 {
     Xoshiro256PlusPlus::from_os_rng().random()
 }
 
 /// An identity that no other node has; 0 stands for none on the wire.
-pub(super) fn fresh_identity() -> NodeId {
-    NodeId(draw().max(1))
+pub(super) fn new_node_id() -> NodeId {
+    NodeId(random_u64().max(1))
 }
 
 /// Logs that the node is up.
--- a/crates/gateway/src/process/storing.rs
+++ b/crates/gateway/src/process/storage_node.rs
@@ -12,12 +12,12 @@
 use stallmoor_core::serving::jobs::disk_budget::DiskBudget;
 use stallmoor_core::serving::jobs::node::JobsNode;
 use stallmoor_core::serving::jobs::table::JobTable;
-use stallmoor_core::serving::stopping::HAND_OVER_TIMEOUT;
+use stallmoor_core::serving::stopping::LEADERSHIP_TRANSFER_TIMEOUT;
 use stallmoor_core::time::Timestamp;
 use stallmoor_storage::{FolderOwner, ReplicaFolder, ReplicaLog};
 use tokio::sync::{mpsc, watch};
 
-use super::parts::{NodeParts, draw, fresh_identity, log_start, open_listener, start_measures};
+use super::parts::{NodeComponents, log_start, new_node_id, open_listener, random_u64, start_metrics};
 use super::reload::wait_for_stop;
 use super::settings::ServingSettings;
 use super::signals::ProcessSignals;
@@ -45,8 +45,8 @@
     signals: ProcessSignals,
 ) -> Result<(), ProcessError> {
     let folder = settings.node.data_folder.as_deref().ok_or(ProcessError::Lacking { field: "node.data_folder" })?;
-    start_measures(settings)?;
-    let parts = NodeParts::new(settings, adapter);
+    start_metrics(settings)?;
+    let parts = NodeComponents::new(settings, adapter);
     let replica = OpenReplica::open(folder, settings, parts.view.clock.now())?;
     let (stop, stopping) = watch::channel(false);
     let service = start_service(replica, parts, settings, adapter, stopping)?;
@@ -60,7 +60,7 @@
     record(LogEvent::NodeStopping, &[]);
     // The service holds the receiver until it ends.
     let _ = stop.send(true);
-    if let Ok(ended) = tokio::time::timeout(Duration::from_millis(HAND_OVER_TIMEOUT.0), service).await {
+    if let Ok(ended) = tokio::time::timeout(Duration::from_millis(LEADERSHIP_TRANSFER_TIMEOUT.0), service).await {
         ended.context(DiskSnafu)?;
     }
     record(LogEvent::NodeStopped, &[]);
@@ -80,7 +80,7 @@
         let owner = FolderOwner {
             peer_address: settings.peer_address().to_string(),
             adopt: false,
-            fresh_identity: fresh_identity(),
+            fresh_identity: new_node_id(),
         };
         let is_readable = |state: &[u8]| JobTable::decode(state).is_some();
         let mut opened = ReplicaFolder::open(folder, &owner, is_readable).context(DiskSnafu)?;
@@ -89,7 +89,7 @@
         }
         let log = opened.take(JOBS_GROUP).context(DiskSnafu)?;
         let (id, persisted) = (opened.identity, log.contents().clone());
-        let node = JobsNode::new(id, ReplicaSettings::default(), persisted, now, draw());
+        let node = JobsNode::new(id, ReplicaSettings::default(), persisted, now, random_u64());
         Ok(Self { id, node: node.ok_or(ProcessError::UnreadableTable)?, log })
     }
 }
@@ -103,7 +103,7 @@
 /// Starts the tasks that the service gets its inputs from.
 fn start_service(
     replica: OpenReplica,
-    parts: NodeParts,
+    parts: NodeComponents,
     settings: &ServingSettings,
     adapter: &dyn PlatformAdapter,
     stop: watch::Receiver<bool>,
@@ -121,7 +121,7 @@
     let tolerated = settings.tolerance.replicas();
     // Not bounded: one message is sent in all.
     let (founders, founding) = mpsc::unbounded_channel();
-    tokio::spawn(registration::found(parts.view.clone(), adapter.metadata(), id, tolerated, founders));
+    tokio::spawn(registration::bootstrap_group(parts.view.clone(), adapter.metadata(), id, tolerated, founders));
     let parts = StorageParts {
         node,
         id,
--- a/crates/gateway/src/storage/item_run.rs
+++ b/crates/gateway/src/storage/item_run.rs
@@ -18,7 +18,7 @@
 
 use tokio::sync::Notify;
 
-use crate::adapter::dialect::{AttemptTerms, Dialect};
+use crate::adapter::dialect::{AttemptContext, Dialect};
 use crate::workers::attempt::{Attempt, InFlight, OpenAnswer, WorkerClient};
 use crate::workers::crash_check::{RunWatch, WorkerRun};
 
@@ -45,13 +45,13 @@
     pub async fn run(self, client: &Arc<WorkerClient>, in_flight: InFlight) -> (RunEnd, PartialOutput) {
         let mut watch = self.watch(client);
         let end = self.try_run(client, in_flight).await;
-        watch.progressed(self.output().last_event.unwrap_or(0));
+        watch.record_progress(self.output().last_event.unwrap_or(0));
         match end {
             // The run's report doesn't wait for the look at the worker.
             RunEnd::BrokenOff | RunEnd::Paused => drop(watch),
             RunEnd::Completed => {
                 watch.ended();
-                self.note_completion(client);
+                self.record_completion(client);
             }
             RunEnd::Impossible | RunEnd::Failed | RunEnd::NotRun => watch.ended(),
         }
@@ -70,9 +70,9 @@
     }
 
     /// Items are seldom the same one, so ends before any crash say little.
-    fn note_completion(&self, client: &WorkerClient) {
-        if !client.view.knows_no_crash() {
-            client.view.note_completion(&self.item.id, self.keys(client));
+    fn record_completion(&self, client: &WorkerClient) {
+        if !client.view.has_no_crashes() {
+            client.view.record_completion(&self.item.id, self.keys(client));
         }
     }
 
@@ -86,7 +86,7 @@
 
     async fn try_run(&self, client: &WorkerClient, in_flight: InFlight) -> RunEnd {
         let Ok(target) = self.item.path.parse::<Uri>() else { return RunEnd::Impossible };
-        let terms = AttemptTerms {
+        let terms = AttemptContext {
             worker: &self.choice.id,
             remaining: None,
             after_event: self.output().last_event,
@@ -108,11 +108,11 @@
             () = pause.notified() => return RunEnd::Paused,
         };
         match opened {
-            Ok(answer) => match RunEnd::of_status(answer.status.as_u16()) {
+            Ok(answer) => match RunEnd::from_status(answer.status.as_u16()) {
                 Some(end) => end,
                 None => self.read(client, answer).await,
             },
-            Err(end) => RunEnd::of_attempt(end),
+            Err(end) => RunEnd::from_attempt(end),
         }
     }
 
@@ -127,7 +127,7 @@
             match frame {
                 Ok(Some(Ok(frame))) => {
                     for event in splitter.push(&frame.into_data().unwrap_or_default()) {
-                        if !self.output().follow(&event.data(), event.id) {
+                        if !self.output().append_event(&event.data(), event.id) {
                             return self.broken(client, &answer);
                         }
                     }
--- a/crates/gateway/src/storage/registration.rs
+++ b/crates/gateway/src/storage/registration.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::adapter::metadata::{MetadataStore, PutOutcome};
-use crate::fleet::fleet_view::{FOUNDING_KEY, FleetView, STORAGE_KEYS};
+use crate::fleet::fleet_view::{FOUNDING_KEY, FleetView, STORAGE_KEY_PREFIX};
 use crate::observe::journal::{Field, record};
 
 /// The key of the record of a group of two.
@@ -29,7 +29,7 @@
 
 /// Writes the node's record until it is there.
 pub async fn register(metadata: Arc<dyn MetadataStore>, record: StorageRecord) {
-    let key = format!("{STORAGE_KEYS}{}", record.name);
+    let key = format!("{STORAGE_KEY_PREFIX}{}", record.name);
     let Ok(value) = serde_json::to_vec(&record) else { return };
     let mut expected = Revision(0);
     loop {
@@ -49,7 +49,7 @@
 
 /// Waits for the founding record, or writes it if this node is among the first. One conditional write
 /// decides, so that all founders begin with the same membership.
-pub async fn found(
+pub async fn bootstrap_group(
     view: Arc<FleetView>,
     metadata: Arc<dyn MetadataStore>,
     id: NodeId,
--- a/crates/gateway/src/storage/service/answers.rs
+++ b/crates/gateway/src/storage/service/answers.rs
@@ -8,8 +8,8 @@
 use std::collections::HashMap;
 
 use stallmoor_core::peer_message::GroupRefusal;
-use stallmoor_core::serving::jobs::held_reads::{HeldRead, HeldReads};
 use stallmoor_core::serving::jobs::node::{JobsNode, NotProposed, Waiter};
+use stallmoor_core::serving::jobs::pending_reads::{PendingRead, PendingReads};
 use stallmoor_core::serving::jobs::request::JobsAnswer;
 use stallmoor_core::time::Timestamp;
 
@@ -20,7 +20,7 @@
 pub(super) struct PendingAnswers {
     replies: HashMap<Waiter, Reply>,
     last_waiter: u64,
-    reads: HeldReads,
+    reads: PendingReads,
 }
 
 impl PendingAnswers {
@@ -51,7 +51,7 @@
     }
 
     /// Holds a read. [`PendingAnswers::answer_reads`] answers it if it need not wait.
-    pub(super) fn hold(&mut self, read: HeldRead) {
+    pub(super) fn hold(&mut self, read: PendingRead) {
         self.reads.push(read);
     }
 
--- a/crates/gateway/src/storage/service/item_runner.rs
+++ b/crates/gateway/src/storage/service/item_runner.rs
@@ -16,7 +16,7 @@
 use stallmoor_core::serving::request::RequestFacts;
 use stallmoor_core::serving::workers::cold_start::PERMIT_LIFETIME;
 use stallmoor_core::serving::workers::permit_grants::PermitGrants;
-use stallmoor_core::serving::workers::{Choice, WorkerAsk, WorkerId};
+use stallmoor_core::serving::workers::{Choice, WorkerId, WorkerQuery};
 use stallmoor_core::time::Timestamp;
 use tokio::sync::{Notify, mpsc};
 use tokio::task::AbortHandle;
@@ -149,8 +149,8 @@
 
     /// Takes batch items off workers that are full. They go on later, after their last event.
     pub(super) fn yield_to_online(&mut self, now: Timestamp) {
-        let overfull = self.workers.view.workers().overfull(now);
-        for count in overfull {
+        let excess_batch_items = self.workers.view.workers().excess_batch_items(now);
+        for count in excess_batch_items {
             self.pause_items(&count.worker, count.requests as usize);
             let fields = [
                 Field::text("worker", &count.worker),
@@ -165,7 +165,7 @@
     fn pause_items(&mut self, worker: &WorkerId, count: usize) {
         let at_worker = self.active.iter().filter(|(_, run)| run.worker == *worker);
         let at_worker = at_worker.map(|(key, run)| run.item(key)).collect();
-        for key in self.dispatcher.choose_pauses(at_worker, count, self.workers.view.clock.civil()) {
+        for key in self.dispatcher.choose_pauses(at_worker, count, self.workers.view.clock.wall_time()) {
             if let Some(run) = self.active.get_mut(&key) {
                 run.is_pausing = true;
                 run.pause.notify_one();
@@ -200,24 +200,26 @@
             return false;
         }
         let Some(configuration) = self.workers.view.configuration() else { return false };
-        let civil = self.workers.view.clock.civil();
-        while let Some((key, output)) = self.dispatcher.take_next(now, civil) {
-            match decide_start(table.job(&key.job), key.item, &configuration, civil) {
+        let wall_time = self.workers.view.clock.wall_time();
+        while let Some((key, output)) = self.dispatcher.take_next(now, wall_time) {
+            match decide_start(table.job(&key.job), key.item, &configuration, wall_time) {
                 StartDecision::Unknown => self.dispatcher.remove(&key),
                 StartDecision::GiveUp => {
                     self.dispatcher.give_up(&key);
                 }
                 StartDecision::AwaitConfiguration => {
-                    self.dispatcher.put_back(&key, output);
+                    self.dispatcher.requeue(&key, output);
                     return false;
                 }
                 StartDecision::Start(start) if self.dispatcher.failures(&key) >= start.route.max_attempts => {
                     self.dispatcher.give_up(&key);
                 }
-                StartDecision::Start(start) if self.is_quarantined(&start) => self.dispatcher.hold(&key, output, now),
+                StartDecision::Start(start) if self.is_quarantined(&start) => {
+                    self.dispatcher.delay_quarantined(&key, output, now)
+                }
                 StartDecision::Start(start) => {
                     if !self.start_run(&key, start, output, loads, permits, now) {
-                        self.pacing.found_no_room(now);
+                        self.pacing.record_no_capacity(now);
                         break;
                     }
                 }
@@ -229,7 +231,7 @@
     /// Whether an item is kept from all workers, since workers died of it.
     fn is_quarantined(&self, start: &ItemStart) -> bool {
         let view = &self.workers.view;
-        if view.knows_no_crash() {
+        if view.has_no_crashes() {
             return false;
         }
         let keys = item_keys(&start.item, &start.identity, &*self.workers.dialect);
@@ -249,7 +251,7 @@
         let facts = self.workers.dialect.item_facts(&start.item);
         let online_per_s = loads.placed_per_s(now);
         let Some(Placement { service, choice }) = self.choose_worker(&start, &facts, online_per_s, permits, now) else {
-            self.dispatcher.put_back(key, output);
+            self.dispatcher.requeue(key, output);
             return false;
         };
         log_start(key, &choice, &output);
@@ -290,7 +292,7 @@
     ) -> Option<Placement> {
         let view = &self.workers.view;
         let service = start.route.draw_service(&mut *view.random()).cloned()?;
-        let ask = WorkerAsk {
+        let ask = WorkerQuery {
             service: &service,
             zone: &view.zone,
             prefix: &facts.prefix,
@@ -302,7 +304,7 @@
         let mut random = view.random();
         let mut workers = view.workers();
         let mut choice = workers.choose_for_batch(&ask, online_per_s, now, &mut *random);
-        if choice.is_none() && workers.awaits_permit(&ask, now) {
+        if choice.is_none() && workers.needs_permit(&ask, now) {
             // Only where no worker that is warm has room.
             let wanted = workers.wanted_permits(&ask, now, &mut *random);
             let granted = permits.grant(&wanted, |worker| workers.cold_start_of(worker), now);
@@ -351,7 +353,7 @@
 
     /// What running items have put out since it was last logged, if that is due. So another leader can go on from there.
     pub(super) fn progress_due(&mut self, now: Timestamp) -> Option<Vec<ItemProgress>> {
-        if !self.pacing.take_progress_turn(now) {
+        if !self.pacing.poll_progress(now) {
             return None;
         }
         let progress_of = |(key, run): (&ItemKey, &ActiveRun)| {
@@ -388,7 +390,7 @@
         Field::number("after_event", output.last_event.unwrap_or(0)),
         Field::number("load", choice.load),
         Field::number("candidates", choice.candidates as u64),
-        Field::text("standing", choice.standing.name()),
+        Field::text("standing", choice.availability.name()),
     ];
     record(LogEvent::ItemRunStarted, &fields);
 }
--- a/crates/gateway/src/storage/service/joins.rs
+++ b/crates/gateway/src/storage/service/joins.rs
@@ -41,7 +41,7 @@
         let (client, is_under_way) = (self.client.clone(), self.is_under_way.clone());
         tokio::spawn(async move {
             // Only the leader says that there is no such job; any node takes a request to join.
-            if client.ask(question_for_the_leader(), now + SEARCH_FOR).await.is_ok() {
+            if client.send_request(question_for_the_leader(), now + SEARCH_FOR).await.is_ok() {
                 client.notify_leader(JobsRequest::Join);
             }
             is_under_way.store(false, Ordering::Relaxed);
--- a/crates/gateway/src/storage/service/load_exchange.rs
+++ b/crates/gateway/src/storage/service/load_exchange.rs
@@ -67,23 +67,23 @@
     /// As the leader, takes a report and returns the loads of all others, this node's batch items among them.
     pub(super) fn report_to_leader(&mut self, from: NodeId, loads: LoadReport, now: Timestamp) -> LoadReport {
         self.aggregator.record_report(from, loads, now);
-        let batch = self.view.workers().own_loads();
-        let totals = self.aggregator.without(from, &batch, now);
-        let online: Vec<WorkerCount> = self.aggregator.online(now);
-        self.view.workers().set_shared_loads(&online, now);
+        let batch = self.view.workers().local_loads();
+        let totals = self.aggregator.report_for(from, &batch, now);
+        let online_requests: Vec<WorkerCount> = self.aggregator.online_requests(now);
+        self.view.workers().set_shared_loads(&online_requests, now);
         totals
     }
 
     /// As the aggregator of a zone, takes a report and returns the loads of all others.
     pub(super) fn report_to_aggregator(&mut self, from: NodeId, loads: LoadReport, now: Timestamp) -> LoadReport {
         self.aggregator.record_report(from, loads, now);
-        self.aggregator.without(from, &[], now)
+        self.aggregator.report_for(from, &[], now)
     }
 
     /// As the leader, ejects the workers that several nodes report as dead.
     pub(super) fn eject_reported(&mut self, now: Timestamp) {
-        let dead = self.aggregator.dead(now);
-        self.view.workers().eject_reported(dead.iter(), now);
+        let failed_workers = self.aggregator.failed_workers(now);
+        self.view.workers().eject_reported(failed_workers.iter(), now);
     }
 
     /// As the aggregator of a zone, reports its sums to the leader, if that is due. Called with each gateway's report.
@@ -91,11 +91,11 @@
         if self.is_under_way || now < self.due {
             return;
         }
-        let Some(report) = self.aggregator.for_leader(now) else { return };
+        let Some(report) = self.aggregator.zone_report(now) else { return };
         self.is_under_way = true;
         let (client, answers) = (self.client.clone(), self.answers.clone());
         tokio::spawn(async move {
-            let answer = client.ask(JobsRequest::ReportLoad(report), now + ANSWER_TIMEOUT).await;
+            let answer = client.send_request(JobsRequest::ReportLoad(report), now + ANSWER_TIMEOUT).await;
             let loads = match answer {
                 Ok(JobsAnswer::Loads(loads)) => Some(loads),
                 // There is no leader for the moment; the loads of the zone do meanwhile.
--- a/crates/gateway/src/storage/service/membership.rs
+++ b/crates/gateway/src/storage/service/membership.rs
@@ -1,6 +1,6 @@
 //! The members of the group: their founding, the record of a group of two, and reports of drained machines.
 //!
-//! It owns the rules' state ([`Members`]) and the calls to the metadata store. It relies on the service to carry out
+//! It owns the rules' state ([`MembershipPlanner`]) and the calls to the metadata store. It relies on the service to carry out
 //! what the rules ask of the replica, and to hand back what the store answered.
 
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use stallmoor_core::identity::NodeId;
 use stallmoor_core::log_event::LogEvent;
 use stallmoor_core::replication::{GroupMembership, Replica};
-use stallmoor_core::serving::jobs::members::{DrainState, Members};
+use stallmoor_core::serving::jobs::members::{DrainState, MembershipPlanner};
 use stallmoor_core::serving::jobs::pair::{PairRecord, StoredPair};
 use stallmoor_core::serving::relay::item::{MetadataItem, Revision};
 use tokio::sync::mpsc;
@@ -27,7 +27,7 @@
 /// What this node knows of the group's members, and the calls to the metadata store about them.
 pub(super) struct Membership {
     id: NodeId,
-    members: Members,
+    members: MembershipPlanner,
     metadata: Arc<dyn MetadataStore>,
     /// The founding membership, once it is known.
     founding: Option<GroupMembership>,
@@ -38,7 +38,7 @@
 impl Membership {
     pub(super) fn new(
         id: NodeId,
-        members: Members,
+        members: MembershipPlanner,
         metadata: Arc<dyn MetadataStore>,
         pair_reads: mpsc::UnboundedSender<Option<StoredPair>>,
     ) -> Self {
@@ -51,7 +51,7 @@
     }
 
     /// The rules of the membership.
-    pub(super) fn members(&mut self) -> &mut Members {
+    pub(super) fn members(&mut self) -> &mut MembershipPlanner {
         &mut self.members
     }
 
@@ -70,7 +70,9 @@
     pub(super) fn on_update(&mut self, update: &FleetUpdate) {
         match update {
             FleetUpdate::DrainMachine { machine } => self.members.drain(machine.clone()),
-            FleetUpdate::OwnItem(item) if &*item.key == PAIR_KEY => self.members.pair_read(read_pair(item)),
+            FleetUpdate::InternalItem(item) if &*item.key == PAIR_KEY => {
+                self.members.apply_pair_record(read_pair(item))
+            }
             _ => {}
         }
     }
--- a/crates/gateway/src/storage/service/mod.rs
+++ b/crates/gateway/src/storage/service/mod.rs
@@ -33,7 +33,7 @@
 use stallmoor_core::serving::jobs::command::{ItemKey, JobCommand, JobKey};
 use stallmoor_core::serving::jobs::directory::StorageRecord;
 use stallmoor_core::serving::jobs::load_aggregator::GatewayCount;
-use stallmoor_core::serving::jobs::members::{MembersAction, spare_rank};
+use stallmoor_core::serving::jobs::members::{MembershipAction, spare_rank};
 use stallmoor_core::serving::jobs::node::{JobsChange, JobsEffect};
 use stallmoor_core::serving::jobs::placement::table_regions;
 use stallmoor_core::serving::jobs::retention::Retention;
@@ -95,7 +95,7 @@
                 Some(report) = results.runs.recv() => service.on_run_ended(report),
                 Some(update) = inputs.updates.recv() => service.membership.on_update(&update),
                 Some(founding) = inputs.founding.recv() => service.membership.set_founding(founding),
-                Some(read) = results.pairs.recv() => service.membership.members().pair_written(read),
+                Some(read) = results.pairs.recv() => service.membership.members().finish_pair_write(read),
                 Some(loads) = results.loads.recv() => service.on_leader_loads(loads),
                 _ = ticks.tick() => service.tick(),
                 Ok(()) = inputs.stop.changed() => {}
@@ -256,7 +256,7 @@
 
     fn forget(&mut self) {
         let now = self.now();
-        let Some(round) = self.retention.take_round(now, self.workers.view.clock.civil()) else { return };
+        let Some(round) = self.retention.poll_forget(now, self.workers.view.clock.wall_time()) else { return };
         // A leader that can't propose now forgets with the next round.
         if let Ok(effects) = self.replica.node_mut().propose(&round, None, now) {
             self.take(effects);
@@ -278,11 +278,11 @@
         self.keep_members();
         if self.leads {
             measures::open_items(self.items.open_count());
-            let GatewayCount { in_reach, known } = self.loads.gateways(now);
-            self.quotas.note_gateways(in_reach, known, now);
+            let GatewayCount { reachable, known } = self.loads.gateways(now);
+            self.quotas.record_gateway_count(reachable, known, now);
             self.quotas.tick(now);
             measures::exhausted_tenants(self.quotas.exhausted());
-            self.permits.forget_unused(now);
+            self.permits.evict_unused(now);
             self.items.leave_evacuated(now);
             self.loads.eject_reported(now);
             self.propose_results();
@@ -299,7 +299,7 @@
         let Some(founding) = self.membership.due_founding(self.replica.node().replica()) else { return };
         record(LogEvent::GroupFounded, &[Field::text("members", format!("{founding:?}"))]);
         let now = self.now();
-        let effects = self.replica.node_mut().found(founding, now);
+        let effects = self.replica.node_mut().bootstrap(founding, now);
         self.take(effects);
     }
 
@@ -310,7 +310,7 @@
             let view = &self.workers.view;
             spare_rank(&view.storage(), &view.zone, self.membership.id())
         };
-        if self.membership.members().take_join_turn(self.replica.node().replica(), rank, now) {
+        if self.membership.members().poll_join(self.replica.node().replica(), rank, now) {
             self.joins.request(now);
         }
     }
@@ -328,23 +328,23 @@
         let actions = self.membership.members().plan(replica, self.leads, &directory, may_hold, now);
         for action in actions {
             match action {
-                MembersAction::Change(change) => {
+                MembershipAction::Change(change) => {
                     record(LogEvent::MembershipChanging, &[Field::text("change", format!("{change:?}"))]);
                     let effects = self.replica.node_mut().change_membership(change, now);
                     self.take(effects);
                 }
-                MembersAction::HandOver(target) => {
+                MembershipAction::TransferLeadership(target) => {
                     let effects = self.replica.node_mut().transfer_leadership(target, now);
                     self.take(effects);
                 }
-                MembersAction::WritePair { record, revision } => self.membership.write_pair(record, revision),
-                MembersAction::GoOnAlone => {
+                MembershipAction::WritePair { record, revision } => self.membership.write_pair(record, revision),
+                MembershipAction::ContinueAlone => {
                     let index = self.replica.node().replica().log().membership_index().0;
                     record(LogEvent::WentOnAlone, &[Field::number("membership", index)]);
-                    let effects = self.replica.node_mut().continue_alone(now);
+                    let effects = self.replica.node_mut().become_sole_voter(now);
                     self.take(effects);
                 }
-                MembersAction::ReportDrain { machine, state } => self.membership.report_drain(machine, state),
+                MembershipAction::ReportDrain { machine, state } => self.membership.report_drain(machine, state),
             }
         }
     }
@@ -367,8 +367,8 @@
             self.items.end_leading();
         }
         self.loads.clear();
-        self.quotas.open(now);
-        self.permits.open(now);
+        self.quotas.reset(now);
+        self.permits.reset(now);
     }
 
     /// Begins or goes on with a planned stop. Returns whether the process may end.
--- a/crates/gateway/src/storage/service/replica_driver.rs
+++ b/crates/gateway/src/storage/service/replica_driver.rs
@@ -31,7 +31,7 @@
     links: PeerLinks,
     view: Arc<FleetView>,
     /// Effects that wait for the disk, in order. No bound of its own: while a write is under way, what is proposed is
-    /// bounded by the replica (`uncommitted_entries`), and what peers send by the queue of the peers' listener.
+    /// bounded by the replica (`max_uncommitted_entries`), and what peers send by the queue of the peers' listener.
     queue: VecDeque<JobsEffect>,
     /// The write that the head of the queue waits for.
     awaited_write: Option<WriteNumber>,
@@ -87,7 +87,7 @@
 
     /// The disk has come that far.
     pub(super) fn on_written(&mut self, written: Written) {
-        self.budget.used(written.bytes);
+        self.budget.set_used(written.bytes);
         if self.awaited_write.is_some_and(|awaited| awaited <= written.number) {
             self.awaited_write = None;
         }
--- a/crates/gateway/src/storage/service/requests.rs
+++ b/crates/gateway/src/storage/service/requests.rs
@@ -4,7 +4,7 @@
 use stallmoor_core::peer_message::GroupRefusal;
 use stallmoor_core::serving::configuration::tenant::{CallerIdentity, TenantName};
 use stallmoor_core::serving::jobs::command::{JobCommand, JobKey, Submission};
-use stallmoor_core::serving::jobs::held_reads::HeldRead;
+use stallmoor_core::serving::jobs::pending_reads::PendingRead;
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
 use stallmoor_core::serving::quota::message::{QuotaLevels, QuotaReport};
 use stallmoor_core::serving::workers::{WorkerCount, WorkerId};
@@ -48,7 +48,7 @@
             JobsRequest::End { job, caller } => self.end_job(JobCommand::End { job, caller }, reply, now),
             JobsRequest::Read { job, first, wait, caller } => {
                 let waiter = self.answers.wait(reply);
-                self.answers.hold(HeldRead { waiter, job, first, caller, deadline: now + wait });
+                self.answers.hold(PendingRead { waiter, job, first, caller, deadline: now + wait });
                 self.answer_reads();
             }
             JobsRequest::Body { job, item, caller } => {
@@ -94,7 +94,7 @@
 
     fn body_of(&self, job: &JobKey, item: &str, caller: &CallerIdentity) -> JobsAnswer {
         let found = self.replica.node().table().job_for(job, caller);
-        match found.map(|found| found.open_item_named(item)) {
+        match found.map(|found| found.open_item_by_id(item)) {
             None => JobsAnswer::UnknownJob,
             Some(None) => JobsAnswer::UnknownItem,
             Some(Some(item)) => JobsAnswer::Body(item.body.clone()),
--- a/crates/gateway/src/storage/service/startup.rs
+++ b/crates/gateway/src/storage/service/startup.rs
@@ -5,7 +5,7 @@
 use stallmoor_core::identity::NodeId;
 use stallmoor_core::replication::GroupMembership;
 use stallmoor_core::serving::jobs::disk_budget::DiskBudget;
-use stallmoor_core::serving::jobs::members::Members;
+use stallmoor_core::serving::jobs::members::MembershipPlanner;
 use stallmoor_core::serving::jobs::node::JobsNode;
 use stallmoor_core::serving::jobs::pair::StoredPair;
 use stallmoor_core::serving::jobs::retention::Retention;
@@ -85,7 +85,7 @@
         let StorageParts { node, id, tolerated, workers, metadata, disk, budget, results_kept } = parts;
         let view = workers.view.clone();
         let now = view.clock.now();
-        let members = Members::new(id, tolerated, now);
+        let members = MembershipPlanner::new(id, tolerated, now);
         let client = Arc::new(LeaderClient::new(view.clone(), id));
         let service = StorageService {
             replica: ReplicaDriver::new(node, id, disk, budget, view.clone()),
--- a/crates/gateway/src/workers/attempt.rs
+++ b/crates/gateway/src/workers/attempt.rs
@@ -11,10 +11,10 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use stallmoor_core::serving::online::attempt::{AnswerMarks, AttemptEnd};
-use stallmoor_core::serving::request::PrefixLink;
+use stallmoor_core::serving::online::attempt::{AnswerMetadata, AttemptEnd};
+use stallmoor_core::serving::request::PrefixBlock;
 use stallmoor_core::serving::workers::connection_limit::connection_limit;
-use stallmoor_core::serving::workers::{Choice, WorkerLife};
+use stallmoor_core::serving::workers::{Choice, WorkerIncarnation};
 use stallmoor_core::time::Timestamp;
 
 use crate::adapter::dialect::{AnswerFacts, Dialect};
@@ -59,7 +59,7 @@
 /// Counts a request as being at a worker for as long as it lives.
 pub struct InFlight {
     view: Arc<FleetView>,
-    worker: WorkerLife,
+    worker: WorkerIncarnation,
     is_batch: bool,
 }
 
@@ -84,7 +84,7 @@
     /// The body.
     pub body: Incoming,
     /// The worker.
-    pub worker: WorkerLife,
+    pub worker: WorkerIncarnation,
     /// When the request left.
     pub sent_at: Timestamp,
     connection: WorkerConnection,
@@ -109,17 +109,17 @@
 impl WorkerClient {
     /// Counts a request as being at the worker that was chosen for it. This must come right after the
     /// choice: of many requests that are placed in one moment, each must see those before it.
-    pub fn place(&self, choice: &Choice, service: &str, prefix: &[PrefixLink], is_batch: bool) -> InFlight {
-        let memory = self.view.worker_memory(service);
+    pub fn place(&self, choice: &Choice, service: &str, prefix: &[PrefixBlock], is_batch: bool) -> InFlight {
+        let memory = self.view.worker_cache_tokens(service);
         let now = self.view.clock.now();
         let mut workers = self.view.workers();
-        let life = choice.life();
-        workers.started(&life, prefix, memory, now);
+        let incarnation = choice.incarnation();
+        workers.started(&incarnation, prefix, memory, now);
         if is_batch {
-            workers.batch_started(&life);
+            workers.batch_started(&incarnation);
         }
         drop(workers);
-        InFlight { view: self.view.clone(), worker: life, is_batch }
+        InFlight { view: self.view.clone(), worker: incarnation, is_batch }
     }
 
     /// Sends a request and waits up to `timeout` for the head of its answer. What was learned of the
@@ -129,7 +129,7 @@
     ///
     /// [`AttemptEnd`]: how the attempt ended. Nothing of it may be passed on.
     pub async fn open(&self, attempt: Attempt, timeout: Duration) -> Result<OpenAnswer, AttemptEnd> {
-        let worker = attempt.choice.life();
+        let worker = attempt.choice.incarnation();
         let result = self.try_open(attempt, timeout).await;
         let now = self.view.clock.now();
         match &result {
@@ -138,8 +138,8 @@
                 if let Some(load) = answer.facts.load {
                     workers.reported(&worker, load, now);
                 }
-                if let Some(cold_left) = answer.facts.cold_left {
-                    workers.reported_cold(&worker, cold_left, now);
+                if let Some(cold_remaining) = answer.facts.cold_remaining {
+                    workers.mark_cold(&worker, cold_remaining, now);
                 }
             }
             Err(end) => self.view.workers().attempt_ended(&worker, *end, now),
@@ -172,7 +172,7 @@
             headers: parts.headers,
             facts,
             body,
-            worker: choice.life(),
+            worker: choice.incarnation(),
             sent_at,
             connection,
             _in_flight: in_flight,
@@ -180,14 +180,14 @@
     }
 
     /// How many connections this node may have to a worker of a service.
-    pub(super) fn most_connections(&self, service: &str) -> usize {
+    pub(super) fn max_connections_per_worker(&self, service: &str) -> usize {
         let configuration = self.view.configuration();
         let service = configuration.as_ref().and_then(|known| known.services.get(service));
         connection_limit(service.map(|found| found.max_connections))
     }
 
     async fn connect(&self, attempt: &Attempt) -> Result<WorkerConnection, AttemptEnd> {
-        let most = self.most_connections(&attempt.service);
+        let most = self.max_connections_per_worker(&attempt.service);
         self.connections.take(WorkerEndpoint::of(&attempt.choice), most).await.map_err(|error| match error {
             NoConnection::AllInUse => AttemptEnd::NotRun { other_instance: false },
             NoConnection::Unreachable => AttemptEnd::NotConnected,
@@ -208,8 +208,8 @@
     }
 }
 
-fn marks_of(status: StatusCode, facts: &AnswerFacts) -> AnswerMarks<'_> {
-    AnswerMarks {
+fn marks_of(status: StatusCode, facts: &AnswerFacts) -> AnswerMetadata<'_> {
+    AnswerMetadata {
         status: status.as_u16(),
         request_id: facts.request_id.as_deref(),
         is_signed: facts.is_signed,
--- a/crates/gateway/src/workers/connections.rs
+++ b/crates/gateway/src/workers/connections.rs
@@ -36,13 +36,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct WorkerEndpoint {
     address: SocketAddr,
-    born: Option<UnixMillis>,
+    started_at: Option<UnixMillis>,
 }
 
 impl WorkerEndpoint {
     /// Where the worker that was chosen is reached.
     pub fn of(choice: &Choice) -> Self {
-        Self { address: choice.address, born: choice.born }
+        Self { address: choice.address, started_at: choice.started_at }
     }
 }
 
@@ -128,7 +128,7 @@
 
     /// Whether a worker takes a new connection, which is kept for the next request. `None` if the worker's share of
     /// connections is in use, so that nothing was tried.
-    pub async fn reaches(self: &Arc<Self>, endpoint: WorkerEndpoint, most: usize) -> Option<bool> {
+    pub async fn probe(self: &Arc<Self>, endpoint: WorkerEndpoint, most: usize) -> Option<bool> {
         if !self.lock().entry(endpoint).or_default().reserve(most) {
             return None;
         }
--- a/crates/gateway/src/workers/crash_check.rs
+++ b/crates/gateway/src/workers/crash_check.rs
@@ -12,7 +12,7 @@
 use tokio::runtime::Handle;
 use tokio::task::JoinHandle;
 
-use crate::fleet::fleet_view::SeenCrash;
+use crate::fleet::fleet_view::ObservedCrash;
 use crate::workers::attempt::WorkerClient;
 use crate::workers::connections::WorkerEndpoint;
 
@@ -51,7 +51,7 @@
     }
 
     /// The answer came up to this event.
-    pub fn progressed(&mut self, event: u64) {
+    pub fn record_progress(&mut self, event: u64) {
         if let Some(run) = &mut self.run {
             run.progress = event;
         }
@@ -63,7 +63,7 @@
     }
 
     /// The run broke off, or the worker was left. Returns the first look at the worker, while it lasts.
-    pub fn broke_off(mut self) -> Option<JoinHandle<()>> {
+    pub fn interrupted(mut self) -> Option<JoinHandle<()>> {
         self.check()
     }
 
@@ -100,7 +100,7 @@
         tokio::time::sleep(delay).await;
         let has_died = self.has_died(run).await;
         if has_died {
-            self.view.note_crash(&SeenCrash {
+            self.view.record_crash(&ObservedCrash {
                 request: run.request_id.clone(),
                 keys: run.keys,
                 worker: run.choice.id.clone(),
@@ -120,6 +120,6 @@
         if self.connections.has_idle(endpoint) {
             return false;
         }
-        self.connections.reaches(endpoint, self.most_connections(&run.service)).await == Some(false)
+        self.connections.probe(endpoint, self.max_connections_per_worker(&run.service)).await == Some(false)
     }
 }
--- a/crates/gateway/src/workers/permits.rs
+++ b/crates/gateway/src/workers/permits.rs
@@ -12,7 +12,9 @@
 use stallmoor_core::identity::NodeId;
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
 use stallmoor_core::serving::workers::WorkerId;
-use stallmoor_core::serving::workers::cold_start::{PERMIT_INTERVAL, PERMIT_LIFETIME, PERMIT_WAIT, WANTED_PERMITS};
+use stallmoor_core::serving::workers::cold_start::{
+    MAX_PERMIT_WAIT, MAX_WORKERS_PER_PERMIT_REQUEST, PERMIT_INTERVAL, PERMIT_LIFETIME,
+};
 use stallmoor_core::time::Millis;
 use tokio::sync::{Notify, watch};
 
@@ -52,7 +54,7 @@
         }
         let mut wanted = self.wanted.lock().unwrap_or_else(PoisonError::into_inner);
         for worker in workers {
-            if wanted.len() < WANTED_PERMITS {
+            if wanted.len() < MAX_WORKERS_PER_PERMIT_REQUEST {
                 wanted.insert(worker);
             }
         }
@@ -66,7 +68,7 @@
         }
         let mut answers = self.answered.subscribe();
         // Without an answer there are no permits, which the next choice shows.
-        let _ = tokio::time::timeout(Duration::from_millis(PERMIT_WAIT.0), answers.changed()).await;
+        let _ = tokio::time::timeout(Duration::from_millis(MAX_PERMIT_WAIT.0), answers.changed()).await;
     }
 
     fn take_wanted(&self) -> Vec<WorkerId> {
@@ -86,7 +88,7 @@
         let until = asked_at + PERMIT_LIFETIME;
         let wanted = workers.permits.take_wanted();
         // Without a leader, or with one that knows no permits, there are none, and cold workers are passed over.
-        let answer = client.ask(JobsRequest::RequestPermits(wanted), until).await;
+        let answer = client.send_request(JobsRequest::RequestPermits(wanted), until).await;
         workers.permits.has_no_leader.store(answer.is_err(), Ordering::Relaxed);
         let wait = if answer.is_ok() { PERMIT_INTERVAL } else { NO_LEADER_WAIT };
         if let Ok(JobsAnswer::Permits(granted)) = answer {
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -20,12 +20,14 @@
 use stallmoor_core::serving::relay::outage::RecordGrace;
 use stallmoor_core::serving::workers::WorkerId;
 use stallmoor_core::time::{Millis, UnixMillis};
-use stallmoor_gateway::adapter::metadata::{BoxFuture, FleetUpdate, ItemsAt, MetadataStore, PutOutcome, ReadFailure};
+use stallmoor_gateway::adapter::metadata::{
+    BoxFuture, FleetUpdate, ItemSnapshot, MetadataStore, PutOutcome, ReadFailure,
+};
 use stallmoor_gateway::clock::NodeClock;
-use stallmoor_gateway::fleet::crash_reports::CRASH_KEYS;
+use stallmoor_gateway::fleet::crash_reports::CRASH_KEY_PREFIX;
 use stallmoor_gateway::fleet::fleet_view::FleetView;
 use stallmoor_gateway::peers::frames::{read_message, write_frame};
-use stallmoor_gateway::storage::registration::{PAIR_KEY, found, register};
+use stallmoor_gateway::storage::registration::{PAIR_KEY, bootstrap_group, register};
 use tokio::sync::mpsc;
 
 #[tokio::test]
@@ -60,11 +62,11 @@
         Box::pin(async { None })
     }
 
-    fn list(&self) -> BoxFuture<'_, Result<ItemsAt, ReadFailure>> {
+    fn list(&self) -> BoxFuture<'_, Result<ItemSnapshot, ReadFailure>> {
         Box::pin(async { Err(ReadFailure::TimedOut) })
     }
 
-    fn changes(&self, _since: Revision, _wait: Millis) -> BoxFuture<'_, Result<ItemsAt, ReadFailure>> {
+    fn changes(&self, _since: Revision, _wait: Millis) -> BoxFuture<'_, Result<ItemSnapshot, ReadFailure>> {
         Box::pin(async { Err(ReadFailure::TimedOut) })
     }
 
@@ -96,7 +98,7 @@
     }
     view.apply(&FleetUpdate::Synced);
     let (founders, _told) = mpsc::unbounded_channel();
-    let founding = found(view, store.clone(), NodeId(1), 1, founders);
+    let founding = bootstrap_group(view, store.clone(), NodeId(1), 1, founders);
     // The founder waits until the view tells what it wrote, which this one never does.
     assert!(tokio::time::timeout(Duration::from_millis(100), founding).await.is_err());
     store.rows()
@@ -124,7 +126,7 @@
     };
     let completion = Completion { digest: "1".parse().expect("a digest"), at: CRASHED_AT };
     let report = CrashReport { crashes: (0..3).map(crash).collect(), completions: vec![completion] };
-    Row::new(&format!("{CRASH_KEYS}edge-1"), &serde_json::to_string(&report).expect("it can be written"))
+    Row::new(&format!("{CRASH_KEY_PREFIX}edge-1"), &serde_json::to_string(&report).expect("it can be written"))
 }
 
 #[tokio::test(start_paused = true)]
@@ -138,7 +140,7 @@
     for row in &stored {
         let state = KeyState::Present(Arc::from(row.text.as_bytes()));
         let item = MetadataItem { key: Arc::from(&*row.name), state, revision: Revision(1) };
-        view.apply(&FleetUpdate::OwnItem(item));
+        view.apply(&FleetUpdate::InternalItem(item));
     }
     let records: Vec<StorageRecord> = view.storage().records().cloned().collect();
     assert_eq!(records, (1..=3).map(storage_record).collect::<Vec<_>>());
@@ -146,6 +148,6 @@
     assert!(view.crashes().quarantined_for(fatal(), CRASHED_AT).is_some());
 
     let (founders, mut told) = mpsc::unbounded_channel();
-    found(view, Arc::new(Puts::default()), NodeId(1), 1, founders).await;
+    bootstrap_group(view, Arc::new(Puts::default()), NodeId(1), 1, founders).await;
     assert_eq!(told.recv().await, Some(GroupMembership::of_voters((1..=3).map(NodeId))));
 }
--- a/crates/gateway/tests/golden_refusals.rs
+++ b/crates/gateway/tests/golden_refusals.rs
@@ -26,7 +26,7 @@
 async fn each_kind_is_answered_as_ever() {
     let mut told = String::new();
     for kind in ErrorKind::ALL {
-        describe(&mut told, kind.code(), refusal::of_kind(*kind, "why \"so\"")).await;
+        describe(&mut told, kind.code(), refusal::from_kind(*kind, "why \"so\"")).await;
     }
     let changed = Refusal::new(ErrorKind::Overloaded, "").with_ran(Ran::Unknown).with_retry_after(7);
     describe(&mut told, "overloaded, may have run, after 7 ms", refusal::answer(&changed)).await;
--- a/crates/gateway/tests/jobs_client.rs
+++ b/crates/gateway/tests/jobs_client.rs
@@ -50,7 +50,7 @@
     let (name, zone) = (Arc::from("storage-1"), Arc::from("zone-a"));
     view.storage().upsert(StorageRecord { name, node: STORAGE, address, zone });
     let until = view.clock.now() + Millis(3_000);
-    LeaderClient::new(view, NodeId(1)).ask(JobsRequest::Submit(job()), until).await
+    LeaderClient::new(view, NodeId(1)).send_request(JobsRequest::Submit(job()), until).await
 }
 
 fn job() -> Submission {
--- a/crates/gateway/tests/metadata_relay.rs
+++ b/crates/gateway/tests/metadata_relay.rs
@@ -12,7 +12,9 @@
 use stallmoor_core::serving::relay::item::{KeyState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::outage::RecordGrace;
 use stallmoor_core::time::Millis;
-use stallmoor_gateway::adapter::metadata::{BoxFuture, FleetUpdate, ItemsAt, MetadataStore, PutOutcome, ReadFailure};
+use stallmoor_gateway::adapter::metadata::{
+    BoxFuture, FleetUpdate, ItemSnapshot, MetadataStore, PutOutcome, ReadFailure,
+};
 use stallmoor_gateway::clock::NodeClock;
 use stallmoor_gateway::fleet::fleet_view::FleetView;
 use stallmoor_gateway::fleet::metadata_view::MetadataView;
@@ -58,9 +60,9 @@
         if is_refused { Err(ReadFailure::Failed { detail: "refused".to_owned() }) } else { Ok(()) }
     }
 
-    fn read(&self) -> ItemsAt {
+    fn read(&self) -> ItemSnapshot {
         let item = self.contents.item();
-        ItemsAt { at: item.revision, items: vec![item] }
+        ItemSnapshot { at: item.revision, items: vec![item] }
     }
 }
 
@@ -73,24 +75,24 @@
         Box::pin(async { None })
     }
 
-    fn list(&self) -> BoxFuture<'_, Result<ItemsAt, ReadFailure>> {
+    fn list(&self) -> BoxFuture<'_, Result<ItemSnapshot, ReadFailure>> {
         Box::pin(async { self.call().map(|()| self.read()) })
     }
 
-    fn changes(&self, since: Revision, wait: Millis) -> BoxFuture<'_, Result<ItemsAt, ReadFailure>> {
+    fn changes(&self, since: Revision, wait: Millis) -> BoxFuture<'_, Result<ItemSnapshot, ReadFailure>> {
         Box::pin(async move {
             self.call()?;
             let mut changes = self.contents.0.subscribe();
             let is_newer = |revision: &u64| *revision > since.0;
             match tokio::time::timeout(Duration::from_millis(wait.0), changes.wait_for(is_newer)).await {
                 Ok(_) => Ok(self.read()),
-                Err(_) => Ok(ItemsAt { items: Vec::new(), at: since }),
+                Err(_) => Ok(ItemSnapshot { items: Vec::new(), at: since }),
             }
         })
     }
 
     fn interpret(&self, item: &MetadataItem, _grace: &RecordGrace) -> Option<FleetUpdate> {
-        Some(FleetUpdate::OwnItem(item.clone()))
+        Some(FleetUpdate::InternalItem(item.clone()))
     }
 
     fn report_drain(&self, _machine: Arc<str>, _state: DrainState) -> BoxFuture<'_, bool> {
@@ -123,7 +125,7 @@
         let telling = told.clone();
         tokio::spawn(async move {
             while let Some(update) = received.recv().await {
-                if let FleetUpdate::OwnItem(item) = update {
+                if let FleetUpdate::InternalItem(item) = update {
                     *telling.lock().expect("not poisoned") = item.revision.0;
                 }
             }
--- a/crates/gateway/tests/missing_records.rs
+++ b/crates/gateway/tests/missing_records.rs
@@ -14,7 +14,9 @@
 use stallmoor_core::serving::relay::outage::RecordGrace;
 use stallmoor_core::serving::workers::{WorkerId, WorkerRecord};
 use stallmoor_core::time::Millis;
-use stallmoor_gateway::adapter::metadata::{BoxFuture, FleetUpdate, ItemsAt, MetadataStore, PutOutcome, ReadFailure};
+use stallmoor_gateway::adapter::metadata::{
+    BoxFuture, FleetUpdate, ItemSnapshot, MetadataStore, PutOutcome, ReadFailure,
+};
 use stallmoor_gateway::clock::NodeClock;
 use stallmoor_gateway::fleet::fleet_view::FleetView;
 use stallmoor_gateway::fleet::metadata_view::MetadataView;
@@ -104,20 +106,20 @@
         Err(ReadFailure::TimedOut)
     }
 
-    fn list_now(&self) -> ItemsAt {
+    fn list_now(&self) -> ItemSnapshot {
         let contents = self.contents();
         let items = contents.records.iter().map(|(worker, revision)| item(worker, true, *revision)).collect();
-        ItemsAt { items, at: Revision(contents.revision) }
+        ItemSnapshot { items, at: Revision(contents.revision) }
     }
 
-    fn changes_after(&self, since: Revision) -> ItemsAt {
+    fn changes_after(&self, since: Revision) -> ItemSnapshot {
         let contents = self.contents();
         let later = contents.history.iter().filter(|(revision, ..)| *revision > since.0);
         let items = later.map(|(revision, worker, is_written)| item(worker, *is_written, *revision)).collect();
-        ItemsAt { items, at: Revision(contents.revision) }
+        ItemSnapshot { items, at: Revision(contents.revision) }
     }
 
-    async fn wait_for_changes(&self, since: Revision, wait: Duration) -> ItemsAt {
+    async fn wait_for_changes(&self, since: Revision, wait: Duration) -> ItemSnapshot {
         let mut changes = self.changed.subscribe();
         // Without changes the answer holds none.
         let _ = timeout(wait, changes.wait_for(|revision| *revision > since.0)).await;
@@ -138,8 +140,8 @@
         zone: Arc::from("zone-a"),
         slots: 8,
         draining: false,
-        born: None,
-        cold_left: Millis(0),
+        started_at: None,
+        cold_remaining: Millis(0),
     }
 }
 
@@ -152,11 +154,11 @@
         Box::pin(async { None })
     }
 
-    fn list(&self) -> BoxFuture<'_, Result<ItemsAt, ReadFailure>> {
+    fn list(&self) -> BoxFuture<'_, Result<ItemSnapshot, ReadFailure>> {
         Box::pin(self.call(CALL_TIMEOUT, async { self.list_now() }))
     }
 
-    fn changes(&self, since: Revision, wait: Millis) -> BoxFuture<'_, Result<ItemsAt, ReadFailure>> {
+    fn changes(&self, since: Revision, wait: Millis) -> BoxFuture<'_, Result<ItemSnapshot, ReadFailure>> {
         let wait = Duration::from_millis(wait.0);
         Box::pin(self.call(wait + CALL_TIMEOUT, self.wait_for_changes(since, wait)))
     }
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -66,13 +66,13 @@
 #[test]
 fn a_job_is_taken_only_while_the_disk_has_room_for_a_second_snapshot() {
     let mut budget = DiskBudget::new(Some(100_000_000));
-    assert!(budget.has_room_for(1_000_000));
-    budget.used(34_000_000);
-    assert!(budget.has_room_for(1_000_000));
-    assert!(!budget.has_room_for(2_000_000));
-    budget.used(36_000_000);
-    assert!(!budget.has_room_for(0));
+    assert!(budget.has_capacity_for(1_000_000));
+    budget.set_used(34_000_000);
+    assert!(budget.has_capacity_for(1_000_000));
+    assert!(!budget.has_capacity_for(2_000_000));
+    budget.set_used(36_000_000);
+    assert!(!budget.has_capacity_for(0));
     let mut endless = DiskBudget::new(None);
-    endless.used(u64::MAX / 4);
-    assert!(endless.has_room_for(1 << 40));
+    endless.set_used(u64::MAX / 4);
+    assert!(endless.has_capacity_for(1 << 40));
 }
--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use stallmoor_core::serving::workers::{Choice, Standing, WorkerId};
+use stallmoor_core::serving::workers::{Availability, Choice, WorkerId};
 use stallmoor_core::time::Millis;
 use stallmoor_gateway::clock::NodeClock;
 use stallmoor_gateway::workers::connections::{ConnectionPool, WorkerEndpoint};
@@ -20,14 +20,14 @@
 fn choice(address: SocketAddr) -> Choice {
     Choice {
         id: WorkerId(Arc::from("i-1")),
-        born: None,
+        started_at: None,
         address,
         load: 0,
         slots: 8,
-        place_in_queue: 0,
+        queue_position: 0,
         cached_tokens: 0,
         candidates: 1,
-        standing: Standing::Ready,
+        availability: Availability::Ready,
     }
 }
 
