--- a/crates/core/src/serving/crashes/digest.rs
+++ b/crates/core/src/serving/crashes/digest.rs
@@ -1,4 +1,4 @@
-//! Names a request by what a worker makes of it, so that it is known again under another id.
+//! Content-based digests that identify a request when it is sent again under another id.
 
 use std::num::ParseIntError;
 use std::str::FromStr;
@@ -9,40 +9,41 @@
 use crate::serving::configuration::tenant::CallerIdentity;
 use crate::serving::request::RequestFacts;
 
-/// What a worker makes of a request, without what differs between two tries: ids, deadlines, the last event.
+/// The parts of a request that determine how a worker processes it. Excludes what differs between attempts, such as
+/// ids, deadlines and the last received event.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// On whose behalf it comes. One tenant's requests say nothing of another's.
+    /// Caller of the request. Requests of different tenants have different digests.
     pub identity: &'a CallerIdentity,
-    /// The HTTP method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The path and query.
+    /// Path and query.
     pub target: &'a str,
-    /// What its head says of the prompt.
+    /// Prompt information from the request head.
     pub facts: &'a RequestFacts,
-    /// The body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
-/// Names a request. Two requests with the same digest are the same request, sent again.
+/// Digest of a request. Two requests with the same digest are treated as the same request, sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestDigest(u64);
 
 impl RequestDigest {
-    /// A request by its caller, path and body. Nodes of all versions agree on it.
+    /// Computes the digest over caller, method, path and body. It must be the same in all versions.
     pub fn of(content: &RequestContent<'_>) -> Self {
-        Self::of_part(content, hash_bytes(content.body))
+        Self::from_part(content, hash_bytes(content.body))
     }
 
-    /// A request by its caller, path and prompt, if its head names the prompt: parts with the same ids are the same text,
-    /// while a body may carry what differs with each try. Nodes of all versions agree on it.
+    /// Computes the digest over caller, method, path and prompt, or returns `None` if the head does not identify the
+    /// prompt. Unlike the body, prompt part ids do not change between attempts. It must be the same in all versions.
     pub fn of_prompt(content: &RequestContent<'_>) -> Option<Self> {
         let last = content.facts.prefix.last()?;
         let prompt = hash_parts(&[&last.chain.to_le_bytes(), &content.facts.prompt_tokens.to_le_bytes()]);
-        Some(Self::of_part(content, prompt))
+        Some(Self::from_part(content, prompt))
     }
 
-    fn of_part(content: &RequestContent<'_>, part: u64) -> Self {
+    fn from_part(content: &RequestContent<'_>, part: u64) -> Self {
         let tenant = content.identity.tenant().map_or("", |tenant| tenant.as_str());
         Self(hash_parts(&[
             tenant.as_bytes(),
@@ -53,23 +54,23 @@
     }
 }
 
-/// All names of a request. Crashes and runs to the end are held against and for each name by itself: a sound request that
-/// shares the prompt does not clear the one whose body crashes workers.
+/// All digests of a request. Crashes and completions are recorded separately for each digest, so that a harmless
+/// request with the same prompt does not clear a request whose body crashes workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestKeys {
-    /// By its body.
+    /// Digest over the body.
     pub content: RequestDigest,
-    /// By its prompt, if its head names that.
+    /// Digest over the prompt, if the head identifies it.
     pub prompt: Option<RequestDigest>,
 }
 
 impl RequestKeys {
-    /// The names of a request.
+    /// Computes all digests of a request.
     pub fn of(content: &RequestContent<'_>) -> Self {
         Self { content: RequestDigest::of(content), prompt: RequestDigest::of_prompt(content) }
     }
 
-    /// Each name.
+    /// Returns an iterator over the digests.
     pub fn digests(self) -> impl Iterator<Item = RequestDigest> {
         std::iter::once(self.content).chain(self.prompt)
     }
@@ -89,7 +90,7 @@
     }
 }
 
-/// As text: many readers of JSON take numbers of this size for floating point.
+/// Serializes as text, since many JSON parsers read numbers of this size as floating point.
 impl Serialize for RequestDigest {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(self)
--- a/crates/core/src/serving/crashes/evidence.rs
+++ b/crates/core/src/serving/crashes/evidence.rs
@@ -1,101 +1,104 @@
-//! How strongly the crashes of workers speak against a request that was there.
+//! Crash counts and thresholds that decide whether a request is likely to have crashed its workers.
 //!
-//! All requests in a worker's slots are there when it dies, and most have nothing to do with it. The more often that happens
-//! to a request, and the more alike, the less it is chance.
+//! A crash affects all requests in the worker's slots, most of which did not cause it. A request becomes more likely to
+//! be the cause with each crash, and more so if the crashes occur at the same point of its response.
 
 use crate::serving::workers::WorkerId;
 use crate::time::{Millis, UnixMillis};
 
-/// So many workers may die under one request, at the same point of its answer and without a run to its end between, before
-/// it is kept from all others. One or two may die of something else at the same time; a worker that is lost takes up to all
-/// of its slots of other requests with it. The users' bound.
-pub const MOST_CRASHES: usize = 3;
-/// The same where they died at different points. That is how a long answer looks which was only there, too.
-const MOST_SCATTERED: usize = MOST_CRASHES + 1;
-/// The same whatever else explains the crashes: the users allow three retries beyond [`MOST_CRASHES`].
-const MOST_EXPLAINED: usize = MOST_CRASHES + 3;
-/// Two nodes that see one worker die of a request within this time saw the same crash, in milliseconds. A worker that
-/// starts again under its id and dies again later counts anew.
-const SAME_CRASH: Millis = Millis(1_000);
-/// Runs whose last events are no further apart died at the same point, in events: some are on their way when a worker dies.
-const SAME_POINT: u64 = 2;
+/// Number of crashes at the same point of the response, without a completion in between, after which a request is
+/// quarantined. Fewer can be coincidental, because a crash affects every request on the worker.
+pub const CRASH_THRESHOLD: usize = 3;
+/// Number of crashes at different points after which a request is quarantined. Higher than [`CRASH_THRESHOLD`], since a
+/// long response that is affected by unrelated crashes looks the same.
+const SCATTERED_CRASH_THRESHOLD: usize = CRASH_THRESHOLD + 1;
+/// Number of crashes after which a request is quarantined even if other requests explain them.
+const TOTAL_CRASH_THRESHOLD: usize = CRASH_THRESHOLD + 3;
+/// Observations of a crash of the same worker within this time refer to the same crash. Later ones are crashes of a
+/// restarted worker.
+const SAME_CRASH_WINDOW: Millis = Millis(1_000);
+/// Maximum distance, in events, of two crashes at the same point of a response; some events are lost in transit when a
+/// worker crashes.
+const SAME_POINT_TOLERANCE: u64 = 2;
 
-/// A crash that was seen. Two sightings at one worker within [`SAME_CRASH`] are of one crash.
+/// One node's observation of a crash. Observations at one worker within [`SAME_CRASH_WINDOW`] are of the same crash.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Sighting {
+pub(super) struct Observation {
     pub(super) worker: WorkerId,
     pub(super) at: UnixMillis,
 }
 
-impl Sighting {
+impl Observation {
     pub(super) fn is_same_crash(&self, other: &Self) -> bool {
-        self.worker == other.worker && self.at.0.abs_diff(other.at.0) < SAME_CRASH.0
+        self.worker == other.worker && self.at.0.abs_diff(other.at.0) < SAME_CRASH_WINDOW.0
     }
 }
 
-/// A crash that counts unless another request explains it.
+/// A crash since the last completion of a request, which counts unless another request explains it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct OpenCrash<'a> {
-    pub(super) sighting: &'a Sighting,
-    /// How far the request's answer was, in events.
+pub(super) struct CandidateCrash<'a> {
+    pub(super) observation: &'a Observation,
+    /// Number of the last event of the response before the crash, 0 for none.
     pub(super) progress: u64,
 }
 
-/// How strongly crashes speak against a request. The order decides which of two requests explains a crash of both: crashes
-/// at one point say more than crashes anywhere.
+/// Crash counts of a request. The order decides which of two requests explains a crash that affected both: crashes at
+/// the same point take precedence over the total number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Evidence {
-    /// Most crashes at the same point of the answer.
-    at_one_point: usize,
-    pub(super) all: usize,
+    /// Maximum number of crashes at the same point of the response.
+    at_same_point: usize,
+    pub(super) total: usize,
 }
 
 impl Evidence {
-    pub(super) fn of(crashes: &[OpenCrash<'_>]) -> Self {
+    pub(super) fn of(crashes: &[CandidateCrash<'_>]) -> Self {
         let mut points: Vec<u64> = crashes.iter().map(|crash| crash.progress).collect();
         points.sort_unstable();
-        let near = |first: &u64| {
-            let last = first.saturating_add(SAME_POINT);
+        let count_from = |first: &u64| {
+            let last = first.saturating_add(SAME_POINT_TOLERANCE);
             points.iter().filter(|point| (*first..=last).contains(point)).count()
         };
-        Self { at_one_point: points.iter().map(near).max().unwrap_or(0), all: points.len() }
+        Self { at_same_point: points.iter().map(count_from).max().unwrap_or(0), total: points.len() }
     }
 
-    /// Whether it is enough to quarantine a request that nothing else clears.
-    pub(super) fn is_enough(self) -> bool {
-        self.beyond().is_some()
+    /// Returns whether the crashes suffice to quarantine a request if no other request explains them.
+    pub(super) fn meets_threshold(self) -> bool {
+        self.excess().is_some()
     }
 
-    /// How many crashes there are beyond the first that is enough; `None` if there are too few.
-    fn beyond(self) -> Option<usize> {
-        let at_one_point = self.at_one_point.checked_sub(MOST_CRASHES);
-        at_one_point.max(self.all.checked_sub(MOST_SCATTERED))
+    /// Returns the number of crashes beyond the quarantine threshold, or `None` below it.
+    fn excess(self) -> Option<usize> {
+        let at_same_point = self.at_same_point.checked_sub(CRASH_THRESHOLD);
+        at_same_point.max(self.total.checked_sub(SCATTERED_CRASH_THRESHOLD))
     }
 }
 
-/// What speaks against a request.
+/// Crashes attributed to a request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Verdict {
-    /// Crashes that nothing else explains.
-    pub(super) open: Evidence,
-    /// All crashes.
-    pub(super) all: usize,
+pub(super) struct Attribution {
+    /// Crashes that no other request explains.
+    pub(super) unexplained: Evidence,
+    /// Number of all crashes since the last completion.
+    pub(super) total: usize,
 }
 
-impl Verdict {
-    /// How many crashes there are beyond the first that is enough; `None` if there are too few.
-    pub(super) fn beyond(self) -> Option<usize> {
-        self.open.beyond().max(self.all.checked_sub(MOST_EXPLAINED))
+impl Attribution {
+    /// Returns the number of crashes beyond the quarantine threshold, or `None` below it.
+    pub(super) fn excess(self) -> Option<usize> {
+        self.unexplained.excess().max(self.total.checked_sub(TOTAL_CRASH_THRESHOLD))
     }
 
-    /// Whether one crash more is enough.
+    /// Returns whether one more crash would quarantine the request.
     pub(super) fn is_near_quarantine(self) -> bool {
-        let Evidence { at_one_point, all } = self.open;
-        at_one_point + 1 >= MOST_CRASHES || all + 1 >= MOST_SCATTERED || self.all + 1 >= MOST_EXPLAINED
+        let Evidence { at_same_point, total } = self.unexplained;
+        at_same_point + 1 >= CRASH_THRESHOLD
+            || total + 1 >= SCATTERED_CRASH_THRESHOLD
+            || self.total + 1 >= TOTAL_CRASH_THRESHOLD
     }
 
-    /// The crashes that are held against the request.
+    /// Returns the number of crashes that count toward the quarantine.
     pub(super) fn counted(self) -> usize {
-        if self.all >= MOST_EXPLAINED { self.all } else { self.open.all }
+        if self.total >= TOTAL_CRASH_THRESHOLD { self.total } else { self.unexplained.total }
     }
 }
--- a/crates/core/src/serving/crashes/ledger.rs
+++ b/crates/core/src/serving/crashes/ledger.rs
@@ -1,46 +1,44 @@
-//! Which requests are quarantined, since workers died while they ran them.
+//! Crash history of requests, and the quarantine that follows from it.
 //!
-//! Owns what is known of each such request: the workers that died under it and when it last ran to its end. The facts are
-//! a set that only grows and a time that only rises, so that nodes which tell each other theirs, in any order and as often
-//! as they like, come to the same verdict.
+//! For each request, the ledger stores the observed crashes as a grow-only set and the time of the last completion as a
+//! maximum. Merging is therefore commutative and idempotent, and nodes that exchange their reports in any order reach
+//! the same decisions.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::digest::RequestDigest;
-use super::evidence::{Evidence, MOST_CRASHES, OpenCrash, Sighting, Verdict};
+use super::evidence::{Attribution, CRASH_THRESHOLD, CandidateCrash, Evidence, Observation};
 use super::recent::RecentCompletions;
 use super::report::{Completion, Crash, CrashReport};
 use crate::backoff::Backoff;
 use crate::serving::workers::WorkerId;
 use crate::time::{Millis, UnixMillis};
 
-/// How long a request is quarantined after the third worker died, in milliseconds; doubles with each worker that dies
-/// of it later, up to the longest.
-const QUARANTINE: Backoff = Backoff::new(Millis(300_000), LONGEST_QUARANTINE);
-/// See [`QUARANTINE`].
-const LONGEST_QUARANTINE: Millis = Millis(3_600_000);
-/// What is known of a request is forgotten this long after the last worker died of it, in milliseconds. Bounds memory.
-const REMEMBERED_FOR: Millis = Millis(2 * LONGEST_QUARANTINE.0);
-/// Most names of requests that are remembered; those whose last crash is longest ago go first. Bounds memory to some
-/// 600 KB.
-const MOST_REQUESTS: usize = 2_048;
-/// Most crashes that are remembered of one request; the oldest go first. Bounds memory.
-const MOST_SIGHTINGS: usize = 32;
-/// A worker that dies within this time after a request ran to its end did not die of that request, in milliseconds.
-/// Spares requests that many callers send, which are on all workers whenever one dies.
-pub(super) const SPARED_FOR: Millis = Millis(10_000);
-/// Who learned of a fact, which decides whether this node reports it.
+/// Duration of a quarantine; doubles with each crash beyond the threshold.
+const QUARANTINE_BACKOFF: Backoff = Backoff::new(Millis(300_000), MAX_QUARANTINE);
+/// Maximum duration of a quarantine.
+const MAX_QUARANTINE: Millis = Millis(3_600_000);
+/// How long a request is retained after its last crash. Bounds memory.
+const CRASH_RETENTION: Millis = Millis(2 * MAX_QUARANTINE.0);
+/// Maximum number of request digests tracked; those whose last crash is oldest are evicted first. Bounds memory.
+const MAX_REQUESTS: usize = 2_048;
+/// Maximum number of observations stored per request; the oldest are evicted first. Bounds memory.
+const MAX_OBSERVATIONS: usize = 32;
+/// Crashes within this time after a completion of the request are not attributed to it. Exempts requests that many
+/// callers send and that therefore run on every worker that crashes.
+pub(super) const COMPLETION_GRACE_PERIOD: Millis = Millis(10_000);
+/// Origin of a crash or completion. This node reports only what it observed itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
-    Here,
-    Elsewhere,
+    Local,
+    Peer,
 }
 
-/// What is known of a sighting.
+/// Details of an observation that are not part of its identity.
 #[derive(Clone, Copy, Debug)]
-struct SightingFacts {
-    /// How far the request's answer was, in events.
+struct ObservationDetails {
+    /// Number of the last event of the response before the crash, 0 for none.
     progress: u64,
     source: Source,
 }
@@ -51,92 +49,93 @@
     source: Source,
 }
 
-/// What is known of one request.
+/// Crash history of one request.
 #[derive(Clone, Debug, Default)]
-struct Suspect {
-    sightings: BTreeMap<Sighting, SightingFacts>,
+struct SuspectRequest {
+    observations: BTreeMap<Observation, ObservationDetails>,
     completed: Option<LastCompletion>,
 }
 
-impl Suspect {
-    /// The crashes that were seen since the request last ran to its end, but for those right after.
-    fn open_sightings(&self) -> impl Iterator<Item = (&Sighting, &SightingFacts)> {
-        let spared_until = self.completed.map_or(0, |completed| completed.at.0.saturating_add(SPARED_FOR.0));
-        self.sightings.iter().filter(move |(sighting, _)| sighting.at.0 > spared_until)
+impl SuspectRequest {
+    /// Returns the observations since the last completion, excluding the grace period after it.
+    fn active_observations(&self) -> impl Iterator<Item = (&Observation, &ObservationDetails)> {
+        let exempt_until =
+            self.completed.map_or(0, |completed| completed.at.0.saturating_add(COMPLETION_GRACE_PERIOD.0));
+        self.observations.iter().filter(move |(observation, _)| observation.at.0 > exempt_until)
     }
 
-    /// The crashes that were seen since the request last ran to its end: one sighting of each.
-    fn crashes(&self) -> Vec<OpenCrash<'_>> {
-        let mut crashes: Vec<OpenCrash<'_>> = Vec::new();
-        for (sighting, facts) in self.open_sightings() {
-            match crashes.last_mut().filter(|last| last.sighting.is_same_crash(sighting)) {
-                Some(last) => last.progress = last.progress.max(facts.progress),
-                None => crashes.push(OpenCrash { sighting, progress: facts.progress }),
+    /// Returns the crashes since the last completion, with observations of the same crash merged.
+    fn crashes(&self) -> Vec<CandidateCrash<'_>> {
+        let mut crashes: Vec<CandidateCrash<'_>> = Vec::new();
+        for (observation, details) in self.active_observations() {
+            match crashes.last_mut().filter(|last| last.observation.is_same_crash(observation)) {
+                Some(last) => last.progress = last.progress.max(details.progress),
+                None => crashes.push(CandidateCrash { observation, progress: details.progress }),
             }
         }
         crashes
     }
 
     fn last_crash(&self) -> UnixMillis {
-        self.sightings.keys().map(|sighting| sighting.at).max().unwrap_or_default()
+        self.observations.keys().map(|observation| observation.at).max().unwrap_or_default()
     }
 
-    fn drop_oldest(&mut self) {
-        let oldest = self.sightings.keys().min_by_key(|sighting| sighting.at).cloned();
+    fn evict_oldest(&mut self) {
+        let oldest = self.observations.keys().min_by_key(|observation| observation.at).cloned();
         if let Some(oldest) = oldest {
-            self.sightings.remove(&oldest);
+            self.observations.remove(&oldest);
         }
     }
 
-    /// Whether a run to the end is worth telling others: with one crash alone it changes nothing, and other requests of a
-    /// worker that died are most of what is known here.
-    fn is_completion_reported(&self) -> bool {
-        self.sightings.len() + 1 >= MOST_CRASHES
+    /// Returns whether a completion should be reported to other nodes. With a single crash it would change no decision,
+    /// and most tracked requests have only one, since they merely shared a worker with the cause.
+    fn should_report_completion(&self) -> bool {
+        self.observations.len() + 1 >= CRASH_THRESHOLD
     }
 }
 
-/// A request that is quarantined from now on, for the log.
+/// A new or extended quarantine of a request, for logging.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quarantine {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// Workers that died of it.
+    /// Number of crashes that count toward the quarantine.
     pub crashes: usize,
-    /// Until when.
+    /// End of the quarantine.
     pub until: UnixMillis,
 }
 
-/// How many crashes of a request are known, for the log.
+/// Crash counts of a request, for logging.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashCount {
-    /// Crashes that are remembered.
+    /// Number of stored observations.
     pub known: usize,
-    /// Those that are held against the request.
+    /// Number of crashes that count toward a quarantine.
     pub counted: usize,
 }
 
-/// The requests under which workers died. Times are of day, since nodes share them and keep them beyond their own start:
-/// clocks that differ by seconds are borne, as a quarantine takes minutes.
+/// Crash history of all requests during which workers crashed. Uses wall-clock time, because times are shared between
+/// nodes and persist across restarts; clock skew of a few seconds is tolerated, since a quarantine lasts minutes.
 #[derive(Clone, Debug)]
 pub struct CrashLedger {
-    suspects: BTreeMap<RequestDigest, Suspect>,
+    suspects: BTreeMap<RequestDigest, SuspectRequest>,
     recent: RecentCompletions,
 }
 
 impl Default for CrashLedger {
     fn default() -> Self {
-        Self { suspects: BTreeMap::new(), recent: RecentCompletions::new(SPARED_FOR) }
+        Self { suspects: BTreeMap::new(), recent: RecentCompletions::new(COMPLETION_GRACE_PERIOD) }
     }
 }
 
 impl CrashLedger {
-    /// Whether no crash is known of any request.
+    /// Returns whether no crashes are stored.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// A worker died while it ran a request of this node, `progress` being the last event of its answer, 0 for none.
-    /// Returns the quarantine that follows.
+    /// Records that a worker crashed while it ran a request of this node. `progress` is the number of the last event of
+    /// the response, 0 for none. Returns the resulting quarantine, if any.
     pub fn crashed(
         &mut self,
         digest: RequestDigest,
@@ -144,118 +143,120 @@
         progress: u64,
         now: UnixMillis,
     ) -> Option<Quarantine> {
-        self.forget_old(now);
-        self.note_crash(Crash { digest, worker, at: now, progress }, Source::Here);
+        self.evict_expired(now);
+        self.record_crash(Crash { digest, worker, at: now, progress }, Source::Local);
         self.quarantine(digest)
     }
 
-    /// A request of this node ran to its end. It is no longer suspected for what was before. Returns the crashes that
-    /// were known of it; `None` if there was none.
+    /// Records that a request of this node completed, which clears its earlier crashes. Returns the crash counts before
+    /// that, or `None` if there were no crashes.
     pub fn completed(&mut self, digest: RequestDigest, now: UnixMillis) -> Option<CrashCount> {
-        self.recent.note(digest, now);
-        let before = self.count(digest);
-        self.note_completion(Completion { digest, at: now }, Source::Here).then_some(before)
+        self.recent.record(digest, now);
+        let previous_count = self.count(digest);
+        self.record_completion(Completion { digest, at: now }, Source::Local).then_some(previous_count)
     }
 
-    /// How many crashes of a request are known.
+    /// Returns the crash counts of a request.
     pub fn count(&self, digest: RequestDigest) -> CrashCount {
-        let known = self.suspects.get(&digest).map_or(0, |suspect| suspect.sightings.len());
-        let counted = self.verdict(digest).map_or(0, Verdict::counted);
+        let known = self.suspects.get(&digest).map_or(0, |suspect| suspect.observations.len());
+        let counted = self.attribute(digest).map_or(0, Attribution::counted);
         CrashCount { known, counted }
     }
 
-    /// For how long a request is to be kept from all workers, in milliseconds; `None` if it may run.
+    /// Returns the remaining quarantine of a request, or `None` if it may run.
     pub fn quarantined_for(&self, digest: RequestDigest, now: UnixMillis) -> Option<Millis> {
         let until = self.quarantined_until(digest)?;
         let left = until.0.saturating_sub(now.0);
         (left > 0).then_some(Millis(left))
     }
 
-    /// Whether one crash more would quarantine a request, so that the next attempt has to wait for what is known of the
-    /// last one.
+    /// Returns whether one more crash would quarantine the request. If so, the next attempt has to wait until the
+    /// outcome of the previous one is known.
     pub fn is_near_quarantine(&self, digest: RequestDigest) -> bool {
-        self.verdict(digest).is_some_and(Verdict::is_near_quarantine)
+        self.attribute(digest).is_some_and(Attribution::is_near_quarantine)
     }
 
-    /// Takes what another node reports, or this one did before its start (`is_own`). Returns the quarantines that follow.
-    pub fn merge(&mut self, report: &CrashReport, is_own: bool, now: UnixMillis) -> Vec<Quarantine> {
-        let source = if is_own { Source::Here } else { Source::Elsewhere };
-        let mut touched = BTreeSet::new();
+    /// Merges the report of another node, or the report that this node stored before its restart (`is_local`). Returns
+    /// the resulting quarantines.
+    pub fn merge(&mut self, report: &CrashReport, is_local: bool, now: UnixMillis) -> Vec<Quarantine> {
+        let source = if is_local { Source::Local } else { Source::Peer };
+        let mut updated = BTreeSet::new();
         for crash in &report.crashes {
-            if self.note_crash(crash.clone(), source) {
-                touched.insert(crash.digest);
+            if self.record_crash(crash.clone(), source) {
+                updated.insert(crash.digest);
             }
         }
         for completion in &report.completions {
-            self.note_completion(completion.clone(), source);
+            self.record_completion(completion.clone(), source);
         }
-        self.forget_old(now);
-        let quarantines = touched.into_iter().filter_map(|digest| self.quarantine(digest));
+        self.evict_expired(now);
+        let quarantines = updated.into_iter().filter_map(|digest| self.quarantine(digest));
         quarantines.filter(|quarantine| quarantine.until > now).collect()
     }
 
-    /// What this node tells the others.
+    /// Returns this node's report to the other nodes.
     pub fn report(&self) -> CrashReport {
         let mut report = CrashReport::default();
         for (digest, suspect) in &self.suspects {
-            let own = suspect.open_sightings().filter(|(_, facts)| facts.source == Source::Here);
-            report.crashes.extend(own.map(|(sighting, facts)| Crash {
+            let own = suspect.active_observations().filter(|(_, details)| details.source == Source::Local);
+            report.crashes.extend(own.map(|(observation, details)| Crash {
                 digest: *digest,
-                worker: sighting.worker.clone(),
-                at: sighting.at,
-                progress: facts.progress,
+                worker: observation.worker.clone(),
+                at: observation.at,
+                progress: details.progress,
             }));
-            let completed = suspect.completed.filter(|completed| completed.source == Source::Here);
-            if let Some(completed) = completed.filter(|_| suspect.is_completion_reported()) {
+            let completed = suspect.completed.filter(|completed| completed.source == Source::Local);
+            if let Some(completed) = completed.filter(|_| suspect.should_report_completion()) {
                 report.completions.push(Completion { digest: *digest, at: completed.at });
             }
         }
         report
     }
 
-    /// Notes a crash. Returns whether it was not known.
-    fn note_crash(&mut self, crash: Crash, source: Source) -> bool {
+    /// Returns whether the crash is new.
+    fn record_crash(&mut self, crash: Crash, source: Source) -> bool {
         let suspect = self.suspects.entry(crash.digest).or_insert_with(|| {
             let last = self.recent.last(crash.digest);
-            let completed = last.map(|at| LastCompletion { at, source: Source::Here });
-            Suspect { completed, ..Suspect::default() }
+            let completed = last.map(|at| LastCompletion { at, source: Source::Local });
+            SuspectRequest { completed, ..SuspectRequest::default() }
         });
-        let facts = SightingFacts { progress: crash.progress, source };
-        let is_new = match suspect.sightings.entry(Sighting { worker: crash.worker, at: crash.at }) {
+        let details = ObservationDetails { progress: crash.progress, source };
+        let is_new = match suspect.observations.entry(Observation { worker: crash.worker, at: crash.at }) {
             Entry::Occupied(_) => false,
             Entry::Vacant(entry) => {
-                entry.insert(facts);
+                entry.insert(details);
                 true
             }
         };
-        if suspect.sightings.len() > MOST_SIGHTINGS {
-            suspect.drop_oldest();
+        if suspect.observations.len() > MAX_OBSERVATIONS {
+            suspect.evict_oldest();
         }
         is_new
     }
 
-    /// What speaks against a request since it last ran to its end.
+    /// Attributes crashes to a request since its last completion.
     ///
-    /// All requests in a worker's slots are there when it dies. A crash that another one explains, against which more
-    /// speaks and enough to be quarantined, counts for that one alone.
-    fn verdict(&self, digest: RequestDigest) -> Option<Verdict> {
+    /// A crash affects all requests in the worker's slots. If another affected request has stronger evidence that
+    /// suffices for a quarantine, the crash counts for that request only.
+    fn attribute(&self, digest: RequestDigest) -> Option<Attribution> {
         let crashes = self.suspects.get(&digest)?.crashes();
         let own = Evidence::of(&crashes);
-        let mut open = crashes;
-        for others in self.suspects.values().map(Suspect::crashes) {
+        let mut unexplained = crashes;
+        for others in self.suspects.values().map(SuspectRequest::crashes) {
             let evidence = Evidence::of(&others);
-            if evidence > own && evidence.is_enough() {
-                open.retain(|crash| !others.iter().any(|other| other.sighting.is_same_crash(crash.sighting)));
+            if evidence > own && evidence.meets_threshold() {
+                unexplained
+                    .retain(|crash| !others.iter().any(|other| other.observation.is_same_crash(crash.observation)));
             }
         }
-        Some(Verdict { open: Evidence::of(&open), all: own.all })
+        Some(Attribution { unexplained: Evidence::of(&unexplained), total: own.total })
     }
 
-    /// Until when a request is quarantined; `None` if too few workers died of it.
+    /// Returns the end of a request's quarantine, which may be in the past, or `None` below the threshold.
     fn quarantined_until(&self, digest: RequestDigest) -> Option<UnixMillis> {
         let suspect = self.suspects.get(&digest)?;
-        let beyond = u32::try_from(self.verdict(digest)?.beyond()?).unwrap_or(u32::MAX);
-        Some(UnixMillis(suspect.last_crash().0.saturating_add(QUARANTINE.wait(beyond).0)))
+        let excess = u32::try_from(self.attribute(digest)?.excess()?).unwrap_or(u32::MAX);
+        Some(UnixMillis(suspect.last_crash().0.saturating_add(QUARANTINE_BACKOFF.wait(excess).0)))
     }
 
     fn quarantine(&self, digest: RequestDigest) -> Option<Quarantine> {
@@ -263,8 +264,8 @@
         Some(Quarantine { digest, crashes: self.count(digest).counted, until })
     }
 
-    /// Notes a run to the end. Returns whether any crash of the request is known: else there is nothing to clear it of.
-    fn note_completion(&mut self, completion: Completion, source: Source) -> bool {
+    /// Returns whether the request has crashes. Completions of other requests are not stored.
+    fn record_completion(&mut self, completion: Completion, source: Source) -> bool {
         let Some(suspect) = self.suspects.get_mut(&completion.digest) else { return false };
         if suspect.completed.is_none_or(|known| known.at < completion.at) {
             suspect.completed = Some(LastCompletion { at: completion.at, source });
@@ -272,10 +273,10 @@
         true
     }
 
-    fn forget_old(&mut self, now: UnixMillis) {
-        let is_young = |suspect: &Suspect| now.0.saturating_sub(suspect.last_crash().0) < REMEMBERED_FOR.0;
-        self.suspects.retain(|_, suspect| is_young(suspect));
-        let surplus = self.suspects.len().saturating_sub(MOST_REQUESTS);
+    fn evict_expired(&mut self, now: UnixMillis) {
+        let is_retained = |suspect: &SuspectRequest| now.0.saturating_sub(suspect.last_crash().0) < CRASH_RETENTION.0;
+        self.suspects.retain(|_, suspect| is_retained(suspect));
+        let surplus = self.suspects.len().saturating_sub(MAX_REQUESTS);
         if surplus == 0 {
             return;
         }
--- a/crates/core/src/serving/crashes/mod.rs
+++ b/crates/core/src/serving/crashes/mod.rs
@@ -1,16 +1,16 @@
-//! Requests under which workers died.
+//! Tracking and quarantine of requests that crash workers.
 //!
-//! A request that crashes whichever worker runs it would be sent from worker to worker by retries, and by callers that send
-//! it again. Each worker that dies takes its other requests with it, so what is known of such a request must outlast the
-//! one try, the gateway and the leader that met it.
+//! Without quarantine, retries and repeated calls would send such a request from worker to worker, and each crash fails
+//! the other requests of that worker. The crash history of a request is therefore shared between nodes and outlives the
+//! attempt, the gateway and the leader that observed it.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`digest`] | [`RequestKeys`]: which requests are the same request, sent again |
-//! | `evidence` | how strongly crashes speak against a request |
-//! | [`ledger`] | [`CrashLedger`]: which requests are quarantined, and for how long |
-//! | `recent` | which requests ran to their end a moment ago |
-//! | [`report`] | what nodes tell each other |
+//! | [`digest`] | [`RequestKeys`]: identification of a request that is sent again |
+//! | `evidence` | the crash counts and thresholds that decide on a quarantine |
+//! | [`ledger`] | [`CrashLedger`]: the crash history and quarantine of each request |
+//! | `recent` | requests that completed recently |
+//! | [`report`] | the crash reports that nodes exchange |
 
 pub mod digest;
 mod evidence;
@@ -19,6 +19,6 @@
 pub mod report;
 
 pub use digest::{RequestContent, RequestDigest, RequestKeys};
-pub use evidence::MOST_CRASHES;
+pub use evidence::CRASH_THRESHOLD;
 pub use ledger::{CrashCount, CrashLedger, Quarantine};
 pub use report::CrashReport;
--- a/crates/core/src/serving/crashes/recent.rs
+++ b/crates/core/src/serving/crashes/recent.rs
@@ -1,43 +1,44 @@
-//! The requests that ran to their end a moment ago.
+//! Requests that completed recently.
 //!
-//! A request that many callers send is on every worker at all times, so it is there whenever one dies. That it ran to
-//! its end a moment before tells it from the request that did it.
+//! A request that many callers send runs on every worker at any time, so it is affected by every crash. Its recent
+//! completions distinguish it from the request that caused the crash.
 
 use std::collections::BTreeMap;
 
 use super::digest::RequestDigest;
 use crate::time::{Millis, UnixMillis};
 
-/// Most names of requests of one generation. Bounds memory to some 400 KB.
-const MOST_OF_GENERATION: usize = 8_192;
+/// Maximum number of request digests in one generation. Bounds memory.
+const MAX_GENERATION_ENTRIES: usize = 8_192;
 
-/// Requests that ran to their end, in two generations: the older one is dropped when the younger one is full or old.
+/// Completion times of requests in two generations. When the current generation is full or expired, it replaces the
+/// previous one.
 #[derive(Clone, Debug)]
 pub(super) struct RecentCompletions {
-    kept_for: Millis,
-    young: BTreeMap<RequestDigest, UnixMillis>,
-    old: BTreeMap<RequestDigest, UnixMillis>,
-    began_at: UnixMillis,
+    retention: Millis,
+    current: BTreeMap<RequestDigest, UnixMillis>,
+    previous: BTreeMap<RequestDigest, UnixMillis>,
+    current_since: UnixMillis,
 }
 
 impl RecentCompletions {
-    /// None yet. Each is remembered for `kept_for` at least, unless there are too many.
-    pub(super) fn new(kept_for: Millis) -> Self {
-        Self { kept_for, young: BTreeMap::new(), old: BTreeMap::new(), began_at: UnixMillis(0) }
+    /// Creates an empty set that stores each completion for at least `retention`, unless there are too many.
+    pub(super) fn new(retention: Millis) -> Self {
+        Self { retention, current: BTreeMap::new(), previous: BTreeMap::new(), current_since: UnixMillis(0) }
     }
 
-    /// A request ran to its end.
-    pub(super) fn note(&mut self, digest: RequestDigest, now: UnixMillis) {
-        let is_over = now.0.saturating_sub(self.began_at.0) >= self.kept_for.0;
-        if is_over || self.young.len() >= MOST_OF_GENERATION {
-            self.old = std::mem::take(&mut self.young);
-            self.began_at = now;
+    /// Records a completion of a request.
+    pub(super) fn record(&mut self, digest: RequestDigest, now: UnixMillis) {
+        let is_expired = now.0.saturating_sub(self.current_since.0) >= self.retention.0;
+        if is_expired || self.current.len() >= MAX_GENERATION_ENTRIES {
+            self.previous = std::mem::take(&mut self.current);
+            self.current_since = now;
         }
-        self.young.insert(digest, now);
+        self.current.insert(digest, now);
     }
 
-    /// When a request last ran to its end, if that is remembered.
+    /// Returns the time of the last completion of a request, if stored.
     pub(super) fn last(&self, digest: RequestDigest) -> Option<UnixMillis> {
-        self.young.get(&digest).or_else(|| self.old.get(&digest)).copied()
+        self.current.get(&digest).or_else(|| self.previous.get(&digest)).copied()
     }
 }
--- a/crates/core/src/serving/crashes/report.rs
+++ b/crates/core/src/serving/crashes/report.rs
@@ -1,7 +1,7 @@
-//! What nodes tell each other of requests under which workers died.
+//! Crash reports that nodes exchange through the metadata store.
 //!
-//! Each node keeps one record of its own in the metadata store, from where all others have it within moments. Nodes of
-//! earlier versions pass over it. The JSON names are stored and don't change.
+//! Each node maintains one record, which all other nodes watch. Nodes of earlier versions ignore it. The JSON field
+//! names are part of the stored format and must not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,36 +9,36 @@
 use crate::serving::workers::WorkerId;
 use crate::time::UnixMillis;
 
-/// A worker died while it ran a request.
+/// A crash of a worker while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// The worker.
+    /// Id of the worker.
     pub worker: WorkerId,
-    /// When, by the clock of the node that saw it.
+    /// Time of the crash, by the clock of the node that observed it.
     pub at: UnixMillis,
-    /// The last event of the request's answer before, 0 for none.
+    /// Number of the last event of the response before the crash, 0 for none.
     #[serde(default)]
     pub progress: u64,
 }
 
-/// A request ran to its end.
+/// A completion of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Completion {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// When, by the clock of the node that saw it.
+    /// Time of the completion, by the clock of the node that observed it.
     pub at: UnixMillis,
 }
 
-/// What one node saw.
+/// Crashes and completions that one node observed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Workers that died.
+    /// Crashes that later completions have not cleared.
     #[serde(default)]
     pub crashes: Vec<Crash>,
-    /// Requests that ran to their end later, which clears them of what was before.
+    /// Last completions of requests with crashes, which clear the earlier crashes.
     #[serde(default)]
     pub completions: Vec<Completion>,
 }
--- a/crates/core/src/serving/workers/activity.rs
+++ b/crates/core/src/serving/workers/activity.rs
@@ -1,10 +1,10 @@
-//! Which workers anything is known of beyond their records: requests, a recent word on their load, an ejection.
+//! The set of active workers: those with requests, a recent load report, or an ejection.
 //!
-//! A node of a large fleet uses few of its workers. What it reports, and what it takes from reports of others, goes by
-//! these few, so that its work grows with its own traffic and not with the fleet.
+//! A node in a large fleet uses few of the workers. Building and applying load reports visits only active workers, so
+//! that the cost grows with the node's traffic and not with the fleet.
 //!
-//! Invariant: a worker that is not active has no requests of this node, and neither a load that others reported nor an
-//! ejection that is still believed.
+//! Invariant: a worker that is not active has no requests of this node, no valid load reported by others, and no
+//! current ejection.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 use super::worker::{WorkerEntry, WorkerId};
 use crate::time::Timestamp;
 
-/// The workers of which something may be known.
+/// Ids of the workers that may be active.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ActiveWorkers {
     ids: BTreeSet<WorkerId>,
@@ -27,7 +27,7 @@
 }
 
 impl WorkerTable {
-    /// How many workers this node looks at when it reports loads or takes a report.
+    /// Returns the number of workers visited when a load report is built or applied.
     pub fn active_count(&self) -> usize {
         self.active.ids.len()
     }
@@ -36,8 +36,8 @@
         self.active.ids.iter().filter_map(|id| self.workers.get(id))
     }
 
-    /// Calls `change` for each active worker, and leaves out those that are idle by now.
-    pub(super) fn change_active(&mut self, now: Timestamp, mut change: impl FnMut(&mut WorkerEntry)) {
+    /// Calls `change` for each active worker and removes workers that are idle afterwards.
+    pub(super) fn update_active(&mut self, now: Timestamp, mut change: impl FnMut(&mut WorkerEntry)) {
         let Self { active, workers, .. } = self;
         active.ids.retain(|id| {
             let Some(entry) = workers.get_mut(id) else { return false };
--- a/crates/core/src/serving/workers/choice.rs
+++ b/crates/core/src/serving/workers/choice.rs
@@ -1,87 +1,87 @@
-//! The choice of a worker for a request or a batch item: the one with the least expected time to the first event.
+//! Worker selection: picks the worker with the lowest expected time to the first event for a request or a batch item.
 //!
-//! Relies on what the table believes of the workers. The random part of the choice is drawn from the caller's source, in
-//! a fixed order: the load in transit, then one draw for each candidate.
+//! Random numbers come from the caller's generator in a fixed order, so that a selection can be reproduced from its
+//! seed: sampling of large candidate sets, the load in transit, then the jitter of each candidate.
 
 use std::net::SocketAddr;
 
 use rand::Rng;
 
 use super::cost::{cost_slope, estimate_cost, load_cost};
-use super::load_in_transit::level_after;
+use super::load_in_transit::cost_level_after;
 use super::table::WorkerTable;
-use super::worker::{Availability, Presence, SHARED_LIFETIME, WorkerEntry, WorkerId, WorkerIncarnation};
+use super::worker::{Availability, PEER_LOAD_LIFETIME, Presence, WorkerEntry, WorkerId, WorkerIncarnation};
 use crate::hashing::{hash_bytes, rendezvous_weight};
 use crate::serving::regions::AllowedRegions;
 use crate::serving::request::PrefixBlock;
 use crate::time::{Millis, Timestamp, UnixMillis};
 
-/// Batch leaves as many slots of a service free as online requests are placed in this time, in milliseconds: they come
-/// before a pause of items takes effect, which needs an exchange of load reports and a way to the worker.
-const PAUSE_TAKES: Millis = Millis(150);
-/// The cost of each batch item that runs at a worker, in milliseconds, so that items spread over workers.
-const ITEM_MS: f64 = 6.0;
-/// The random part of the cost goes up to this, in milliseconds, so that nodes don't all choose alike.
-const JITTER_MS: f64 = 3.0;
-/// The load in transit is drawn from 0 to this many times what is expected: the mean of the draws is the expectation,
-/// and nodes with the same reports differ.
-const TRANSIT_SPREAD: f64 = 2.0;
-
-/// Workers among which the cheapest is sought: with more of them, the best of some that are drawn is as good, and the time
-/// for a choice does not grow with the fleet.
-const MOST_CONSIDERED: usize = 256;
-/// Of those, workers of other zones, where there are enough of both: the zone's may all be full.
-const FAR_CONSIDERED: usize = 64;
-
-/// What is asked of a worker.
+/// Time until pausing batch items frees their slots, which takes a load report exchange and a message to the worker.
+/// Batch placement leaves enough slots free for the online requests that arrive in the meantime.
+const PAUSE_LATENCY: Millis = Millis(150);
+/// Cost of each batch item already running at a worker, so that items spread over workers.
+const BATCH_ITEM_COST_MS: f64 = 6.0;
+/// Upper bound of the random cost added to each candidate, so that nodes do not all select the same worker.
+const MAX_JITTER_MS: f64 = 3.0;
+/// The load in transit is drawn uniformly between 0 and this multiple of its expected value, so that nodes with the
+/// same reports make different choices while the mean stays at the expected value.
+const MAX_IN_TRANSIT_FACTOR: f64 = 2.0;
+
+/// Maximum number of candidates whose costs are compared. Larger sets are sampled, so that the time of a selection does
+/// not grow with the fleet.
+const MAX_COMPARED: usize = 256;
+/// Number of sampled workers reserved for other zones, since all workers of the local zone may be full.
+const REMOTE_COMPARED: usize = 64;
+
+/// Properties of a request that determine which worker is selected.
 #[derive(Clone, Debug)]
 pub struct WorkerQuery<'a> {
-    /// The service.
+    /// Service that handles the request.
     pub service: &'a str,
-    /// The zone that the request is in.
+    /// Zone in which the request originates; its workers are preferred.
     pub zone: &'a str,
-    /// The prompt.
+    /// Prefix blocks of the prompt, for cache affinity.
     pub prefix: &'a [PrefixBlock],
-    /// Tokens in the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Bytes that would be sent.
+    /// Size of the request body, in bytes.
     pub body_bytes: usize,
-    /// Workers that were tried before.
+    /// Workers that were already tried and are excluded.
     pub tried: &'a [WorkerId],
-    /// Where the request may run.
+    /// Regions in which the request may run.
     pub regions: &'a AllowedRegions,
 }
 
-/// A worker that was chosen, and why.
+/// A selected worker, with the estimates that the selection used.
 #[derive(Clone, Debug)]
 pub struct Choice {
-    /// The worker.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// When this life of it began, if it says so.
+    /// Start time of the selected incarnation, if reported.
     pub started_at: Option<UnixMillis>,
-    /// Its address.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// Requests believed to be at it.
+    /// Estimated number of requests at the worker.
     pub load: u32,
-    /// Requests that it runs at once.
+    /// Number of requests that the worker runs concurrently.
     pub slots: u32,
-    /// The request's place in the queue for one of its slots, 0 if one is free or a batch item makes room.
+    /// Position of the request in the worker's slot queue, 0 if a slot is free or a batch item yields one.
     pub queue_position: u32,
-    /// Prompt tokens believed to be cached there.
+    /// Estimated number of prompt tokens in the worker's cache.
     pub cached_tokens: u32,
-    /// How many workers could be chosen from.
+    /// Number of workers that were candidates.
     pub candidates: usize,
-    /// On what ground it is sent the request.
+    /// Availability of the worker when it was selected.
     pub availability: Availability,
 }
 
 impl Choice {
-    /// The life of the worker that was chosen.
+    /// Returns the incarnation of the selected worker.
     pub fn incarnation(&self) -> WorkerIncarnation {
         WorkerIncarnation { id: self.id.clone(), started_at: self.started_at }
     }
 
-    fn of(entry: &WorkerEntry, ask: &WorkerQuery<'_>, candidates: usize, now: Timestamp) -> Self {
+    fn of(entry: &WorkerEntry, query: &WorkerQuery<'_>, candidates: usize, now: Timestamp) -> Self {
         Self {
             id: entry.record.id.clone(),
             started_at: entry.record.started_at,
@@ -89,7 +89,7 @@
             load: entry.estimated_load(now),
             slots: entry.record.slots,
             queue_position: entry.queue_position(now),
-            cached_tokens: entry.cache.cached_tokens(ask.prefix),
+            cached_tokens: entry.cache.cached_tokens(query.prefix),
             candidates,
             availability: entry.availability(),
         }
@@ -97,141 +97,143 @@
 }
 
 impl WorkerTable {
-    /// The worker with the least estimated time to the first event. Ejected workers are chosen only if all others were
-    /// tried, and workers whose records were removed only if nobody else can serve.
-    pub fn choose(&self, ask: &WorkerQuery<'_>, now: Timestamp, random: &mut impl Rng) -> Option<Choice> {
-        let candidates = self.candidates(ask, now);
-        let affinity_worker = self.affinity_worker(ask, &candidates);
-        let considered = consider(&candidates, ask, affinity_worker, random);
-        let share = considered.len() as f64 / candidates.len().max(1) as f64;
-        let level = self.in_transit_level(&considered, share, now, random);
+    /// Selects the worker with the lowest estimated time to the first event. Ejected workers are selected only if all
+    /// others were tried, and workers whose records were removed only if no other worker is available.
+    pub fn choose(&self, query: &WorkerQuery<'_>, now: Timestamp, random: &mut impl Rng) -> Option<Choice> {
+        let candidates = self.candidates(query, now);
+        let affinity_worker = self.affinity_worker(query, &candidates);
+        let compared = sample_candidates(&candidates, query, affinity_worker, random);
+        let compared_fraction = compared.len() as f64 / candidates.len().max(1) as f64;
+        let level = self.in_transit_level(&compared, compared_fraction, now, random);
         let cost = |entry: &WorkerEntry| {
-            let has_affinity = affinity_worker.is_some_and(|affine| affine.record.id == entry.record.id);
+            let has_affinity = affinity_worker.is_some_and(|preferred| preferred.record.id == entry.record.id);
             let in_transit = level.map_or(0.0, |level| (level - load_cost(entry, now)).max(0.0));
-            estimate_cost(entry, ask, has_affinity, now) + in_transit
+            estimate_cost(entry, query, has_affinity, now) + in_transit
         };
-        let chosen = cheapest(&considered, cost, random)?;
-        Some(Choice::of(chosen, ask, candidates.len(), now))
+        let chosen = cheapest(&compared, cost, random)?;
+        Some(Choice::of(chosen, query, candidates.len(), now))
     }
 
-    /// The workers of a service that were not tried: those that are sound; if there are none, those that are ejected; if
-    /// there are none, those that were removed a moment ago.
-    fn candidates<'a>(&'a self, ask: &'a WorkerQuery<'_>, now: Timestamp) -> Vec<&'a WorkerEntry> {
-        let untried = |entry: &&WorkerEntry| !ask.tried.contains(&entry.record.id);
-        let usable = || self.eligible(ask).filter(|entry| self.is_warm_or_permitted(entry, now)).filter(untried);
-        let ready: Vec<&WorkerEntry> = usable().filter(|entry| entry.takes_requests(now)).collect();
+    /// Returns the untried workers of the service: healthy ones if there are any, else ejected ones, else recently
+    /// removed ones.
+    fn candidates<'a>(&'a self, query: &'a WorkerQuery<'_>, now: Timestamp) -> Vec<&'a WorkerEntry> {
+        let untried = |entry: &&WorkerEntry| !query.tried.contains(&entry.record.id);
+        let usable = || self.eligible(query).filter(|entry| self.is_warm_or_permitted(entry, now)).filter(untried);
+        let ready: Vec<&WorkerEntry> = usable().filter(|entry| entry.accepts_requests(now)).collect();
         if ready.is_empty() {
             return usable().filter(|entry| is_last_resort(entry, now)).collect();
         }
-        let sound: Vec<&WorkerEntry> = ready.iter().copied().filter(|entry| !entry.is_ejected(now)).collect();
-        if sound.is_empty() { ready } else { sound }
+        let healthy: Vec<&WorkerEntry> = ready.iter().copied().filter(|entry| !entry.is_ejected(now)).collect();
+        if healthy.is_empty() { ready } else { healthy }
     }
 
-    /// The workers of a service that may be sent the request by its regions and by the operator's orders.
-    pub(super) fn eligible<'a>(&'a self, ask: &'a WorkerQuery<'_>) -> impl Iterator<Item = &'a WorkerEntry> {
-        let of_service = self.workers.values().filter(|entry| &*entry.record.service == ask.service);
+    /// Returns the workers of the service that the request's regions and the operator's evacuations allow.
+    pub(super) fn eligible<'a>(&'a self, query: &'a WorkerQuery<'_>) -> impl Iterator<Item = &'a WorkerEntry> {
+        let of_service = self.workers.values().filter(|entry| &*entry.record.service == query.service);
         of_service.filter(|entry| {
-            !self.is_evacuated(&entry.record.zone) && self.regions.allows(ask.regions, &entry.record.zone)
+            !self.is_evacuated(&entry.record.zone) && self.regions.allows(query.regions, &entry.record.zone)
         })
     }
 
-    /// The level to which requests that other nodes have placed since their last report may have raised the cost of the
-    /// least busy workers. How many those are is drawn; of them `share` are at the workers that are considered.
+    /// Returns the cost level to which requests placed by other nodes since their last report may have raised the
+    /// cheapest workers. The number of those requests is drawn at random and scaled by `compared_fraction`, the
+    /// fraction of candidates that are compared.
     fn in_transit_level(
         &self,
-        considered: &[&WorkerEntry],
-        share: f64,
+        compared: &[&WorkerEntry],
+        compared_fraction: f64,
         now: Timestamp,
         random: &mut impl Rng,
     ) -> Option<f64> {
-        let rate = self.peer_rate.filter(|rate| now.since(rate.at) < SHARED_LIFETIME)?;
+        let rate = self.peer_rate.filter(|rate| now.since(rate.at) < PEER_LOAD_LIFETIME)?;
         let age = now.since(rate.at) + rate.report_age;
-        let expected = f64::from(rate.placed_per_s) * age.0 as f64 / 1_000.0 * share;
-        let in_transit = expected * TRANSIT_SPREAD * random.random::<f64>();
-        let slopes: Vec<_> = considered.iter().map(|entry| cost_slope(entry, now)).collect();
-        level_after(&slopes, in_transit)
+        let expected = f64::from(rate.placed_per_s) * age.0 as f64 / 1_000.0 * compared_fraction;
+        let in_transit = expected * MAX_IN_TRANSIT_FACTOR * random.random::<f64>();
+        let slopes: Vec<_> = compared.iter().map(|entry| cost_slope(entry, now)).collect();
+        cost_level_after(&slopes, in_transit)
     }
 
-    /// Where the shared parts of a prompt go from every node: workers of the zone first, so that
-    /// nodes agree without asking each other.
-    fn affinity_worker<'a>(&self, ask: &WorkerQuery<'_>, candidates: &[&'a WorkerEntry]) -> Option<&'a WorkerEntry> {
-        let shared = ask.prefix.len().checked_sub(2).map(|place| ask.prefix[place].chain)?;
-        let in_zone = candidates.iter().filter(|entry| &*entry.record.zone == ask.zone);
+    /// Returns the preferred worker for the shared part of a prompt, by rendezvous hashing over the local zone, or over
+    /// all candidates if the zone has none. Nodes agree on it without coordination.
+    fn affinity_worker<'a>(&self, query: &WorkerQuery<'_>, candidates: &[&'a WorkerEntry]) -> Option<&'a WorkerEntry> {
+        let shared = query.prefix.len().checked_sub(2).map(|index| query.prefix[index].chain)?;
+        let in_zone = candidates.iter().filter(|entry| &*entry.record.zone == query.zone);
         let weight = |entry: &&&WorkerEntry| rendezvous_weight(shared, hash_bytes(entry.record.id.0.as_bytes()));
         in_zone.max_by_key(weight).or_else(|| candidates.iter().max_by_key(weight)).copied()
     }
 
-    /// The worker for a batch item: the one with the most room. Of all the service's slots so many stay free as
-    /// `online_per_s` online requests in a second need until items make room for them.
+    /// Selects the cheapest worker with a free slot for a batch item. Returns `None` unless the service keeps enough
+    /// free slots to absorb `online_per_s` online requests per second until batch items can be paused.
     pub fn choose_for_batch(
         &self,
-        ask: &WorkerQuery<'_>,
+        query: &WorkerQuery<'_>,
         online_per_s: u32,
         now: Timestamp,
         random: &mut impl Rng,
     ) -> Option<Choice> {
         let free_slots = |entry: &WorkerEntry| u64::from(entry.record.slots.saturating_sub(entry.estimated_load(now)));
-        let sound = self
-            .eligible(ask)
-            .filter(|entry| entry.takes_requests(now) && !entry.is_ejected(now))
+        let healthy = self
+            .eligible(query)
+            .filter(|entry| entry.accepts_requests(now) && !entry.is_ejected(now))
             .filter(|entry| self.is_warm_or_permitted(entry, now));
-        let with_room: Vec<(u64, &WorkerEntry)> =
-            sound.map(|entry| (free_slots(entry), entry)).filter(|(free, _)| *free > 0).collect();
-        let reserve = (u64::from(online_per_s) * PAUSE_TAKES.0).div_ceil(1_000).max(1);
-        if with_room.iter().map(|(free, _)| free).sum::<u64>() <= reserve {
+        let with_free_slots: Vec<(u64, &WorkerEntry)> =
+            healthy.map(|entry| (free_slots(entry), entry)).filter(|(free, _)| *free > 0).collect();
+        let reserve = (u64::from(online_per_s) * PAUSE_LATENCY.0).div_ceil(1_000).max(1);
+        if with_free_slots.iter().map(|(free, _)| free).sum::<u64>() <= reserve {
             return None;
         }
-        let untried = with_room.into_iter().filter(|(_, entry)| !ask.tried.contains(&entry.record.id));
+        let untried = with_free_slots.into_iter().filter(|(_, entry)| !query.tried.contains(&entry.record.id));
         let candidates: Vec<&WorkerEntry> = untried.map(|(_, entry)| entry).collect();
         let cost = |entry: &WorkerEntry| {
-            let items = f64::from(entry.batch_in_flight) * ITEM_MS;
-            estimate_cost(entry, ask, false, now) + items
+            let items = f64::from(entry.batch_in_flight) * BATCH_ITEM_COST_MS;
+            estimate_cost(entry, query, false, now) + items
         };
-        let considered = consider(&candidates, ask, None, random);
-        let chosen = cheapest(&considered, cost, random)?;
-        Some(Choice::of(chosen, ask, candidates.len(), now))
+        let compared = sample_candidates(&candidates, query, None, random);
+        let chosen = cheapest(&compared, cost, random)?;
+        Some(Choice::of(chosen, query, candidates.len(), now))
     }
 }
 
-/// The workers among which the cheapest is sought: all of them, or, where there are many, some that are drawn, the zone's
-/// for the greater part, with those that are believed to have parts of the prompt.
-fn consider<'a>(
+/// Returns the candidates to compare: all of them, or, if there are too many, a random sample mostly from the local
+/// zone, plus the workers estimated to have part of the prompt cached.
+fn sample_candidates<'a>(
     candidates: &[&'a WorkerEntry],
-    ask: &WorkerQuery<'_>,
+    query: &WorkerQuery<'_>,
     affinity_worker: Option<&'a WorkerEntry>,
     random: &mut impl Rng,
 ) -> Vec<&'a WorkerEntry> {
-    if candidates.len() <= MOST_CONSIDERED {
+    if candidates.len() <= MAX_COMPARED {
         return candidates.to_vec();
     }
-    let (near, far): (Vec<_>, Vec<_>) = candidates.iter().copied().partition(|entry| &*entry.record.zone == ask.zone);
-    let mut considered = draw(&near, MOST_CONSIDERED - FAR_CONSIDERED, random);
-    considered.extend(draw(&far, MOST_CONSIDERED - considered.len(), random));
-    let has_parts = |entry: &&&WorkerEntry| entry.cache.cached_tokens(ask.prefix) > 0;
-    considered.extend(candidates.iter().filter(has_parts));
-    considered.extend(affinity_worker);
-    considered
+    let (local, remote): (Vec<_>, Vec<_>) =
+        candidates.iter().copied().partition(|entry| &*entry.record.zone == query.zone);
+    let mut compared = sample_workers(&local, MAX_COMPARED - REMOTE_COMPARED, random);
+    compared.extend(sample_workers(&remote, MAX_COMPARED - compared.len(), random));
+    let has_cached_prefix = |entry: &&&WorkerEntry| entry.cache.cached_tokens(query.prefix) > 0;
+    compared.extend(candidates.iter().filter(has_cached_prefix));
+    compared.extend(affinity_worker);
+    compared
 }
 
-fn draw<'a>(from: &[&'a WorkerEntry], most: usize, random: &mut impl Rng) -> Vec<&'a WorkerEntry> {
-    let places = rand::seq::index::sample(random, from.len(), most.min(from.len()));
-    places.into_iter().map(|place| from[place]).collect()
+fn sample_workers<'a>(from: &[&'a WorkerEntry], limit: usize, random: &mut impl Rng) -> Vec<&'a WorkerEntry> {
+    let indices = rand::seq::index::sample(random, from.len(), limit.min(from.len()));
+    indices.into_iter().map(|index| from[index]).collect()
 }
 
-/// The candidate with the least cost, each with a random part of its own.
+/// Returns the candidate with the lowest cost, after adding independent jitter to each.
 fn cheapest<'a>(
     candidates: &[&'a WorkerEntry],
     cost: impl Fn(&WorkerEntry) -> f64,
     random: &mut impl Rng,
 ) -> Option<&'a WorkerEntry> {
-    let with_cost = candidates.iter().map(|entry| (cost(entry) + random.random::<f64>() * JITTER_MS, *entry));
+    let with_cost = candidates.iter().map(|entry| (cost(entry) + random.random::<f64>() * MAX_JITTER_MS, *entry));
     with_cost.min_by(|left, right| left.0.total_cmp(&right.0)).map(|(_, entry)| entry)
 }
 
 fn is_last_resort(entry: &WorkerEntry, now: Timestamp) -> bool {
     match entry.presence {
-        Presence::Gone { usable_until, .. } => now < usable_until,
+        Presence::Removed { usable_until, .. } => now < usable_until,
         Presence::Ready => true,
-        Presence::Missing { .. } | Presence::Draining | Presence::Left { .. } => false,
+        Presence::Missing { .. } | Presence::Draining | Presence::Drained { .. } => false,
     }
 }
--- a/crates/core/src/serving/workers/evacuation.rs
+++ b/crates/core/src/serving/workers/evacuation.rs
@@ -1,7 +1,7 @@
-//! Zones that the operator has evacuated: their workers get nothing until the order is taken back.
+//! Zones that the operator has evacuated: their workers receive no new requests until the evacuation ends.
 //!
-//! What runs there goes on to its end. Routing, retries, streams that go on elsewhere and batch items all come through
-//! the choice of a worker, which leaves these zones out.
+//! Running requests continue to completion. New requests, retries, resumed streams and batch items all go through
+//! worker selection, which excludes these zones.
 
 use std::sync::Arc;
 
@@ -10,30 +10,30 @@
 use crate::time::Timestamp;
 
 impl WorkerTable {
-    /// The operator evacuates a zone, or takes that back. Returns whether that is new. The workers of a zone that is taken
-    /// back may have started again meanwhile, so they count as cold.
+    /// Starts or ends the evacuation of a zone. Returns whether the state changed. When an evacuation ends, the zone's
+    /// workers count as cold, since they may have restarted in the meantime.
     pub fn set_evacuated(&mut self, zone: &Arc<str>, evacuated: bool, now: Timestamp) -> bool {
         if evacuated {
-            return self.evacuated.insert(zone.clone());
+            return self.evacuated_zones.insert(zone.clone());
         }
-        let was_evacuated = self.evacuated.remove(zone);
+        let was_evacuated = self.evacuated_zones.remove(zone);
         if was_evacuated {
-            self.chill_zone_from(zone, now);
+            self.mark_zone_cold_from(zone, now);
         }
         was_evacuated
     }
 
     pub(super) fn is_evacuated(&self, zone: &str) -> bool {
-        self.evacuated.contains(zone)
+        self.evacuated_zones.contains(zone)
     }
 
-    /// Whether a worker may be sent nothing for the operator's order, as its zone is evacuated.
+    /// Returns whether the worker is known and its zone is evacuated.
     pub fn is_in_evacuated_zone(&self, id: &WorkerId) -> bool {
         self.workers.get(id).is_some_and(|entry| self.is_evacuated(&entry.record.zone))
     }
 
-    /// Whether there are zones that are evacuated.
+    /// Returns whether any zone is evacuated.
     pub fn has_evacuated_zones(&self) -> bool {
-        !self.evacuated.is_empty()
+        !self.evacuated_zones.is_empty()
     }
 }
--- a/crates/core/src/serving/workers/load_report.rs
+++ b/crates/core/src/serving/workers/load_report.rs
@@ -1,83 +1,85 @@
-//! What nodes report to each other of the workers, and how often.
+//! Load reports exchanged between nodes, and their interval.
 //!
-//! Each gateway sends a report of its own to the leader of the job table, or to an aggregator of its zone, and gets the
-//! sums over all others. The reports are messages between nodes: the order of their fields is their form.
+//! Each gateway sends its report to the leader of the job table, or to an aggregator in its zone, and receives the sums
+//! over all other gateways. Reports are wire messages whose encoding depends on the order of the fields.
 
 use serde::{Deserialize, Serialize};
 
 use super::worker::WorkerId;
 use crate::time::Millis;
 
-/// From this many gateways on, those of a zone report to an aggregator of the zone, which reports sums to the leader.
-/// Two steps at the shortest interval are no older than one at the interval that the leader can serve with this many:
-/// four times half of 40 ms, against 100 nodes at 900 exchanges a second.
-const CENTRAL_NODES: u32 = 100;
-/// Exchanges of reports that an aggregator serves in a second: bounds the processor time of the leader.
-const EXCHANGES_PER_S: u64 = 900;
-/// The shortest time between two exchanges of one node, in milliseconds.
-const LEAST_INTERVAL: Millis = Millis(40);
-/// The longest time between two exchanges of one node, in milliseconds.
-const LONGEST_INTERVAL: Millis = Millis(400);
-/// This many nodes must have ejected a worker before the others do: one node that is cut off ejects nothing for others.
-const FAILED_NODES: u32 = 2;
+/// Minimum number of gateways at which each reports to an aggregator in its zone, which forwards sums to the leader.
+/// With this many gateways, two hops at the minimum interval are not slower than direct exchanges with the leader,
+/// whose interval grows with the number of gateways.
+const ZONE_AGGREGATION_THRESHOLD: u32 = 100;
+/// Maximum rate of report exchanges at an aggregator or the leader; limits its CPU usage.
+const MAX_EXCHANGES_PER_S: u64 = 900;
+/// Minimum time between two exchanges of a node.
+const MIN_INTERVAL: Millis = Millis(40);
+/// Maximum time between two exchanges of a node.
+const MAX_INTERVAL: Millis = Millis(400);
+/// Number of nodes that must have ejected a worker before all others do, so that a single partitioned node has no
+/// effect.
+const MIN_EJECTING_NODES: u32 = 2;
 
-/// How many requests are at a worker.
+/// Number of requests at a worker, or of requests allowed there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerCount {
-    /// The worker.
+    /// Id of the worker.
     pub worker: WorkerId,
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
 }
 
-/// What one node, or several summed, report of a worker.
+/// Report on one worker, from one node or summed over several.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerReport {
-    /// The worker.
+    /// Id of the worker.
     pub worker: WorkerId,
-    /// The reporters' requests there.
+    /// Number of requests of the reporting nodes at the worker.
     pub requests: u32,
-    /// All requests there, if the worker itself reported that a moment ago.
+    /// Total number of requests at the worker, if the worker itself reported it recently.
     pub self_reported: Option<u32>,
-    /// How many reporters have ejected the worker for what it did to them.
+    /// Number of reporting nodes that have ejected the worker because of their own failed attempts.
     pub ejected_by: u32,
-    /// Batch items among the requests, which make room for online requests.
+    /// Number of batch items among the requests; they yield their slots to online requests.
     pub batch: u32,
 }
 
 impl WorkerReport {
-    /// Whether every node should eject the worker: it failed several, and reported its load to none a moment ago.
+    /// Returns whether every node should eject the worker: several nodes have, and none received a recent load report
+    /// from the worker.
     pub fn should_eject(&self) -> bool {
-        self.ejected_by >= FAILED_NODES && self.self_reported.is_none()
+        self.ejected_by >= MIN_EJECTING_NODES && self.self_reported.is_none()
     }
 }
 
-/// What one node reports of its requests, or is answered of those of all others.
+/// A node's report on its requests, or the response with those of all other nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The workers of which there is anything to report.
+    /// Workers with anything to report.
     pub workers: Vec<WorkerReport>,
-    /// Requests placed in a second.
+    /// Requests placed per second.
     pub placed_per_s: u32,
-    /// In an answer: how many nodes report to the one that answers. In a report: how many gateways the sender knows of,
-    /// those out of reach included.
+    /// In a response: the number of nodes that report to the responder. In a report: the number of gateways known to
+    /// the sender, including unreachable ones.
     pub reporters: u32,
-    /// How many gateways it covers: in an answer all but the asker; 0 in a report of one gateway.
+    /// Number of gateways covered: in a response all but the requester, in the report of a single gateway 0.
     pub nodes: u32,
-    /// How long ago the gateways reported it, on average over the requests placed, in milliseconds.
+    /// Mean age of the underlying reports, weighted by requests placed.
     pub age: Millis,
 }
 
 impl LoadReport {
-    /// Whether there are so many gateways that those of a zone report to an aggregator first.
+    /// Returns whether there are enough gateways that each reports to an aggregator in its zone.
     pub fn uses_zone_aggregators(&self) -> bool {
-        self.nodes >= CENTRAL_NODES
+        self.nodes >= ZONE_AGGREGATION_THRESHOLD
     }
 
-    /// The time between two exchanges of one node, in milliseconds: as short as the aggregator can serve, since requests
-    /// are placed by the last report.
+    /// Returns the time between two exchanges of a node: as short as the aggregator can serve, because stale reports
+    /// lead to worse placement.
     pub fn interval(&self) -> Millis {
-        let spread = u64::from(self.reporters) * 1_000 / EXCHANGES_PER_S;
-        Millis(spread).clamp(LEAST_INTERVAL, LONGEST_INTERVAL)
+        let interval_ms = u64::from(self.reporters) * 1_000 / MAX_EXCHANGES_PER_S;
+        Millis(interval_ms).clamp(MIN_INTERVAL, MAX_INTERVAL)
     }
 }
--- a/crates/core/src/serving/workers/mod.rs
+++ b/crates/core/src/serving/workers/mod.rs
@@ -1,25 +1,25 @@
-//! The workers as this node knows them, and the choice among them.
+//! This node's view of the workers, and worker selection.
 //!
-//! Owns what one node believes of each worker; relies on the metadata store's records for which there are, on the ends of
-//! the node's own attempts, and on the load reports of other nodes.
+//! The view is built from worker records in the metadata store, the outcomes of local attempts, and the load reports of
+//! other nodes.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`table`] | which workers there are, and which may be sent requests |
-//! | `worker` | what is believed of one worker |
-//! | `activity` | which workers anything moves at |
-//! | `loads` | how many requests are at each worker |
-//! | `health` | ejection of workers that failed, slowness, what the end of an attempt says |
-//! | [`choice`] | the choice of a worker for a request or a batch item |
+//! | [`table`] | the set of known workers, and which of them accept requests |
+//! | `worker` | the state kept for one worker |
+//! | `activity` | the set of workers with current load, reports or ejections |
+//! | `loads` | the number of requests at each worker |
+//! | `health` | outlier ejection, relative latency, and handling of attempt outcomes |
+//! | [`choice`] | worker selection for requests and batch items |
 //! | [`cold_start`] | workers that have just started, and this node's permits to send them requests |
-//! | [`permit_grants`] | the leader's side of such permits |
-//! | `evacuation` | zones whose workers get nothing by the operator's order |
-//! | `cost` | what it costs to send a request to a worker |
-//! | [`load_report`] | what nodes report to each other, and how often |
-//! | [`load_in_transit`] | requests that other nodes placed since their last report |
-//! | [`prefix_cache`] | which prompt parts a worker is believed to have cached |
-//! | [`service_times`] | how long the workers of a service take |
-//! | [`connection_limit`] | how many connections one node opens to a worker |
+//! | [`permit_grants`] | the leader's side of cold start permits |
+//! | `evacuation` | zones that the operator has excluded from selection |
+//! | `cost` | the estimated cost of sending a request to a worker |
+//! | [`load_report`] | the load reports that nodes exchange, and their interval |
+//! | [`load_in_transit`] | requests that other nodes have placed since their last report |
+//! | [`prefix_cache`] | the prompt prefixes that a worker is estimated to have cached |
+//! | [`service_times`] | response times of the workers of a service |
+//! | [`connection_limit`] | the maximum number of connections from one node to a worker |
 
 mod activity;
 pub mod choice;
--- a/crates/core/src/serving/workers/permit_grants.rs
+++ b/crates/core/src/serving/workers/permit_grants.rs
@@ -1,9 +1,11 @@
-//! The leader's side of cold starts: how many requests all nodes together may send to a worker that has just started.
+//! The leader's side of cold starts: limits the requests that all nodes together send to a worker that has just
+//! started.
 //!
-//! Invariant: in any second, the requests that permits allow at one worker are no more than a second's worth of what it
-//! bears and [`BURST`]. A permit is used within [`PERMIT_LIFETIME`], so those used in a second were granted in that
-//! second or within a lifetime before it; [`GRANTED_SHARE`] makes up for that. A new leader grants nothing saved up, as
-//! permits of the one before may still be in use, and a replica that can't prove that it leads grants nothing.
+//! Invariant: in any second, permits allow at most one second's worth of the worker's rate limit plus
+//! [`MAX_ACCUMULATED_PERMITS`] requests to a worker. Permits used in a given second were granted in that second or up
+//! to [`PERMIT_LIFETIME`] earlier, for which [`GRANTED_FRACTION`] compensates. A new leader starts without accumulated
+//! permits, because permits of its predecessor may still be valid, and a replica that cannot prove its leadership
+//! grants nothing.
 
 use std::collections::BTreeMap;
 
@@ -13,33 +15,35 @@
 use crate::serving::quota::bucket::{BucketLimit, TokenBucket};
 use crate::time::{Millis, Timestamp};
 
-/// The share of what a cold worker bears that is granted: a second and a permit's lifetime of it are a second's worth.
-const GRANTED_SHARE: f64 = 0.7;
-/// Permits saved up for one worker while nobody asks.
-const BURST: f64 = 4.0;
-/// A worker that nobody asked for in this time is forgotten, in milliseconds: saves memory.
-const REMEMBERED_FOR: Millis = Millis(10_000);
+/// Fraction of a cold worker's rate limit that is granted, so that the permits granted over one second plus one permit
+/// lifetime do not exceed one second's worth.
+const GRANTED_FRACTION: f64 = 0.7;
+/// Maximum number of permits that accumulate for a worker while none are requested.
+const MAX_ACCUMULATED_PERMITS: f64 = 4.0;
+/// How long a worker's bucket is retained after the last request for its permits.
+const IDLE_RETENTION: Millis = Millis(10_000);
 
 #[derive(Clone, Copy, Debug)]
 struct WorkerBucket {
     bucket: TokenBucket,
-    asked_at: Timestamp,
+    requested_at: Timestamp,
 }
 
-/// Permits for requests to workers that have just started.
+/// Token buckets from which the leader grants permits for cold workers.
 #[derive(Clone, Debug, Default)]
 pub struct PermitGrants {
-    opened_at: Timestamp,
+    leader_since: Timestamp,
     workers: BTreeMap<WorkerId, WorkerBucket>,
 }
 
 impl PermitGrants {
-    /// Begins anew: this node has become the leader.
+    /// Resets all buckets when this node becomes the leader.
     pub fn reset(&mut self, now: Timestamp) {
-        *self = Self { opened_at: now, workers: BTreeMap::new() };
+        *self = Self { leader_since: now, workers: BTreeMap::new() };
     }
 
-    /// Grants at most one permit for each worker. `cold_start_of` tells what a worker bears.
+    /// Grants at most one permit for each worker in `wanted`. `cold_start_of` returns the limits of a worker, or `None`
+    /// if the worker is unknown or has no cold start.
     pub fn grant(
         &mut self,
         wanted: &[WorkerId],
@@ -47,27 +51,28 @@
         now: Timestamp,
     ) -> Vec<WorkerCount> {
         let known = wanted.iter().filter_map(|worker| Some((worker, cold_start_of(worker)?)));
-        let granted = known.filter(|(worker, cold_start)| self.take(worker, *cold_start, now));
+        let granted = known.filter(|(worker, cold_start)| self.take_permit(worker, *cold_start, now));
         granted.map(|(worker, _)| WorkerCount { worker: worker.clone(), requests: 1 }).collect()
     }
 
-    /// Forgets workers that nobody asks for.
+    /// Evicts workers for which no permits were requested recently.
     pub fn evict_unused(&mut self, now: Timestamp) {
-        self.workers.retain(|_, worker| now.since(worker.asked_at) < REMEMBERED_FOR);
+        self.workers.retain(|_, worker| now.since(worker.requested_at) < IDLE_RETENTION);
     }
 
-    fn take(&mut self, worker: &WorkerId, cold_start: ColdStart, now: Timestamp) -> bool {
-        let limit = BucketLimit { per_s: cold_start.per_s.requests() * GRANTED_SHARE, capacity: BURST };
-        let has_led = now.since(self.opened_at) >= PERMIT_LIFETIME;
-        let at_start = if has_led { 1.0 } else { 0.0 };
-        let new = || WorkerBucket { bucket: TokenBucket::with_level(at_start, now), asked_at: now };
+    fn take_permit(&mut self, worker: &WorkerId, cold_start: ColdStart, now: Timestamp) -> bool {
+        let limit =
+            BucketLimit { per_s: cold_start.per_s.requests() * GRANTED_FRACTION, capacity: MAX_ACCUMULATED_PERMITS };
+        let is_established = now.since(self.leader_since) >= PERMIT_LIFETIME;
+        let initial_level = if is_established { 1.0 } else { 0.0 };
+        let new = || WorkerBucket { bucket: TokenBucket::with_level(initial_level, now), requested_at: now };
         let known = self.workers.entry(worker.clone()).or_insert_with(new);
-        known.asked_at = now;
+        known.requested_at = now;
         known.bucket.refill(limit, now);
-        let has_room = known.bucket.level() >= 1.0;
-        if has_room {
+        let is_available = known.bucket.level() >= 1.0;
+        if is_available {
             known.bucket.spend(1.0, 0.0);
         }
-        has_room
+        is_available
     }
 }
--- a/crates/core/src/serving/workers/prefix_cache.rs
+++ b/crates/core/src/serving/workers/prefix_cache.rs
@@ -1,56 +1,58 @@
-//! Which prompt parts one worker is believed to have cached, from what this node sent there.
+//! Estimate of the prompt prefixes in a worker's cache, from the requests that this node sent to it.
 //!
-//! The worker doesn't say. Parts of other nodes' requests are not known here, so the belief errs on the low side.
+//! Workers do not report their cache contents. Prefixes sent by other nodes are not included, so the estimate is low.
 
 use std::collections::BTreeMap;
 
 use crate::serving::request::PrefixBlock;
 use crate::time::Timestamp;
 
-/// The share of a worker's memory that cached parts are believed to take, in percent.
-const CACHED_PERCENT: u64 = 70;
-/// Tokens believed to be cached where the worker's memory is not known.
-const DEFAULT_CAPACITY: u64 = 50_000;
+/// Percentage of a worker's memory assumed to be available for cached prefixes.
+const CACHE_MEMORY_PERCENT: u64 = 70;
+/// Assumed cache capacity, in tokens, of workers whose memory size is unknown.
+const DEFAULT_CAPACITY_TOKENS: u64 = 50_000;
 
 #[derive(Clone, Copy, Debug)]
-struct CachedLink {
+struct CachedBlock {
     tokens: u32,
     used_at: Timestamp,
 }
 
-/// The parts that a worker is believed to have cached; the least recently used are evicted.
+/// Estimated contents of a worker's prefix cache, with least recently used eviction.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
-    links: BTreeMap<u64, CachedLink>,
+    blocks: BTreeMap<u64, CachedBlock>,
     tokens: u64,
 }
 
 impl PrefixCache {
-    /// Tokens of a prompt that need not be read again: those of the links that are cached without a gap.
+    /// Returns the number of prompt tokens covered by the longest cached prefix.
     pub fn cached_tokens(&self, prefix: &[PrefixBlock]) -> u32 {
-        prefix.iter().take_while(|link| self.links.contains_key(&link.chain)).map(|link| link.tokens).sum()
+        prefix.iter().take_while(|block| self.blocks.contains_key(&block.chain)).map(|block| block.tokens).sum()
     }
 
-    /// Notes that a prompt was read by the worker. `memory_tokens` is the worker's memory, 0 if not known.
-    pub fn note(&mut self, prefix: &[PrefixBlock], memory_tokens: u64, now: Timestamp) {
-        for link in prefix {
-            let fresh = CachedLink { tokens: link.tokens, used_at: now };
-            if self.links.insert(link.chain, fresh).is_none() {
-                self.tokens += u64::from(link.tokens);
+    /// Records a prompt that was sent to the worker. `memory_tokens` is the worker's memory size in tokens, 0 if
+    /// unknown.
+    pub fn record(&mut self, prefix: &[PrefixBlock], memory_tokens: u64, now: Timestamp) {
+        for block in prefix {
+            let cached = CachedBlock { tokens: block.tokens, used_at: now };
+            if self.blocks.insert(block.chain, cached).is_none() {
+                self.tokens += u64::from(block.tokens);
             }
         }
-        let capacity = if memory_tokens == 0 { DEFAULT_CAPACITY } else { memory_tokens * CACHED_PERCENT / 100 };
-        while self.tokens > capacity && self.evict_oldest() {}
+        let capacity =
+            if memory_tokens == 0 { DEFAULT_CAPACITY_TOKENS } else { memory_tokens * CACHE_MEMORY_PERCENT / 100 };
+        while self.tokens > capacity && self.evict_least_recently_used() {}
     }
 
-    fn evict_oldest(&mut self) -> bool {
-        let Some((chain, link)) =
-            self.links.iter().min_by_key(|(_, link)| link.used_at).map(|(chain, link)| (*chain, *link))
+    fn evict_least_recently_used(&mut self) -> bool {
+        let Some((chain, block)) =
+            self.blocks.iter().min_by_key(|(_, block)| block.used_at).map(|(chain, block)| (*chain, *block))
         else {
             return false;
         };
-        self.links.remove(&chain);
-        self.tokens -= u64::from(link.tokens);
+        self.blocks.remove(&chain);
+        self.tokens -= u64::from(block.tokens);
         true
     }
 }
--- a/crates/core/src/serving/workers/service_times.rs
+++ b/crates/core/src/serving/workers/service_times.rs
@@ -1,51 +1,51 @@
-//! How long the workers of one service take, learned from the requests of this node.
+//! Response times of the workers of one service, from the requests of this node.
 //!
-//! Owns the means from which the time to a first event is expected; the end of a request's stream and its first event
-//! are what it learns from.
+//! The times to the first event and the slot occupancy of completed requests are averaged to predict the time to the
+//! first event of new requests.
 
 use crate::moving_mean::RunningMean;
 use crate::time::Millis;
 
-/// The least weight of one more request in a mean, so that it goes by some twenty of the latest.
-const LEAST_WEIGHT: f64 = 0.05;
-/// A longer time than this, in milliseconds, counts as this long: it shows a fault, not the service.
-const LONGEST_MS: f64 = 10_000.0;
+/// Minimum weight of one sample, so that the mean follows the most recent samples.
+const MIN_WEIGHT: f64 = 0.05;
+/// Longer samples are clamped to this value, since they indicate a fault and not the service's normal response time.
+const MAX_SAMPLE_MS: f64 = 10_000.0;
 
-/// What was learned of a service.
+/// Moving means of a service's response times.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceTimes {
-    /// From sending a request to its first event, at a worker with a free slot, in milliseconds.
-    first: RunningMean,
-    /// For which a request takes up a slot, in milliseconds.
-    in_slot: RunningMean,
+    /// Time from sending a request to its first event at a worker with a free slot, in milliseconds.
+    first_event: RunningMean,
+    /// Time for which a request occupies a slot, in milliseconds.
+    slot_time: RunningMean,
 }
 
 impl Default for ServiceTimes {
     fn default() -> Self {
-        Self { first: RunningMean::empty(LEAST_WEIGHT), in_slot: RunningMean::empty(LEAST_WEIGHT) }
+        Self { first_event: RunningMean::empty(MIN_WEIGHT), slot_time: RunningMean::empty(MIN_WEIGHT) }
     }
 }
 
-fn sample(span: Millis) -> f64 {
-    (span.0 as f64).min(LONGEST_MS)
+fn sample(duration: Millis) -> f64 {
+    (duration.0 as f64).min(MAX_SAMPLE_MS)
 }
 
 impl ServiceTimes {
-    /// A request that found a free slot had its first event after this time.
-    pub fn note_first(&mut self, took: Millis) {
-        self.first.record(sample(took));
+    /// Records the time to the first event of a request that did not wait for a slot.
+    pub fn record_first_event(&mut self, elapsed: Millis) {
+        self.first_event.record(sample(elapsed));
     }
 
-    /// A request took up its slot for this time.
-    pub fn record_slot_time(&mut self, took: Millis) {
-        self.in_slot.record(sample(took));
+    /// Records the time for which a request occupied a slot.
+    pub fn record_slot_time(&mut self, elapsed: Millis) {
+        self.slot_time.record(sample(elapsed));
     }
 
-    /// How long the first event of a request should take that is the `waiting`th to wait for one of `slots` slots, 0
-    /// if one is free. `None` while too little is known.
+    /// Returns the expected time to the first event of a request at position `waiting` in the queue for `slots` slots,
+    /// 0 if a slot is free. `None` without enough samples.
     pub fn expected_time_to_first_event(&self, waiting: u32, slots: u32) -> Option<Millis> {
-        let (first, in_slot) = (self.first.value()?, self.in_slot.value()?);
-        let between_ends = in_slot / f64::from(slots.max(1));
-        Some(Millis((first + f64::from(waiting) * between_ends).round() as u64))
+        let (first_event, slot_time) = (self.first_event.value()?, self.slot_time.value()?);
+        let slot_interval = slot_time / f64::from(slots.max(1));
+        Some(Millis((first_event + f64::from(waiting) * slot_interval).round() as u64))
     }
 }
--- a/crates/core/src/serving/workers/table.rs
+++ b/crates/core/src/serving/workers/table.rs
@@ -1,14 +1,14 @@
-//! The workers that this node knows: which of them may be sent requests.
+//! The table of known workers, with their records and availability.
 //!
-//! Owns each worker's record and what is believed of it. Loads are kept by `loads`, ejection and service times by
-//! `health`; the choice among the workers is [`choice`](super::choice)'s.
+//! Load tracking is implemented in `loads`, ejection and service times in `health`, and worker selection in
+//! [`choice`](super::choice).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use super::activity::ActiveWorkers;
 use super::cold_start::ColdStart;
-use super::health::initial_mean_first;
+use super::health::initial_mean_first_event;
 use super::loads::PeerRate;
 use super::service_times::ServiceTimes;
 use super::worker::{Presence, WorkerEntry, WorkerId, WorkerIncarnation, WorkerRecord};
@@ -16,29 +16,29 @@
 use crate::serving::regions::RegionMap;
 use crate::time::{Millis, Timestamp};
 
-/// A worker that is gone is remembered for this long, in milliseconds: one that stated that it drains must not return
-/// by an older record.
-const GONE_REMEMBERED: Millis = Millis(60_000);
+/// How long a departed worker stays in the table, so that a stale record does not make a drained worker available
+/// again.
+const DEPARTED_RETENTION: Millis = Millis(60_000);
 
-/// All workers.
+/// This node's view of all workers.
 #[derive(Clone, Debug)]
 pub struct WorkerTable {
     pub(super) workers: BTreeMap<WorkerId, WorkerEntry>,
     pub(super) active: ActiveWorkers,
-    /// Time to the first event over all workers, in milliseconds.
-    pub(super) mean_first: MovingMean,
-    /// How fast the other nodes placed requests, by the last load report.
+    /// Mean time to the first event over all workers.
+    pub(super) mean_first_event_ms: MovingMean,
+    /// Placement rate of the other nodes, from the last load report.
     pub(super) peer_rate: Option<PeerRate>,
-    /// Requests that this node has placed, batch items included.
+    /// Number of requests that this node has placed, including batch items.
     pub(super) placed: u64,
-    /// By service.
+    /// Keyed by service.
     pub(super) times: BTreeMap<Arc<str>, ServiceTimes>,
     pub(super) regions: RegionMap,
-    /// Zones whose workers get no requests by the operator's order.
-    pub(super) evacuated: BTreeSet<Arc<str>>,
-    /// By service, those that have one.
+    /// Zones that the operator has evacuated.
+    pub(super) evacuated_zones: BTreeSet<Arc<str>>,
+    /// Keyed by service; services without a cold start are absent.
     pub(super) cold_starts: BTreeMap<Arc<str>, ColdStart>,
-    /// No worker is cold after that.
+    /// Latest end of any worker's cold start.
     pub(super) cold_until: Timestamp,
 }
 
@@ -47,38 +47,38 @@
         Self {
             active: ActiveWorkers::default(),
             workers: BTreeMap::new(),
-            mean_first: initial_mean_first(),
+            mean_first_event_ms: initial_mean_first_event(),
             peer_rate: None,
             placed: 0,
             times: BTreeMap::new(),
             regions: RegionMap::default(),
-            evacuated: BTreeSet::new(),
+            evacuated_zones: BTreeSet::new(),
             cold_starts: BTreeMap::new(),
             cold_until: Timestamp::default(),
         }
     }
 }
 
-/// What changed in the table, for the log.
+/// A change of a worker's state in the table, for logging.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerChange {
-    /// A worker appeared.
+    /// A worker was added or became available again.
     Seen(WorkerId),
-    /// A worker states that it leaves.
+    /// A worker started draining.
     Draining(WorkerId),
     /// A worker's record was removed.
     Gone(WorkerId),
-    /// A worker's record may have lapsed while the store was out of reach.
+    /// A worker's record may have expired while the store was unreachable.
     Missing(WorkerId),
 }
 
 impl WorkerTable {
-    /// A table of workers in the zones of `regions`.
+    /// Creates an empty table that resolves zones to regions with `regions`.
     pub fn with_regions(regions: RegionMap) -> Self {
         Self { regions, ..Self::default() }
     }
 
-    /// Takes a worker's record that was read now; see [`WorkerTable::upsert`]. It tells for how long the worker is cold.
+    /// Applies a record that was read at `now`, including its remaining cold start; see [`WorkerTable::upsert`].
     pub fn apply_record(&mut self, record: WorkerRecord, now: Timestamp) -> Option<WorkerChange> {
         let (incarnation, cold_remaining) = (record.incarnation(), record.cold_remaining);
         let change = self.upsert(record);
@@ -86,8 +86,9 @@
         change
     }
 
-    /// Takes a worker's record. A worker that drains never takes requests again in this life. A record of a later life
-    /// drops all that was believed of the one before; one of an earlier life is stale.
+    /// Inserts or updates a worker's record. A draining worker never accepts requests again in the same incarnation.
+    /// The record of a newer incarnation discards the state of the previous one; the record of an older incarnation is
+    /// ignored.
     pub fn upsert(&mut self, record: WorkerRecord) -> Option<WorkerChange> {
         let id = record.id.clone();
         let known = self.workers.get(&id).and_then(|entry| entry.record.started_at);
@@ -104,42 +105,42 @@
             self.workers.insert(id, WorkerEntry::new(record));
             return Some(change);
         };
-        let was = entry.presence;
-        entry.presence = match (was, record.draining) {
-            (Presence::Draining | Presence::Left { .. }, _) | (_, true) => Presence::Draining,
-            // A record may vanish while the store is down and be written again by the same worker.
-            (Presence::Gone { .. } | Presence::Missing { .. } | Presence::Ready, false) => Presence::Ready,
+        let previous = entry.presence;
+        entry.presence = match (previous, record.draining) {
+            (Presence::Draining | Presence::Drained { .. }, _) | (_, true) => Presence::Draining,
+            // A record can disappear while the store is down and be rewritten by the same worker.
+            (Presence::Removed { .. } | Presence::Missing { .. } | Presence::Ready, false) => Presence::Ready,
         };
         let started_at = record.started_at.or(entry.record.started_at);
         entry.record = WorkerRecord { started_at, ..record };
-        match (was, entry.presence) {
-            (Presence::Draining | Presence::Left { .. }, _) => None,
+        match (previous, entry.presence) {
+            (Presence::Draining | Presence::Drained { .. }, _) => None,
             (_, Presence::Draining) => Some(WorkerChange::Draining(id)),
-            (Presence::Gone { .. } | Presence::Missing { .. }, _) => Some(WorkerChange::Seen(id)),
+            (Presence::Removed { .. } | Presence::Missing { .. }, _) => Some(WorkerChange::Seen(id)),
             _ => None,
         }
     }
 
-    /// A worker's record is gone. Where nobody else serves, it is used until `usable_until`.
+    /// Handles the removal of a worker's record. The worker can be selected as a last resort until `usable_until`.
     pub fn remove(&mut self, id: &WorkerId, usable_until: Timestamp, now: Timestamp) -> Option<WorkerChange> {
         let entry = self.workers.get_mut(id)?;
         let usable_until = match entry.presence {
             Presence::Ready => usable_until,
-            // One that did not write its record again in time is no last resort.
+            // A worker that did not rewrite its record in time is not a last resort.
             Presence::Missing { .. } => now,
-            // Nor is one that was draining.
+            // Neither is a worker that was draining.
             Presence::Draining => {
-                entry.presence = Presence::Left { since: now };
+                entry.presence = Presence::Drained { since: now };
                 return None;
             }
-            Presence::Left { .. } | Presence::Gone { .. } => return None,
+            Presence::Drained { .. } | Presence::Removed { .. } => return None,
         };
-        entry.presence = Presence::Gone { since: now, usable_until };
+        entry.presence = Presence::Removed { since: now, usable_until };
         Some(WorkerChange::Gone(id.clone()))
     }
 
-    /// A worker's record was missing when the store was reached again. The worker serves on until `until`, by when those
-    /// that live have written theirs again.
+    /// Marks a worker whose record was missing when the store became reachable again. The worker stays usable until
+    /// `until`, by which time live workers have rewritten their records.
     pub fn mark_missing(&mut self, id: &WorkerId, until: Timestamp, now: Timestamp) -> Option<WorkerChange> {
         let entry = self.workers.get_mut(id)?;
         match entry.presence {
@@ -148,41 +149,41 @@
                 Some(WorkerChange::Missing(id.clone()))
             }
             Presence::Draining => {
-                entry.presence = Presence::Left { since: now };
+                entry.presence = Presence::Drained { since: now };
                 None
             }
-            Presence::Missing { .. } | Presence::Left { .. } | Presence::Gone { .. } => None,
+            Presence::Missing { .. } | Presence::Drained { .. } | Presence::Removed { .. } => None,
         }
     }
 
-    /// Forgets workers that are gone for long.
+    /// Evicts workers that departed longer ago than the retention period and have no requests of this node in flight.
     pub fn evict_departed(&mut self, now: Timestamp) {
         self.workers.retain(|_, entry| match entry.presence {
-            Presence::Left { since } | Presence::Gone { since, .. } | Presence::Missing { until: since } => {
-                now.since(since) < GONE_REMEMBERED || entry.in_flight > 0
+            Presence::Drained { since } | Presence::Removed { since, .. } | Presence::Missing { until: since } => {
+                now.since(since) < DEPARTED_RETENTION || entry.in_flight > 0
             }
             Presence::Ready | Presence::Draining => true,
         });
     }
 
-    /// How many workers of a service take requests.
+    /// Returns the number of workers of a service that accept requests.
     pub fn ready_count(&self, service: &str, now: Timestamp) -> usize {
         let is_ready = |entry: &&WorkerEntry| {
-            let is_usable = entry.takes_requests(now) && !self.is_evacuated(&entry.record.zone);
+            let is_usable = entry.accepts_requests(now) && !self.is_evacuated(&entry.record.zone);
             is_usable && &*entry.record.service == service
         };
         self.workers.values().filter(is_ready).count()
     }
 
-    /// What is believed of a worker, if this life of it is the one that is known. It counts as active from then on.
-    pub(super) fn entry_of(&mut self, incarnation: &WorkerIncarnation) -> Option<&mut WorkerEntry> {
+    /// Returns the entry of a worker if it matches the given incarnation, and marks the worker as active.
+    pub(super) fn entry_mut(&mut self, incarnation: &WorkerIncarnation) -> Option<&mut WorkerEntry> {
         let entry =
-            self.workers.get_mut(&incarnation.id).filter(|entry| entry.record.incarnation().may_be(incarnation))?;
+            self.workers.get_mut(&incarnation.id).filter(|entry| entry.record.incarnation().may_match(incarnation))?;
         self.active.add(&incarnation.id);
         Some(entry)
     }
 
-    /// A worker's record; `None` if it is not known.
+    /// Returns the record of a worker, or `None` if the worker is unknown.
     pub fn record(&self, id: &WorkerId) -> Option<&WorkerRecord> {
         self.workers.get(id).map(|entry| &entry.record)
     }
--- a/crates/core/src/serving/workers/worker.rs
+++ b/crates/core/src/serving/workers/worker.rs
@@ -1,26 +1,26 @@
-//! One worker: its record, whether it may be sent requests, and what is believed of its load and health.
+//! State kept for one worker: its record, availability, estimated load and health.
 //!
-//! Owns what one node knows of one worker; the modules of [`WorkerTable`](super::WorkerTable) change it.
+//! The modules that implement [`WorkerTable`](super::WorkerTable) update it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-use super::cold_start::Warmth;
-use super::health::new_slowness;
+use super::cold_start::ColdState;
+use super::health::initial_relative_latency;
 use super::prefix_cache::PrefixCache;
 use crate::moving_mean::MovingMean;
 use crate::time::{Millis, Timestamp, UnixMillis};
 
-/// What a worker itself reported of its load is believed for this long, in milliseconds.
+/// How long a load reported by the worker itself stays valid.
 const REPORT_LIFETIME: Millis = Millis(2_000);
-/// How long work takes at a worker is believed for this long, in milliseconds: it changes many times a second.
-const PACE_LIFETIME: Millis = Millis(300);
-/// The aggregated load of the other nodes is believed for this long, in milliseconds.
-pub(super) const SHARED_LIFETIME: Millis = Millis(1_200);
+/// How long a reported slowdown stays valid; it changes many times a second.
+const SLOWDOWN_LIFETIME: Millis = Millis(300);
+/// How long the aggregated load of the other nodes stays valid.
+pub(super) const PEER_LOAD_LIFETIME: Millis = Millis(1_200);
 
-/// Names a worker. It may start again under the same id; see [`WorkerIncarnation`].
+/// Identifies a worker. A restarted worker may reuse its id; see [`WorkerIncarnation`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkerId(pub Arc<str>);
 
@@ -30,64 +30,66 @@
     }
 }
 
-/// One life of a worker, from its start to its end. After another start under the same id it holds nothing of before, so
-/// what is learned of one life says nothing of the next.
+/// One incarnation of a worker, from its start to its exit. A worker that restarts under the same id keeps no state, so
+/// load and health observed for one incarnation do not apply to the next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerIncarnation {
-    /// The worker.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// When this life began; `None` if the worker does not say, as where it never starts again under its id.
+    /// Start time of this incarnation; `None` if the worker does not report it, for example because it never reuses its
+    /// id.
     pub started_at: Option<UnixMillis>,
 }
 
 impl WorkerIncarnation {
-    /// Whether two lives can be the same. One that is not dated may be any of its worker's.
-    pub fn may_be(&self, other: &Self) -> bool {
+    /// Returns whether both values can refer to the same incarnation. A value without a start time matches every
+    /// incarnation of its worker.
+    pub fn may_match(&self, other: &Self) -> bool {
         let is_same_start = self.started_at.zip(other.started_at).is_none_or(|(own, other)| own == other);
         self.id == other.id && is_same_start
     }
 }
 
-/// What a worker says of itself.
+/// Registration record of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerRecord {
-    /// Its id.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// Its service.
+    /// Service that the worker belongs to.
     pub service: Arc<str>,
-    /// Its address.
+    /// Address on which the worker accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone in which the worker runs.
     pub zone: Arc<str>,
-    /// Requests that it runs at once.
+    /// Number of requests that the worker runs concurrently.
     pub slots: u32,
-    /// It takes no new requests.
+    /// Whether the worker is draining and accepts no new requests.
     pub draining: bool,
-    /// When this life of the worker began, if it says so.
+    /// Start time of this incarnation of the worker, if reported.
     pub started_at: Option<UnixMillis>,
-    /// For how long it is cold, counted from when the record was written.
+    /// Remaining duration of the cold start when the record was written.
     pub cold_remaining: Millis,
 }
 
 impl WorkerRecord {
-    /// The life that the record is of.
+    /// Returns the incarnation that this record describes.
     pub fn incarnation(&self) -> WorkerIncarnation {
         WorkerIncarnation { id: self.id.clone(), started_at: self.started_at }
     }
 }
 
-/// A worker's load as the worker itself reported it.
+/// Load of a worker as reported by the worker itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// How long work takes there.
+    /// Current slowdown of the worker.
     pub slowdown: Slowdown,
 }
 
-/// How long work takes at a worker, in percent of the usual: its machine may be shared.
+/// Time that work takes at a worker, in percent of the usual time. Exceeds 100 when other load shares the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slowdown(pub u32);
 
@@ -98,25 +100,25 @@
 }
 
 impl Slowdown {
-    /// The factor by which work takes longer than usual.
+    /// Returns the slowdown as a factor, 1.0 for the usual time.
     pub fn factor(self) -> f64 {
         f64::from(self.0) / 100.0
     }
 }
 
-/// On what ground a worker is sent a request.
+/// Availability of a worker when it was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// Its record says that it takes requests.
+    /// The worker's record exists and accepts requests.
     Ready,
-    /// Its record is missing and may be written again.
+    /// The worker's record is missing, but the worker may still rewrite it.
     Missing,
-    /// Its record was removed a moment ago, and there is nobody else.
+    /// The worker's record was removed recently, and no other worker is available.
     LastResort,
 }
 
 impl Availability {
-    /// Its name in the log.
+    /// Returns the name used in log fields.
     pub fn name(self) -> &'static str {
         match self {
             Self::Ready => "ready",
@@ -126,47 +128,47 @@
     }
 }
 
-/// Whether a worker may be sent requests.
+/// State of a worker's registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Presence {
     Ready,
-    /// Its record may have lapsed while the store was out of reach: it serves on until `until`.
+    /// The record may have expired while the store was unreachable; the worker stays usable until `until`.
     Missing {
         until: Timestamp,
     },
     Draining,
-    /// It was draining, and its record is gone.
-    Left {
+    /// The worker was draining, and its record no longer exists.
+    Drained {
         since: Timestamp,
     },
-    /// Its record was removed. It is a last resort until `usable_until`.
-    Gone {
+    /// The record was removed. The worker can be selected as a last resort until `usable_until`.
+    Removed {
         since: Timestamp,
         usable_until: Timestamp,
     },
 }
 
-/// A load that the worker itself reported.
+/// A load report from the worker itself, with this node's request count at that time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportedLoad {
     pub(super) load: WorkerLoad,
-    pub(super) in_flight_then: u32,
+    pub(super) in_flight_at_report: u32,
     pub(super) at: Timestamp,
 }
 
 impl ReportedLoad {
-    /// The reported load, corrected by what this node sent and ended since.
+    /// Returns the reported load, adjusted for requests that this node has started and ended since.
     pub(super) fn corrected(&self, in_flight: u32) -> u32 {
         let reported = self.load.running + self.load.waiting;
-        (reported + in_flight).saturating_sub(self.in_flight_then)
+        (reported + in_flight).saturating_sub(self.in_flight_at_report)
     }
 }
 
-/// Requests of other nodes at a worker, as an aggregator summed them.
+/// Requests of other nodes at a worker, as summed by an aggregator.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SharedLoad {
     pub(super) load: u32,
-    /// Batch items among them.
+    /// Number of batch items included in `load`.
     pub(super) batch: u32,
     pub(super) at: Timestamp,
 }
@@ -178,20 +180,20 @@
     pub(super) in_flight: u32,
     pub(super) batch_in_flight: u32,
     pub(super) report: Option<ReportedLoad>,
-    /// Requests of other nodes.
-    pub(super) peers: Option<SharedLoad>,
-    /// Attempts of this node that failed in a row.
-    pub(super) failures: u32,
-    /// Ejected for what it did to this node, until then.
+    /// Load from other nodes.
+    pub(super) peer_load: Option<SharedLoad>,
+    /// Number of consecutive failed attempts from this node.
+    pub(super) consecutive_failures: u32,
+    /// End of the ejection caused by failed attempts of this node.
     pub(super) ejected_until: Option<Timestamp>,
-    /// Ejected for what it did to other nodes, until then.
-    pub(super) peer_ejection: Option<Timestamp>,
+    /// End of the ejection caused by failures that other nodes reported.
+    pub(super) peer_ejected_until: Option<Timestamp>,
     pub(super) cache: PrefixCache,
-    /// The time to the first event against the mean of all workers, 1.0 being equal to it.
-    pub(super) slowness: MovingMean,
-    /// When the slowness was last measured.
-    pub(super) measured_at: Timestamp,
-    pub(super) warmth: Warmth,
+    /// Time to the first event relative to the mean of all workers; 1.0 equals the mean.
+    pub(super) relative_latency: MovingMean,
+    /// Time of the last relative latency sample.
+    pub(super) latency_measured_at: Timestamp,
+    pub(super) cold_state: ColdState,
 }
 
 impl WorkerEntry {
@@ -203,61 +205,60 @@
             in_flight: 0,
             batch_in_flight: 0,
             report: None,
-            peers: None,
-            failures: 0,
+            peer_load: None,
+            consecutive_failures: 0,
             ejected_until: None,
-            peer_ejection: None,
+            peer_ejected_until: None,
             cache: PrefixCache::default(),
-            slowness: new_slowness(),
-            measured_at: Timestamp::default(),
-            warmth: Warmth::default(),
+            relative_latency: initial_relative_latency(),
+            latency_measured_at: Timestamp::default(),
+            cold_state: ColdState::default(),
         }
     }
 
-    /// Whether it may be sent requests.
-    pub(super) fn takes_requests(&self, now: Timestamp) -> bool {
+    pub(super) fn accepts_requests(&self, now: Timestamp) -> bool {
         match self.presence {
             Presence::Ready => true,
             Presence::Missing { until } => now < until,
-            Presence::Draining | Presence::Left { .. } | Presence::Gone { .. } => false,
+            Presence::Draining | Presence::Drained { .. } | Presence::Removed { .. } => false,
         }
     }
 
-    /// On what ground it would be sent a request.
     pub(super) fn availability(&self) -> Availability {
         match self.presence {
             Presence::Ready => Availability::Ready,
             Presence::Missing { .. } => Availability::Missing,
-            Presence::Draining | Presence::Left { .. } | Presence::Gone { .. } => Availability::LastResort,
+            Presence::Draining | Presence::Drained { .. } | Presence::Removed { .. } => Availability::LastResort,
         }
     }
 
-    /// Requests at the worker: those of this node and, as last aggregated, of all others. A report of the worker itself
-    /// that is newer than that counts where it is higher; it includes requests that their senders have given up and that
-    /// still run.
+    /// Returns the estimated number of requests at the worker: the requests of this node plus the last aggregated load
+    /// of the other nodes. A newer report from the worker itself takes precedence if it is higher, because it includes
+    /// abandoned requests that are still running.
     pub(super) fn estimated_load(&self, now: Timestamp) -> u32 {
         let shared = self.shared_load(now);
         let reported = self.report.filter(|report| now.since(report.at) < REPORT_LIFETIME);
         let reported = reported.filter(|report| shared.is_none_or(|shared| report.at >= shared.at));
         let from_report = reported.map_or(0, |report| report.corrected(self.in_flight));
-        let from_peers = shared.map_or(0, |shared| shared.load) + self.in_flight;
-        from_peers.max(from_report)
+        let from_nodes = shared.map_or(0, |shared| shared.load) + self.in_flight;
+        from_nodes.max(from_report)
     }
 
-    /// The factor by which work takes longer there than usual, as far as it was reported a moment ago.
+    /// Returns the slowdown factor of the worker, or 1.0 without a recent report.
     pub(super) fn slowdown(&self, now: Timestamp) -> f64 {
-        let fresh = self.report.filter(|report| now.since(report.at) < PACE_LIFETIME);
+        let fresh = self.report.filter(|report| now.since(report.at) < SLOWDOWN_LIFETIME);
         fresh.map_or(1.0, |report| report.load.slowdown.factor())
     }
 
-    /// Of a request more, the place in the queue for a slot, 0 if one is free. Batch items make room.
+    /// Returns the position in the slot queue that a new request would take, 0 if a slot is free. Batch items are not
+    /// counted, since they yield their slots to online requests.
     pub(super) fn queue_position(&self, now: Timestamp) -> u32 {
         let batch = self.shared_load(now).map_or(0, |shared| shared.batch);
         let online = self.estimated_load(now).saturating_sub(batch);
         (online + 1).saturating_sub(self.record.slots)
     }
 
-    /// Whether nothing is at it, nobody said so a moment ago, and nobody has ejected it.
+    /// Returns whether the worker has no requests, no recent load reports, and no active ejection.
     pub(super) fn is_idle(&self, now: Timestamp) -> bool {
         let has_requests = self.in_flight > 0 || self.batch_in_flight > 0;
         let has_report = self.report.is_some_and(|report| now.since(report.at) < REPORT_LIFETIME);
@@ -266,16 +267,16 @@
     }
 
     fn shared_load(&self, now: Timestamp) -> Option<SharedLoad> {
-        self.peers.filter(|shared| now.since(shared.at) < SHARED_LIFETIME)
+        self.peer_load.filter(|shared| now.since(shared.at) < PEER_LOAD_LIFETIME)
     }
 
-    /// Whether it is ejected: it failed this node, or others, a moment ago.
+    /// Returns whether the worker is ejected because of failures seen by this node or reported by others.
     pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
-        self.failed_here(now) || self.peer_ejection.is_some_and(|until| now < until)
+        self.is_ejected_locally(now) || self.peer_ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it is ejected for what it did to this node.
-    pub(super) fn failed_here(&self, now: Timestamp) -> bool {
+    /// Returns whether the worker is ejected because of failures seen by this node.
+    pub(super) fn is_ejected_locally(&self, now: Timestamp) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 }
--- a/crates/core/tests/cold_start_simulation.rs
+++ b/crates/core/tests/cold_start_simulation.rs
@@ -1,5 +1,5 @@
-//! Zones that come back cold, on a virtual clock: many gateways, each of which sees idle workers, and a leader that grants
-//! permits over links with delays, loses answers, and is replaced in the middle.
+//! Simulates zones that return cold, on a virtual clock. Guards against many gateways together exceeding the rate limit
+//! of cold workers, with delayed and lost permit responses and a leader change.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,18 +17,18 @@
 const SERVICE: &str = "service";
 const STEP: Millis = Millis(5);
 const COLD_START: ColdStart = ColdStart { per_s: MilliRequests(23_000), duration: Millis(3_000) };
-/// What the operators allow in one second: one and a half times what a cold worker bears, and five.
-const MOST_IN_A_SECOND: usize = 39;
+/// Limit on requests to one cold worker within a second: 1.5 times its rate limit, plus 5.
+const MAX_REQUESTS_PER_SECOND: usize = 39;
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(1_000_000 + millis)
 }
 
-fn record(place: usize, zone: &str) -> WorkerRecord {
+fn record(index: usize, zone: &str) -> WorkerRecord {
     WorkerRecord {
-        id: WorkerId(Arc::from(format!("{zone}-{place}"))),
+        id: WorkerId(Arc::from(format!("{zone}-{index}"))),
         service: Arc::from(SERVICE),
-        address: SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8], 80)),
+        address: SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 80)),
         zone: Arc::from(zone),
         slots: 8,
         draining: false,
@@ -37,24 +37,24 @@
     }
 }
 
-/// What is played.
 #[derive(Clone, Copy)]
-struct Play {
+struct Scenario {
     gateways: usize,
-    /// In each of two zones.
+    /// Number of workers in each of the two zones.
     workers: usize,
-    /// Requests a second of one gateway.
+    /// Requests per second of each gateway.
     per_s: f64,
-    /// The leader is replaced then; the old one grants to a third of the gateways for as long as it may answer.
+    /// Time of a leader change, in milliseconds. The former leader keeps granting to a third of the gateways for as
+    /// long as it may still respond.
     new_leader_at: Option<u64>,
-    /// A share of the answers is lost.
-    lost: f64,
+    /// Fraction of permit responses that are lost.
+    loss_rate: f64,
 }
 
 struct Gateway {
     table: WorkerTable,
     wanted: Vec<WorkerId>,
-    may_ask_at: Timestamp,
+    next_permit_request_at: Timestamp,
     answers: VecDeque<Answer>,
 }
 
@@ -64,33 +64,33 @@
     until: Timestamp,
 }
 
-/// When requests reached each cold worker.
+/// Arrival times of requests at each cold worker.
 type Arrivals = BTreeMap<WorkerId, Vec<Timestamp>>;
 
 struct World {
-    play: Play,
+    scenario: Scenario,
     random: Xoshiro256PlusPlus,
     gateways: Vec<Gateway>,
     leader: PermitGrants,
-    former: PermitGrants,
+    former_leader: PermitGrants,
     arrivals: Arrivals,
-    asked: usize,
+    request_count: usize,
 }
 
 impl World {
-    /// The zone `back` returns cold at the beginning; the workers of the other one are all full.
-    fn new(play: Play, seed: u64) -> Self {
+    /// Creates a world in which the zone `back` returns cold at the start and all workers of the other zone are full.
+    fn new(scenario: Scenario, seed: u64) -> Self {
         let random = Xoshiro256PlusPlus::seed_from_u64(seed);
         let mut world = Self {
-            play,
+            scenario,
             random,
             gateways: Vec::new(),
             leader: PermitGrants::default(),
-            former: PermitGrants::default(),
+            former_leader: PermitGrants::default(),
             arrivals: Arrivals::new(),
-            asked: 0,
+            request_count: 0,
         };
-        world.gateways = (0..play.gateways).map(|_| world.gateway()).collect();
+        world.gateways = (0..scenario.gateways).map(|_| world.gateway()).collect();
         world
     }
 
@@ -99,45 +99,45 @@
         table.set_cold_starts([(Arc::from(SERVICE), COLD_START)].into());
         let zone: Arc<str> = Arc::from("back");
         table.set_evacuated(&zone, true, at(0));
-        for place in 0..self.play.workers {
-            table.apply_record(record(place, "back"), at(0));
-            table.apply_record(record(place, "full"), at(0));
+        for index in 0..self.scenario.workers {
+            table.apply_record(record(index, "back"), at(0));
+            table.apply_record(record(index, "full"), at(0));
         }
         table.set_evacuated(&zone, false, at(0));
-        Gateway { table, wanted: Vec::new(), may_ask_at: at(0), answers: VecDeque::new() }
+        Gateway { table, wanted: Vec::new(), next_permit_request_at: at(0), answers: VecDeque::new() }
     }
 
     fn run(&mut self, millis: u64) {
         let mut now = at(0);
         while now < at(millis) {
-            for place in 0..self.gateways.len() {
-                self.step(place, now);
+            for index in 0..self.gateways.len() {
+                self.step(index, now);
             }
             now = now + STEP;
         }
     }
 
-    fn step(&mut self, place: usize, now: Timestamp) {
-        let due = self.gateways[place].answers.front().is_some_and(|answer| answer.at <= now);
-        if due && let Some(answer) = self.gateways[place].answers.pop_front() {
-            self.gateways[place].table.add_permits(&answer.granted, answer.until);
+    fn step(&mut self, index: usize, now: Timestamp) {
+        let due = self.gateways[index].answers.front().is_some_and(|answer| answer.at <= now);
+        if due && let Some(answer) = self.gateways[index].answers.pop_front() {
+            self.gateways[index].table.add_permits(&answer.granted, answer.until);
         }
-        if self.random.random_bool(self.play.per_s * STEP.0 as f64 / 1_000.0) {
-            self.request(place, now);
+        if self.random.random_bool(self.scenario.per_s * STEP.0 as f64 / 1_000.0) {
+            self.request(index, now);
         }
-        if !self.gateways[place].wanted.is_empty() && self.gateways[place].may_ask_at <= now {
-            self.ask(place, now);
+        if !self.gateways[index].wanted.is_empty() && self.gateways[index].next_permit_request_at <= now {
+            self.request_permits(index, now);
         }
     }
 
-    fn request(&mut self, place: usize, now: Timestamp) {
-        self.asked += 1;
-        let gateway = &mut self.gateways[place];
-        let full: Vec<WorkerCount> = (0..self.play.workers)
-            .map(|place| WorkerCount { worker: record(place, "full").id, requests: 12 })
+    fn request(&mut self, index: usize, now: Timestamp) {
+        self.request_count += 1;
+        let gateway = &mut self.gateways[index];
+        let full: Vec<WorkerCount> = (0..self.scenario.workers)
+            .map(|index| WorkerCount { worker: record(index, "full").id, requests: 12 })
             .collect();
         gateway.table.set_shared_loads(&full, now);
-        let ask = WorkerQuery {
+        let query = WorkerQuery {
             service: SERVICE,
             zone: "back",
             prefix: &[],
@@ -147,9 +147,9 @@
             regions: &AllowedRegions::Any,
         };
         if gateway.table.has_cold_workers(now) {
-            gateway.wanted = gateway.table.wanted_permits(&ask, now, &mut self.random);
+            gateway.wanted = gateway.table.wanted_permits(&query, now, &mut self.random);
         }
-        let choice = gateway.table.choose(&ask, now, &mut self.random).expect("there are workers that are warm");
+        let choice = gateway.table.choose(&query, now, &mut self.random).expect("warm workers are available");
         gateway.table.started(&choice.incarnation(), &[], 0, now);
         gateway.table.ended(&choice.incarnation());
         if choice.id.0.starts_with("back") {
@@ -157,92 +157,102 @@
         }
     }
 
-    fn ask(&mut self, place: usize, now: Timestamp) {
-        let way = Millis(self.random.random_range(1..40));
-        let is_lost = self.random.random_bool(self.play.lost);
-        let asks_former = match self.play.new_leader_at {
+    fn request_permits(&mut self, index: usize, now: Timestamp) {
+        let delay = Millis(self.random.random_range(1..40));
+        let is_lost = self.random.random_bool(self.scenario.loss_rate);
+        let uses_former_leader = match self.scenario.new_leader_at {
             Some(millis) if now < at(millis) => true,
-            // A leader that is cut off stops to answer before the next one may lead.
-            Some(millis) if now < at(millis + 200) => place.is_multiple_of(3),
+            // A partitioned leader stops responding before its successor can take over.
+            Some(millis) if now < at(millis + 200) => index.is_multiple_of(3),
             _ => false,
         };
-        if self.play.new_leader_at.is_some_and(|millis| now >= at(millis) && now < at(millis) + STEP) {
+        if self.scenario.new_leader_at.is_some_and(|millis| now >= at(millis) && now < at(millis) + STEP) {
             self.leader.reset(now);
         }
-        let gateway = &mut self.gateways[place];
+        let gateway = &mut self.gateways[index];
         let wanted = std::mem::take(&mut gateway.wanted);
-        let leader = if asks_former { &mut self.former } else { &mut self.leader };
-        let granted = leader.grant(&wanted, |_| Some(COLD_START), now + way);
-        gateway.may_ask_at = now + PERMIT_INTERVAL;
+        let leader = if uses_former_leader { &mut self.former_leader } else { &mut self.leader };
+        let granted = leader.grant(&wanted, |_| Some(COLD_START), now + delay);
+        gateway.next_permit_request_at = now + PERMIT_INTERVAL;
         if !is_lost {
-            gateway.answers.push_back(Answer { at: now + way + way, granted, until: now + PERMIT_LIFETIME });
+            gateway.answers.push_back(Answer { at: now + delay + delay, granted, until: now + PERMIT_LIFETIME });
         }
     }
 
-    /// The most requests that reached one cold worker within a second.
+    /// Returns the maximum number of requests that reached one cold worker within a second.
     fn busiest_second(&self) -> usize {
-        let within = |arrivals: &Vec<Timestamp>| {
-            let counts = arrivals.iter().enumerate().map(|(first, begun)| {
-                arrivals[first..].iter().take_while(|arrived| arrived.since(*begun) < Millis(1_000)).count()
+        let max_per_second = |arrivals: &Vec<Timestamp>| {
+            let counts = arrivals.iter().enumerate().map(|(first, window_start)| {
+                arrivals[first..].iter().take_while(|arrived| arrived.since(*window_start) < Millis(1_000)).count()
             });
             counts.max().unwrap_or(0)
         };
-        self.arrivals.values().map(within).max().unwrap_or(0)
+        self.arrivals.values().map(max_per_second).max().unwrap_or(0)
     }
 
-    fn served_by_cold(&self) -> usize {
+    fn requests_to_cold_workers(&self) -> usize {
         self.arrivals.values().map(Vec::len).sum()
     }
 }
 
-const DAY: Play = Play { gateways: 77, workers: 20, per_s: 6.0, new_leader_at: None, lost: 0.05 };
+const BASE_SCENARIO: Scenario =
+    Scenario { gateways: 77, workers: 20, per_s: 6.0, new_leader_at: None, loss_rate: 0.05 };
 
 #[test]
-fn a_zone_that_returns_cold_gets_what_its_workers_bear_and_is_used() {
+fn returning_zone_is_used_within_cold_start_limits() {
     for seed in 0..10 {
-        let mut world = World::new(DAY, seed);
+        let mut world = World::new(BASE_SCENARIO, seed);
         world.run(2_500);
-        assert!(world.busiest_second() <= MOST_IN_A_SECOND, "seed {seed}: {}", world.busiest_second());
-        // Half of the workers are in that zone, and a permit is not always used: a third of what is asked.
-        let asked = world.asked;
-        assert!(world.served_by_cold() * 3 > asked, "seed {seed}: {} of {asked}", world.served_by_cold());
+        assert!(world.busiest_second() <= MAX_REQUESTS_PER_SECOND, "seed {seed}: {}", world.busiest_second());
+        // Half of the workers are in that zone and some permits expire unused, so a third of the requests is expected.
+        let request_count = world.request_count;
+        assert!(
+            world.requests_to_cold_workers() * 3 > request_count,
+            "seed {seed}: {} of {request_count}",
+            world.requests_to_cold_workers()
+        );
     }
 }
 
 #[test]
-fn one_cold_worker_that_is_the_least_loaded_of_all_does_not_draw_everyone() {
+fn single_least_loaded_cold_worker_is_not_overloaded() {
     for seed in 0..10 {
-        let mut world = World::new(Play { workers: 1, per_s: 20.0, ..DAY }, seed);
+        let mut world = World::new(Scenario { workers: 1, per_s: 20.0, ..BASE_SCENARIO }, seed);
         world.run(2_500);
-        let most = world.busiest_second();
-        assert!(most <= MOST_IN_A_SECOND, "seed {seed}: {most}");
-        assert!(most >= 10, "seed {seed}: {most}");
+        let busiest = world.busiest_second();
+        assert!(busiest <= MAX_REQUESTS_PER_SECOND, "seed {seed}: {busiest}");
+        assert!(busiest >= 10, "seed {seed}: {busiest}");
     }
 }
 
 #[test]
-fn a_change_of_the_leader_grants_no_worker_more_than_it_bears() {
+fn leader_change_does_not_exceed_cold_start_limits() {
     for seed in 0..10 {
         for new_leader_at in [100, 600, 1_100, 1_600] {
-            let play = Play { workers: 2, per_s: 20.0, new_leader_at: Some(new_leader_at), ..DAY };
-            let mut world = World::new(play, seed);
+            let scenario = Scenario { workers: 2, per_s: 20.0, new_leader_at: Some(new_leader_at), ..BASE_SCENARIO };
+            let mut world = World::new(scenario, seed);
             world.run(2_500);
-            assert!(world.busiest_second() <= MOST_IN_A_SECOND, "seed {seed}: {}", world.busiest_second());
+            assert!(world.busiest_second() <= MAX_REQUESTS_PER_SECOND, "seed {seed}: {}", world.busiest_second());
         }
     }
 }
 
 #[test]
-fn without_a_leader_cold_workers_get_nothing_and_warm_ones_serve() {
-    let mut world = World::new(Play { lost: 1.0, ..DAY }, 1);
+fn cold_workers_receive_nothing_without_a_leader() {
+    let mut world = World::new(Scenario { loss_rate: 1.0, ..BASE_SCENARIO }, 1);
     world.run(2_500);
-    assert_eq!(world.served_by_cold(), 0);
+    assert_eq!(world.requests_to_cold_workers(), 0);
 }
 
 #[test]
-fn the_bound_holds_for_hundreds_of_gateways_and_workers() {
-    let mut world = World::new(Play { gateways: 300, workers: 200, per_s: 3.0, ..DAY }, 3);
+fn limit_holds_for_hundreds_of_gateways_and_workers() {
+    let mut world = World::new(Scenario { gateways: 300, workers: 200, per_s: 3.0, ..BASE_SCENARIO }, 3);
     world.run(1_000);
-    assert!(world.busiest_second() <= MOST_IN_A_SECOND, "{}", world.busiest_second());
-    assert!(world.served_by_cold() * 3 > world.asked, "{} of {}", world.served_by_cold(), world.asked);
+    assert!(world.busiest_second() <= MAX_REQUESTS_PER_SECOND, "{}", world.busiest_second());
+    assert!(
+        world.requests_to_cold_workers() * 3 > world.request_count,
+        "{} of {}",
+        world.requests_to_cold_workers(),
+        world.request_count
+    );
 }
--- a/crates/core/tests/crash_ledger.rs
+++ b/crates/core/tests/crash_ledger.rs
@@ -1,11 +1,11 @@
-//! Which requests are quarantined, since workers died while they ran them.
+//! Tests which requests are quarantined because workers crashed while running them, and how nodes share that state.
 
 use std::sync::Arc;
 
 use proptest::prelude::*;
 use stallmoor_core::serving::configuration::tenant::{CallerIdentity, TenantName};
 use stallmoor_core::serving::crashes::{
-    CrashLedger, CrashReport, MOST_CRASHES, RequestContent, RequestDigest, RequestKeys,
+    CRASH_THRESHOLD, CrashLedger, CrashReport, RequestContent, RequestDigest, RequestKeys,
 };
 use stallmoor_core::serving::request::{PromptPart, RequestFacts, hash_prefix};
 use stallmoor_core::serving::workers::WorkerId;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_request_is_quarantined_with_the_third_worker_that_dies_of_it() {
+fn third_crash_quarantines_request() {
     let mut ledger = CrashLedger::default();
     let fatal = digest("fatal");
     assert_eq!(ledger.crashed(fatal, worker(1), 0, at(0)), None);
@@ -41,15 +41,15 @@
     assert_eq!(ledger.crashed(fatal, worker(2), 0, at(10)), None);
     assert!(ledger.is_near_quarantine(fatal));
     assert_eq!(ledger.quarantined_for(fatal, at(10)), None);
-    let quarantine = ledger.crashed(fatal, worker(3), 0, at(20)).expect("the third");
+    let quarantine = ledger.crashed(fatal, worker(3), 0, at(20)).expect("the third crash quarantines the request");
     assert_eq!((quarantine.crashes, quarantine.until), (3, at(20 + 5 * MINUTE)));
     assert_eq!(ledger.quarantined_for(fatal, at(20)), Some(Millis(5 * MINUTE)));
-    assert_eq!(ledger.quarantined_for(fatal, at(20 + 5 * MINUTE)), None, "it may be tried again");
+    assert_eq!(ledger.quarantined_for(fatal, at(20 + 5 * MINUTE)), None, "the quarantine has ended");
     assert_eq!(ledger.quarantined_for(digest("other"), at(20)), None);
 }
 
 #[test]
-fn each_worker_that_dies_later_doubles_the_quarantine_up_to_an_hour() {
+fn each_further_crash_doubles_quarantine_up_to_one_hour() {
     let mut ledger = CrashLedger::default();
     let fatal = digest("fatal");
     let mut now = 0;
@@ -60,68 +60,68 @@
     }
     assert_eq!(ledger.quarantined_for(fatal, at(now)), None);
     ledger.crashed(digest("other"), worker(0), 0, at(now + 2 * HOUR));
-    assert!(!ledger.is_near_quarantine(fatal), "it is forgotten in the end");
+    assert!(!ledger.is_near_quarantine(fatal), "the history expires after the retention period");
 }
 
 #[test]
-fn one_crash_seen_by_two_nodes_counts_once_and_a_worker_that_came_back_counts_again() {
+fn duplicate_observations_count_once_and_restarted_workers_count_again() {
     let mut ledger = CrashLedger::default();
     let fatal = digest("fatal");
     for millis in [0, 250, 999, 3_000, 3_100] {
         ledger.crashed(fatal, worker(1), 0, at(millis));
     }
-    assert!(ledger.is_near_quarantine(fatal), "two crashes of one worker");
+    assert!(ledger.is_near_quarantine(fatal), "two distinct crashes of one worker");
     assert_eq!(ledger.quarantined_for(fatal, at(3_100)), None);
     ledger.crashed(fatal, worker(1), 0, at(6_000));
     assert!(
         ledger.quarantined_for(fatal, at(6_000)).is_some(),
-        "the only worker of a fleet dies of it again and again"
+        "crashes of a single restarting worker lead to a quarantine"
     );
 }
 
 #[test]
-fn a_run_to_the_end_clears_a_request_at_every_node() {
-    let (mut here, mut there) = (CrashLedger::default(), CrashLedger::default());
+fn completion_clears_request_on_every_node() {
+    let (mut local, mut remote) = (CrashLedger::default(), CrashLedger::default());
     let popular = digest("popular");
     for crash in 0..3 {
-        here.crashed(popular, worker(crash), 0, at(crash));
+        local.crashed(popular, worker(crash), 0, at(crash));
     }
-    let quarantines = there.merge(&here.report(), false, at(10));
-    assert_eq!(quarantines.len(), 1, "it is told once");
-    assert!(there.merge(&here.report(), false, at(11)).is_empty());
-    // One was under way at a worker that lived.
-    there.completed(popular, at(500));
-    assert_eq!(there.quarantined_for(popular, at(500)), None);
-    here.merge(&there.report(), false, at(600));
-    assert_eq!(here.quarantined_for(popular, at(600)), None);
-    assert!(here.report().crashes.is_empty(), "what was cleared is told no more");
+    let quarantines = remote.merge(&local.report(), false, at(10));
+    assert_eq!(quarantines.len(), 1, "the quarantine is reported once");
+    assert!(remote.merge(&local.report(), false, at(11)).is_empty());
+    // An attempt that was still running elsewhere completes.
+    remote.completed(popular, at(500));
+    assert_eq!(remote.quarantined_for(popular, at(500)), None);
+    local.merge(&remote.report(), false, at(600));
+    assert_eq!(local.quarantined_for(popular, at(600)), None);
+    assert!(local.report().crashes.is_empty(), "cleared crashes are not reported");
 }
 
 #[test]
-fn a_request_that_ran_to_its_end_a_moment_before_is_spared() {
-    let (mut here, mut there) = (CrashLedger::default(), CrashLedger::default());
+fn recent_completion_exempts_request() {
+    let (mut local, mut remote) = (CrashLedger::default(), CrashLedger::default());
     let (popular, fatal) = (digest("popular"), digest("fatal"));
-    there.completed(popular, at(0));
-    // Both are on all workers, and all die of the one at the same moment.
+    remote.completed(popular, at(0));
+    // Both requests run on every worker, and all workers crash at the same time.
     for crash in 0..4 {
-        here.crashed(popular, worker(crash), 0, at(9_000 + crash));
-        here.crashed(fatal, worker(crash), 0, at(9_000 + crash));
+        local.crashed(popular, worker(crash), 0, at(9_000 + crash));
+        local.crashed(fatal, worker(crash), 0, at(9_000 + crash));
     }
-    assert!(here.quarantined_for(popular, at(9_010)).is_some(), "nothing tells them apart here");
-    there.merge(&here.report(), false, at(9_020));
-    assert_eq!(there.quarantined_for(popular, at(9_020)), None);
-    assert!(there.quarantined_for(fatal, at(9_020)).is_some());
-    here.merge(&there.report(), false, at(9_030));
-    assert_eq!(here.quarantined_for(popular, at(9_030)), None, "whoever saw it run tells the others");
-    // Workers that die of it later, while it runs to no end, are another matter.
+    assert!(local.quarantined_for(popular, at(9_010)).is_some(), "this node cannot distinguish them");
+    remote.merge(&local.report(), false, at(9_020));
+    assert_eq!(remote.quarantined_for(popular, at(9_020)), None);
+    assert!(remote.quarantined_for(fatal, at(9_020)).is_some());
+    local.merge(&remote.report(), false, at(9_030));
+    assert_eq!(local.quarantined_for(popular, at(9_030)), None, "the completion is reported to the other node");
+    // Crashes after the grace period count again.
     for crash in 4..7 {
-        there.crashed(popular, worker(crash), 0, at(20_000));
+        remote.crashed(popular, worker(crash), 0, at(20_000));
     }
-    assert!(there.quarantined_for(popular, at(20_000)).is_some());
+    assert!(remote.quarantined_for(popular, at(20_000)).is_some());
 }
 
 #[test]
-fn ends_of_many_requests_are_remembered_for_a_while() {
+fn recent_completions_of_many_requests_are_retained() {
     let mut ledger = CrashLedger::default();
     let popular = digest("popular");
     ledger.completed(popular, at(0));
@@ -135,22 +135,26 @@
 }
 
 #[test]
-fn a_completion_of_a_request_without_crashes_is_not_kept() {
+fn completion_without_crashes_is_not_stored() {
     let mut ledger = CrashLedger::default();
     ledger.completed(digest("sound"), at(0));
     assert!(ledger.is_empty());
     ledger.crashed(digest("victim"), worker(1), 0, at(0));
     ledger.completed(digest("victim"), at(5));
-    assert_eq!(ledger.report(), CrashReport::default(), "one crash that was cleared changes nothing elsewhere");
+    assert_eq!(ledger.report(), CrashReport::default(), "a single cleared crash is not reported");
 }
 
 #[test]
-fn three_crashes_at_one_point_are_enough_and_three_at_different_ones_are_not() {
+fn three_crashes_quarantine_only_at_the_same_point() {
     let mut ledger = CrashLedger::default();
     let (long, fatal) = (digest("long"), digest("fatal at its fortieth event"));
     for crash in 0..3 {
         ledger.crashed(long, worker(crash), 20 * crash, at(crash * 2_000));
-        assert_eq!(ledger.quarantined_for(long, at(crash * 2_000)), None, "each run went on after the last");
+        assert_eq!(
+            ledger.quarantined_for(long, at(crash * 2_000)),
+            None,
+            "each attempt progressed beyond the previous one"
+        );
     }
     for (crash, progress) in [40, 39, 41].into_iter().enumerate() {
         ledger.crashed(fatal, worker(100 + crash as u64), progress, at(20_000));
@@ -158,9 +162,9 @@
     assert!(ledger.quarantined_for(fatal, at(20_000)).is_some());
 }
 
-/// Guards against crashes that are not counted since they come at another event of the answer each time.
+/// Guards against ignoring crashes that occur at a different event of the response each time.
 #[test]
-fn a_request_that_crashes_workers_at_changing_points_is_quarantined_with_the_fourth() {
+fn fourth_crash_at_varying_points_quarantines_request() {
     let points: [[u64; 4]; 4] = [[4, 9, 13, 18], [20, 3, 14, 7], [30, 20, 10, 0], [0, 0, 40, 9]];
     for points in points {
         let mut ledger = CrashLedger::default();
@@ -175,22 +179,22 @@
 }
 
 #[test]
-fn crashes_that_another_request_explains_count_from_the_sixth_on() {
+fn explained_crashes_count_from_the_sixth() {
     let mut ledger = CrashLedger::default();
     let (fatal, long) = (digest("fatal"), digest("long"));
     for crash in 0..5 {
         ledger.crashed(fatal, worker(crash), 0, at(crash * 2_000));
         ledger.crashed(long, worker(crash), 20 * crash, at(crash * 2_000 + 30));
-        assert_eq!(ledger.quarantined_for(long, at(crash * 2_000 + 30)), None, "it was only there");
+        assert_eq!(ledger.quarantined_for(long, at(crash * 2_000 + 30)), None, "another request explains the crashes");
     }
     assert!(ledger.quarantined_for(fatal, at(8_000)).is_some());
     ledger.crashed(fatal, worker(5), 0, at(10_000));
     ledger.crashed(long, worker(5), 100, at(10_000));
-    assert!(ledger.quarantined_for(long, at(10_000)).is_some(), "the users allow no more");
+    assert!(ledger.quarantined_for(long, at(10_000)).is_some(), "the total number of crashes is limited");
 }
 
 #[test]
-fn what_crashes_at_changing_points_is_not_explained_by_a_long_answer_that_was_there() {
+fn long_response_does_not_explain_crashes_at_varying_points() {
     let mut ledger = CrashLedger::default();
     let (fatal, long) = (digest("fatal"), digest("long"));
     for crash in 0..4 {
@@ -203,29 +207,29 @@
 }
 
 #[test]
-fn a_crash_counts_for_the_request_of_which_more_workers_died() {
+fn crash_is_attributed_to_request_with_more_crashes() {
     let mut ledger = CrashLedger::default();
     let (fatal, victim) = (digest("fatal"), digest("victim"));
     for crash in 0..3 {
         ledger.crashed(victim, worker(crash), 0, at(crash * 3_000));
     }
-    assert!(ledger.quarantined_for(victim, at(6_000)).is_some(), "nothing else is known");
+    assert!(ledger.quarantined_for(victim, at(6_000)).is_some(), "no other request was affected");
     for crash in 0..3 {
         ledger.crashed(fatal, worker(crash), 0, at(crash * 3_000 + 100));
     }
-    assert!(ledger.quarantined_for(victim, at(6_100)).is_some(), "either of them");
-    // Another worker died of the one, without the other.
+    assert!(ledger.quarantined_for(victim, at(6_100)).is_some(), "the evidence against both requests is equal");
+    // Another worker crashes while it runs only the fatal request.
     ledger.crashed(fatal, worker(3), 0, at(9_000));
     assert_eq!(ledger.quarantined_for(victim, at(9_000)), None);
     assert!(ledger.quarantined_for(fatal, at(9_000)).is_some());
     for crash in 4..7 {
         ledger.crashed(victim, worker(crash), 0, at(10_000));
     }
-    assert!(ledger.quarantined_for(victim, at(10_000)).is_some(), "of these nothing else died");
+    assert!(ledger.quarantined_for(victim, at(10_000)).is_some(), "no other request explains these crashes");
 }
 
 #[test]
-fn a_machine_that_starts_again_goes_on_telling_what_it_told_before() {
+fn restarted_node_keeps_reporting_its_earlier_crashes() {
     let mut before = CrashLedger::default();
     before.crashed(digest("fatal"), worker(1), 0, at(0));
     let mut after = CrashLedger::default();
@@ -235,7 +239,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
+fn ledger_size_is_bounded() {
     let mut ledger = CrashLedger::default();
     for number in 0..3_000_u64 {
         ledger.crashed(digest(&number.to_string()), worker(number), 0, at(number));
@@ -246,44 +250,44 @@
 }
 
 #[test]
-fn a_request_is_named_by_its_body_and_by_its_prompt() {
+fn digests_depend_on_body_and_prompt() {
     let facts = |model: &str, prompt_tokens| {
         let parts = [PromptPart { id: Arc::from("aa"), tokens: 60 }];
         RequestFacts { prefix: hash_prefix(model, &parts), prompt_tokens, ..RequestFacts::default() }
     };
     let (prompt, other_model, longer) = (facts("m", 60), facts("n", 60), facts("m", 70));
-    let unnamed = RequestFacts::default();
+    let without_prompt = RequestFacts::default();
     let [a, b] = ["a", "b"].map(|name| CallerIdentity::Tenant(TenantName::new(name)));
     let base = RequestContent { identity: &a, method: "POST", target: "/x", facts: &prompt, body: b"body" };
     let own = RequestKeys::of(&base);
-    let elsewhere = [
+    let other_requests = [
         RequestContent { identity: &b, ..base },
         RequestContent { method: "PUT", ..base },
         RequestContent { target: "/y", ..base },
     ];
-    for other in elsewhere.map(|other| RequestKeys::of(&other)) {
+    for other in other_requests.map(|other| RequestKeys::of(&other)) {
         assert_ne!(other.content, own.content);
         assert_ne!(other.prompt, own.prompt);
     }
-    for other_prompt in [&other_model, &longer, &unnamed] {
+    for other_prompt in [&other_model, &longer, &without_prompt] {
         let other = RequestKeys::of(&RequestContent { facts: other_prompt, ..base });
-        assert_eq!(other.content, own.content, "the body is the same");
+        assert_eq!(other.content, own.content, "the body digest does not depend on the prompt");
         assert_ne!(other.prompt, own.prompt);
     }
     let other_body = RequestKeys::of(&RequestContent { body: b"with another id in it", ..base });
     assert_eq!(other_body.prompt, own.prompt);
     assert_ne!(other_body.content, own.content);
     assert_eq!(own.digests().count(), 2);
-    assert_eq!(RequestKeys::of(&RequestContent { facts: &unnamed, ..base }).digests().count(), 1);
+    assert_eq!(RequestKeys::of(&RequestContent { facts: &without_prompt, ..base }).digests().count(), 1);
     assert_eq!(own.content.to_string().parse(), Ok(own.content));
-    // Nodes of all versions name a request alike.
-    assert_eq!(own.prompt.expect("it is named").to_string(), "3592a0f1d2936224");
+    // Digests must be the same in all versions.
+    assert_eq!(own.prompt.expect("the head identifies the prompt").to_string(), "3592a0f1d2936224");
     assert_eq!(RequestDigest::of(&RequestContent { body: b"one", ..base }).to_string(), "d5c15521c0af1df2");
 }
 
-/// Guards against a request that crashes workers being cleared by a sound one with the same prompt and another body.
+/// Guards against a harmless request clearing one that crashes workers because both have the same prompt.
 #[test]
-fn a_run_of_a_request_with_the_same_prompt_clears_the_prompt_and_not_the_body() {
+fn completion_clears_prompt_digest_but_not_other_body() {
     let parts = [PromptPart { id: Arc::from("aa"), tokens: 60 }];
     let facts = RequestFacts { prefix: hash_prefix("m", &parts), prompt_tokens: 90, ..RequestFacts::default() };
     let content = |body| RequestContent {
@@ -293,29 +297,29 @@
         facts: &facts,
         body,
     };
-    let (fatal, sound) = (RequestKeys::of(&content(b"fatal")), RequestKeys::of(&content(b"sound")));
+    let (fatal, harmless) = (RequestKeys::of(&content(b"fatal")), RequestKeys::of(&content(b"sound")));
     let mut ledger = CrashLedger::default();
-    for crash in 0..MOST_CRASHES as u64 {
+    for crash in 0..CRASH_THRESHOLD as u64 {
         let now = at(crash * 300);
         for digest in fatal.digests() {
             ledger.crashed(digest, worker(crash), 0, now);
         }
-        for digest in sound.digests() {
+        for digest in harmless.digests() {
             ledger.completed(digest, at(crash * 300 + 100));
         }
     }
     let is_quarantined = |keys: RequestKeys| keys.digests().any(|key| ledger.quarantined_for(key, at(900)).is_some());
     assert!(is_quarantined(fatal));
-    assert!(!is_quarantined(sound));
+    assert!(!is_quarantined(harmless));
 }
 
 #[test]
-fn a_report_with_figures_out_of_any_range_is_borne() {
+fn report_with_out_of_range_numbers_is_accepted() {
     let crash = |worker, at, progress| {
         format!(r#"{{"digest":"{}","worker":"w-{worker}","at":{at},"progress":{progress}}}"#, digest("fatal"))
     };
     let crashes = [crash(1, 1, u64::MAX), crash(2, u64::MAX, u64::MAX - 1), crash(3, u64::MAX, 0)].join(",");
-    let report = serde_json::from_str(&format!(r#"{{"crashes":[{crashes}]}}"#)).expect("it can be read");
+    let report = serde_json::from_str(&format!(r#"{{"crashes":[{crashes}]}}"#)).expect("the report parses");
     let mut ledger = CrashLedger::default();
     ledger.merge(&report, false, at(0));
     ledger.crashed(digest("fatal"), worker(4), 7, at(0));
@@ -323,10 +327,10 @@
 }
 
 #[test]
-fn a_report_is_stored_as_ever() {
+fn stored_report_format_is_unchanged() {
     let mut ledger = CrashLedger::default();
     ledger.crashed(digest("fatal"), worker(1), 0, at(0));
-    let stored = serde_json::to_string(&ledger.report()).expect("it can be written");
+    let stored = serde_json::to_string(&ledger.report()).expect("the report serializes");
     let text = format!(
         r#"{{"crashes":[{{"digest":"{}","worker":"w-1","at":1700000000000,"progress":0}}],"completions":[]}}"#,
         digest("fatal")
@@ -338,7 +342,7 @@
     }
 }
 
-/// What happens at one of three nodes.
+/// An event at one of three nodes.
 #[derive(Clone, Debug)]
 enum Step {
     Crash { node: usize, request: u8, worker: u64 },
@@ -356,28 +360,28 @@
 }
 
 proptest! {
-    /// Whatever the order of reports, once all have told each other all, all give the same verdict, and a request of
-    /// which three workers died since it last ran to its end is quarantined everywhere.
+    /// After a full exchange of reports, in any order of events, all nodes make the same decision, and a request with
+    /// three crashes since its last completion is quarantined on every node.
     #[test]
-    fn nodes_that_told_each_other_all_agree(steps in steps()) {
+    fn nodes_agree_after_full_exchange(steps in steps()) {
         let mut nodes = [CrashLedger::default(), CrashLedger::default(), CrashLedger::default()];
         let requests = [digest("a"), digest("b")];
-        // All that happened, as one who sees all would count it.
-        let mut since = [Vec::new(), Vec::new()];
+        // Reference model: the crashes of each request since its last completion.
+        let mut crashes_since_completion = [Vec::new(), Vec::new()];
         let mut now = 0;
         for step in steps {
             now += 11_000;
             match step {
                 Step::Crash { node, request, worker: number } => {
                     nodes[node].crashed(requests[usize::from(request)], worker(number), 0, at(now));
-                    since[usize::from(request)].push(number);
+                    crashes_since_completion[usize::from(request)].push(number);
                 }
                 Step::Completion { node, request } => {
-                    // A node that knows of no crash of the request has nothing to clear.
+                    // A node without crashes of the request does not store completions.
                     let report = nodes[node].report();
                     if report.crashes.iter().any(|crash| crash.digest == requests[usize::from(request)]) {
                         nodes[node].completed(requests[usize::from(request)], at(now));
-                        since[usize::from(request)].clear();
+                        crashes_since_completion[usize::from(request)].clear();
                     }
                 }
                 Step::Exchange { from, to } => {
@@ -395,11 +399,11 @@
             }
         }
         for (request, digest) in requests.into_iter().enumerate() {
-            let verdicts: Vec<bool> =
+            let decisions: Vec<bool> =
                 nodes.iter().map(|node| node.quarantined_for(digest, at(now)).is_some()).collect();
-            prop_assert!(verdicts.iter().all(|verdict| *verdict == verdicts[0]), "{:?}", verdicts);
-            if since[request].len() >= MOST_CRASHES {
-                prop_assert!(verdicts[0], "{:?}", since[request]);
+            prop_assert!(decisions.iter().all(|decision| *decision == decisions[0]), "{:?}", decisions);
+            if crashes_since_completion[request].len() >= CRASH_THRESHOLD {
+                prop_assert!(decisions[0], "{:?}", crashes_since_completion[request]);
             }
         }
     }
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zones that the operator evacuates, workers that return cold, and requests that must stay in their regions.
+//! Tests evacuated zones, cold workers, and region restrictions in worker selection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -46,16 +46,16 @@
     WorkerId(Arc::from(name))
 }
 
-fn ask<'a>(tried: &'a [WorkerId], regions: &'a AllowedRegions) -> WorkerQuery<'a> {
+fn query<'a>(tried: &'a [WorkerId], regions: &'a AllowedRegions) -> WorkerQuery<'a> {
     WorkerQuery { service: SERVICE, zone: "a", prefix: &[], prompt_tokens: 0, body_bytes: 1_000, tried, regions }
 }
 
 fn chosen(table: &WorkerTable, millis: u64) -> Option<WorkerId> {
-    table.choose(&ask(&[], &AllowedRegions::Any), at(millis), &mut random()).map(|choice| choice.id)
+    table.choose(&query(&[], &AllowedRegions::Any), at(millis), &mut random()).map(|choice| choice.id)
 }
 
 fn chosen_for_batch(table: &WorkerTable, millis: u64) -> Option<WorkerId> {
-    table.choose_for_batch(&ask(&[], &AllowedRegions::Any), 0, at(millis), &mut random()).map(|choice| choice.id)
+    table.choose_for_batch(&query(&[], &AllowedRegions::Any), 0, at(millis), &mut random()).map(|choice| choice.id)
 }
 
 fn two_zones() -> WorkerTable {
@@ -67,21 +67,21 @@
 }
 
 #[test]
-fn an_evacuated_zone_gets_neither_requests_nor_items_nor_retries() {
+fn evacuated_zone_receives_no_requests_items_or_retries() {
     let mut table = two_zones();
     assert_eq!(chosen(&table, 0), Some(id("near")));
     assert!(table.set_evacuated(&zone("a"), true, at(0)));
     assert_eq!(chosen(&table, 1), Some(id("far")));
     assert_eq!(chosen_for_batch(&table, 1), Some(id("far")));
     let tried = [id("far")];
-    let retry = table.choose(&ask(&tried, &AllowedRegions::Any), at(1), &mut random());
-    assert_eq!(retry.map(|choice| choice.id), None, "not even as the last worker that is left");
+    let retry = table.choose(&query(&tried, &AllowedRegions::Any), at(1), &mut random());
+    assert_eq!(retry.map(|choice| choice.id), None, "not even if no other worker is left");
     assert_eq!(table.ready_count(SERVICE, at(1)), 1);
     assert!(table.is_in_evacuated_zone(&id("near")) && !table.is_in_evacuated_zone(&id("far")));
 }
 
 #[test]
-fn a_worker_whose_record_went_is_no_last_resort_in_an_evacuated_zone() {
+fn removed_worker_in_evacuated_zone_is_not_last_resort() {
     let mut table = two_zones();
     table.remove(&id("far"), at(0), at(0));
     table.remove(&id("near"), at(1_000), at(0));
@@ -91,16 +91,16 @@
 }
 
 #[test]
-fn an_order_that_is_read_again_changes_nothing() {
+fn repeated_evacuation_order_has_no_effect() {
     let mut table = two_zones();
     assert!(table.set_evacuated(&zone("a"), true, at(0)));
     assert!(!table.set_evacuated(&zone("a"), true, at(1)));
-    assert!(!table.set_evacuated(&zone("b"), false, at(1)), "the zone was never evacuated");
+    assert!(!table.set_evacuated(&zone("b"), false, at(1)), "the zone was not evacuated");
     assert_eq!(chosen(&table, 2), Some(id("far")));
 }
 
 #[test]
-fn workers_that_appear_in_an_evacuated_zone_get_nothing() {
+fn new_workers_in_evacuated_zone_receive_nothing() {
     let mut table = two_zones();
     table.set_evacuated(&zone("a"), true, at(0));
     table.apply_record(worker("later", "a"), at(1));
@@ -108,26 +108,26 @@
 }
 
 #[test]
-fn a_zone_that_returns_is_used_under_permits_at_first() {
+fn returning_zone_requires_permits_at_first() {
     let mut table = two_zones();
     table.set_evacuated(&zone("a"), true, at(0));
     assert!(table.set_evacuated(&zone("a"), false, at(5_000)));
-    assert_eq!(chosen(&table, 5_001), Some(id("far")), "without a permit");
-    let ask_any = ask(&[], &AllowedRegions::Any);
-    assert_eq!(table.wanted_permits(&ask_any, at(5_001), &mut random()), [id("near")]);
+    assert_eq!(chosen(&table, 5_001), Some(id("far")), "there is no permit yet");
+    let any_query = query(&[], &AllowedRegions::Any);
+    assert_eq!(table.wanted_permits(&any_query, at(5_001), &mut random()), [id("near")]);
     table.add_permits(&[WorkerCount { worker: id("near"), requests: 1 }], at(5_400));
-    let choice = table.choose(&ask_any, at(5_010), &mut random()).expect("there is a permit");
+    let choice = table.choose(&any_query, at(5_010), &mut random()).expect("there is a permit");
     assert_eq!(choice.id, id("near"));
     table.started(&choice.incarnation(), &[], 0, at(5_010));
     table.ended(&choice.incarnation());
-    assert_eq!(chosen(&table, 5_020), Some(id("far")), "the permit is used");
+    assert_eq!(chosen(&table, 5_020), Some(id("far")), "the permit was consumed");
     table.add_permits(&[WorkerCount { worker: id("near"), requests: 1 }], at(5_400));
-    assert_eq!(chosen(&table, 5_400), Some(id("far")), "the permit has lapsed");
-    assert_eq!(chosen(&table, 8_000), Some(id("near")), "its cold start is over");
+    assert_eq!(chosen(&table, 5_400), Some(id("far")), "the permit expired");
+    assert_eq!(chosen(&table, 8_000), Some(id("near")), "the cold start ended");
 }
 
 #[test]
-fn a_cold_worker_is_told_by_its_record_its_answers_and_its_absence() {
+fn cold_state_follows_record_responses_and_unreachability() {
     let mut table = two_zones();
     table.apply_record(WorkerRecord { cold_remaining: Millis(2_000), ..worker("near", "a") }, at(0));
     assert_eq!(chosen(&table, 1_999), Some(id("far")));
@@ -135,16 +135,16 @@
     table.mark_cold(&worker("near", "a").incarnation(), Millis(500), at(2_000));
     assert_eq!(chosen(&table, 2_499), Some(id("far")));
     assert_eq!(chosen(&table, 2_500), Some(id("near")));
-    let ejected = table.failed(&worker("near", "a").incarnation(), false, at(3_000)).expect("it is known");
-    let back = 3_000 + ejected.0;
-    assert_eq!(chosen(&table, back + 1), Some(id("far")), "it may have started again");
-    assert_eq!(chosen(&table, back + 3_000), Some(id("near")));
+    let ejected = table.failed(&worker("near", "a").incarnation(), false, at(3_000)).expect("the worker is known");
+    let recovered_at = 3_000 + ejected.0;
+    assert_eq!(chosen(&table, recovered_at + 1), Some(id("far")), "an unreachable worker may have restarted");
+    assert_eq!(chosen(&table, recovered_at + 3_000), Some(id("near")));
     table.attempt_ended(&worker("near", "a").incarnation(), AttemptEnd::Broken, at(10_000));
-    assert_eq!(chosen(&table, 11_000), Some(id("near")), "a worker that answers has not started again");
+    assert_eq!(chosen(&table, 11_000), Some(id("near")), "a reachable worker has not restarted");
 }
 
 #[test]
-fn workers_of_a_service_without_a_cold_start_need_no_permits() {
+fn service_without_cold_start_needs_no_permits() {
     let mut table = two_zones();
     table.set_cold_starts(Default::default());
     table.apply_record(WorkerRecord { cold_remaining: Millis(2_000), ..worker("near", "a") }, at(0));
@@ -160,23 +160,23 @@
     table.upsert(worker("near", "a"));
     table.upsert(worker("far", "b"));
     table.upsert(worker("elsewhere", "c"));
-    let among = |allowed: &AllowedRegions| {
-        let choice = table.choose(&ask(&[], allowed), at(0), &mut random());
-        let for_batch = table.choose_for_batch(&ask(&[], allowed), 0, at(0), &mut random());
+    let choose_within = |allowed: &AllowedRegions| {
+        let choice = table.choose(&query(&[], allowed), at(0), &mut random());
+        let for_batch = table.choose_for_batch(&query(&[], allowed), 0, at(0), &mut random());
         assert_eq!(choice.as_ref().map(|choice| &choice.id), for_batch.as_ref().map(|choice| &choice.id));
         choice.map(|choice| choice.id)
     };
     let only = |names: &[&str]| AllowedRegions::only(names.iter().map(|name| RegionName::new(name)));
-    assert_eq!(among(&AllowedRegions::Any), Some(id("near")));
-    assert_eq!(among(&only(&["south"])), Some(id("far")));
-    assert_eq!(among(&only(&["east"])), None, "refused at once");
-    assert_eq!(among(&only(&[])), None);
+    assert_eq!(choose_within(&AllowedRegions::Any), Some(id("near")));
+    assert_eq!(choose_within(&only(&["south"])), Some(id("far")));
+    assert_eq!(choose_within(&only(&["east"])), None, "no worker is in the allowed region");
+    assert_eq!(choose_within(&only(&[])), None);
     let both = only(&["north", "south"]).intersection(&only(&["south", "east"]));
-    assert_eq!(among(&both), Some(id("far")), "route and tenant both bind");
+    assert_eq!(choose_within(&both), Some(id("far")), "route and tenant restrictions both apply");
 }
 
 #[test]
-fn a_worker_whose_machine_is_busy_costs_more() {
+fn slowed_down_worker_costs_more() {
     let mut table = WorkerTable::default();
     table.upsert(worker("near", "a"));
     table.upsert(worker("other", "a"));
