--- a/crates/core/src/serving/jobs/command.rs
+++ b/crates/core/src/serving/jobs/command.rs
@@ -1,4 +1,4 @@
-//! Changes of the job table and their outcomes.
+//! Commands that change the job table, and their outcomes.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use crate::serving::configuration::tenant::{CallerIdentity, TenantName};
 use crate::time::{Millis, UnixMillis};
 
-/// Names a job: the id that its submitter gave.
+/// Identifies a job by the id that its submitter chose.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobKey(pub Arc<str>);
 
@@ -17,109 +17,109 @@
     }
 }
 
-/// Names an item: its job and its place there.
+/// Identifies an item by its job and its index there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ItemKey {
-    /// The job.
+    /// The job that contains the item.
     pub job: JobKey,
-    /// The place in the job's list, from 0.
+    /// The zero-based index in the job's item list.
     pub item: u32,
 }
 
-/// A header of an item's request.
+/// An HTTP header of an item's request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemHeader {
-    /// Its name.
+    /// The header name.
     pub name: Arc<str>,
-    /// Its value.
+    /// The header value.
     pub value: Arc<str>,
 }
 
-/// An item as it was submitted.
+/// A job item as submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobItem {
-    /// Its id, which the worker gets too.
+    /// The id chosen by the submitter, also sent to the worker.
     pub id: Arc<str>,
-    /// The path of its request.
+    /// The path of the request to the worker.
     pub path: Arc<str>,
-    /// The headers of its request.
+    /// The headers of the request to the worker.
     pub headers: Vec<ItemHeader>,
-    /// The body of its request.
+    /// The body of the request to the worker.
     pub body: Arc<[u8]>,
-    /// Its size in tokens: the prompt and the most that is generated.
+    /// The number of tokens in the prompt plus the maximum number to generate.
     pub token_count: u64,
 }
 
-/// A job as it was submitted.
+/// A job as submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
-    /// Its id.
+    /// The id of the job.
     pub key: JobKey,
-    /// The route that it came on.
+    /// The name of the route that matched the submission.
     pub route: Arc<str>,
-    /// The host that it came to.
+    /// The host that the submission was addressed to.
     pub host: Arc<str>,
-    /// Whose it is; `None` if it is open to all.
+    /// The owning tenant; `None` if every caller may access the job.
     pub tenant: Option<TenantName>,
-    /// Its items.
+    /// The items in submission order. Items are identified by their index.
     pub items: Vec<JobItem>,
-    /// The version of the configuration that its route was read from.
+    /// The version of the configuration that the route was taken from.
     pub configuration_version: u64,
-    /// When the first node read it, by that node's clock.
+    /// When a node first received the submission, by that node's clock.
     pub received_at: UnixMillis,
-    /// After which time from then results are due.
+    /// The time after `received_at` by which results are due.
     pub due: Millis,
-    /// Most tokens of its tenant that may wait on its route; `None` for no limit.
+    /// The maximum number of tokens that the tenant may have queued on the route; `None` for no limit.
     pub queued_token_limit: Option<u64>,
 }
 
-/// What the limit of waiting tokens counts together: the items of one tenant on one route.
+/// The scope of the limit on queued tokens: one tenant on one route.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct QueueKey {
-    /// The route.
+    /// The name of the route.
     pub route: Arc<str>,
-    /// The tenant.
+    /// The tenant; `None` for jobs without an owner.
     pub tenant: Option<TenantName>,
 }
 
 impl Submission {
-    /// Where its items count while they wait.
+    /// Returns the queue that the job's items count towards.
     pub fn queue(&self) -> QueueKey {
         QueueKey { route: self.route.clone(), tenant: self.tenant.clone() }
     }
 
-    /// The tokens of all items.
+    /// Returns the total number of tokens of all items.
     pub fn token_count(&self) -> u64 {
         self.items.iter().map(|item| item.token_count).sum()
     }
 
-    /// The bytes of all bodies.
+    /// Returns the total size of all item bodies in bytes.
     pub fn bytes(&self) -> u64 {
         self.items.iter().map(|item| item.body.len() as u64).sum()
     }
 }
 
-/// How an item ended.
+/// The final state of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemState {
-    /// A worker gave its whole output.
+    /// A worker returned the complete output.
     Completed,
-    /// It was given up.
+    /// The item was abandoned without output.
     GivenUp,
 }
 
-/// What an item has put out so far.
+/// The output that an item has produced so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartialOutput {
-    /// The data of the events so far, joined by line feeds.
+    /// The data of all events so far, joined by line feeds.
     pub text: String,
-    /// The id of the last event.
+    /// The id of the last event; `None` before the first event.
     pub last_event: Option<u64>,
 }
 
 impl PartialOutput {
-    /// Takes the next event of a run. Events that the output has already are skipped. Returns false if events are
-    /// missing before this one: the output can't be made whole from this stream.
+    /// Appends the next event of a run. Skips events that are already part of the output. Returns false if earlier
+    /// events are missing, in which case this stream cannot complete the output.
     pub fn append_event(&mut self, data: &str, id: Option<u64>) -> bool {
         if let (Some(id), Some(last)) = (id, self.last_event) {
             if id <= last {
@@ -133,7 +133,7 @@
         true
     }
 
-    /// Adds an event's data.
+    /// Appends the data of an event without checking its id.
     pub fn push(&mut self, data: &str, id: Option<u64>) {
         if self.last_event.is_some() {
             self.text.push('\n');
@@ -143,99 +143,99 @@
     }
 }
 
-/// How much of an item's output the log has.
+/// The length of the prefix of an item's output that is in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoggedOutput {
-    /// Bytes of its text.
+    /// The length of the logged text in bytes.
     pub bytes: usize,
-    /// The id of the last event.
+    /// The id of the last logged event.
     pub last_event: Option<u64>,
 }
 
-/// More of an item's output.
+/// An increment of an item's output.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemProgress {
-    /// The item.
+    /// The item that produced the output.
     pub key: ItemKey,
-    /// What the log had of it before. The rest follows on that or is dropped.
+    /// The position in the output where `text` starts. The increment is dropped if the log does not end there.
     pub after: LoggedOutput,
-    /// The text that follows.
+    /// The text to append.
     pub text: Arc<str>,
-    /// The id of the last event.
+    /// The id of the last event in `text`.
     pub last_event: Option<u64>,
 }
 
-/// How many runs of an item have failed so far.
+/// The number of failed runs of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemFailures {
-    /// The item.
+    /// The item whose runs failed.
     pub key: ItemKey,
-    /// Runs that failed, over all leaders.
+    /// The number of failed runs, counted across leaders.
     pub failures: u32,
 }
 
-/// A change of the table.
+/// A change to the job table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobCommand {
-    /// Take a job.
+    /// Adds a job.
     Accept(Submission),
-    /// Commit an item's result.
+    /// Commits an item's result.
     Finish {
-        /// The item.
+        /// The item that finished.
         key: ItemKey,
-        /// How it ended.
+        /// The final state of the item.
         state: ItemState,
-        /// What the log had of its output before. A completed item's text follows on that.
+        /// The position in the output where `text` starts; checked for completed items only.
         after: LoggedOutput,
-        /// The rest of its output.
+        /// The rest of the output.
         text: Arc<str>,
     },
-    /// Keep what running items have put out, so that another leader can go on from there.
+    /// Stores the output of running items so that another leader can resume them.
     Progress(Vec<ItemProgress>),
-    /// End a job: no item of it starts any more.
+    /// Ends a job. None of its items is started afterwards.
     End {
-        /// The job.
+        /// The job to end.
         job: JobKey,
-        /// Who ends it. For others than its owner there is no such job.
+        /// The caller that ends the job. Callers other than the owner get [`JobOutcome::UnknownJob`].
         caller: CallerIdentity,
     },
-    /// Forget jobs that are over and were received before a time.
+    /// Removes finished jobs that were received before a given time.
     Forget {
-        /// The time.
+        /// Jobs received at this time or later are retained.
         before: UnixMillis,
     },
-    /// Keep how many runs of items have failed, so that another leader goes on counting. Replicas of a version that does
-    /// not know it pass it over.
+    /// Stores the number of failed runs of items so that another leader continues the count. Replicas of versions that
+    /// do not know this command skip it.
     Failures(Vec<ItemFailures>),
 }
 
-/// What a command did.
+/// The outcome of applying a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobOutcome {
-    /// The job is in the table, whether by this command or an earlier one.
+    /// The job is in the table, added by this command or by an earlier one.
     Accepted,
-    /// Another tenant has a job of this id.
+    /// Another tenant already has a job with this id.
     KeyTaken,
-    /// The result is committed, or the progress kept.
+    /// The result or the progress was stored.
     Committed,
-    /// The item had a result before, or its job has ended; nothing changed.
+    /// The item already had a result, or its job has ended. Nothing changed.
     Dropped,
     /// The job has ended.
     Ended,
-    /// There is no such job.
+    /// The job does not exist or is not visible to the caller.
     UnknownJob,
-    /// Old jobs are forgotten.
+    /// Expired jobs were removed.
     Forgotten,
 }
 
 impl JobCommand {
     /// Encodes the command for the log.
     pub fn encode(&self) -> Arc<[u8]> {
-        // Can't fail: the length of all that is encoded is known, and a vector takes any.
+        // Cannot fail: all lengths are known, and a vector grows as needed.
         postcard::to_stdvec(self).map(Arc::from).unwrap_or_default()
     }
 
-    /// Reads a command from the log.
+    /// Decodes a command from the log. Returns `None` if this version cannot read it.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/core/src/serving/jobs/directory.rs
+++ b/crates/core/src/serving/jobs/directory.rs
@@ -1,4 +1,4 @@
-//! The storing nodes, as the metadata store tells them.
+//! The storage nodes registered in the metadata store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,28 +8,29 @@
 
 use crate::identity::NodeId;
 
-/// A storing node's record of itself. It is filed under the machine's name, so that a machine whose
-/// disk was lost replaces its former identity.
+/// The registration record of a storage node. Its key is the machine name, so a machine whose disk was replaced
+/// overwrites its former identity.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StorageRecord {
-    /// The machine's name.
+    /// The name of the machine.
     pub name: Arc<str>,
-    /// The identity that lies on its disk.
+    /// The node identity stored on the machine's disk.
     pub node: NodeId,
-    /// Where other nodes reach it.
+    /// The address on which other nodes reach it.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: Arc<str>,
 }
 
-/// Who founded the job table's group. It is written once, so members that came since are not in it.
+/// The initial voters of the job table's group. The record is written once, so it does not list members that joined
+/// later.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FoundingRecord {
-    /// The first voters.
+    /// The initial voters.
     pub voters: BTreeSet<NodeId>,
 }
 
-/// All storing nodes that are known.
+/// All known storage nodes, and the initial voters of the job table's group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StorageDirectory {
     records: BTreeMap<Arc<str>, StorageRecord>,
@@ -37,48 +38,48 @@
 }
 
 impl StorageDirectory {
-    /// Takes a record; one of the same machine or address gives way.
+    /// Adds a record, replacing records with the same machine name or address.
     pub fn upsert(&mut self, record: StorageRecord) {
         self.records.retain(|name, other| *name == record.name || other.address != record.address);
         self.records.insert(record.name.clone(), record);
     }
 
-    /// A record was removed.
+    /// Removes the record of a machine.
     pub fn remove(&mut self, name: &str) {
         self.records.remove(name);
     }
 
-    /// All records.
+    /// Returns all records in the order of machine names.
     pub fn records(&self) -> impl Iterator<Item = &StorageRecord> {
         self.records.values()
     }
 
-    /// The record of a node.
+    /// Returns the record of a node.
     pub fn of_node(&self, node: NodeId) -> Option<&StorageRecord> {
         self.records.values().find(|record| record.node == node)
     }
 
-    /// The record of a machine.
+    /// Returns the record of a machine.
     pub fn of_machine(&self, name: &str) -> Option<&StorageRecord> {
         self.records.get(name)
     }
 
-    /// Who founded the job table's group is known.
+    /// Sets the initial voters of the job table's group once they are known.
     pub fn set_founders(&mut self, founders: BTreeSet<NodeId>) {
         self.founders = founders;
     }
 
-    /// Whether a node was among the first members of the job table's group: most of its members are.
+    /// Returns whether a node was an initial voter of the job table's group. Most current members usually were.
     pub fn is_founder(&self, node: NodeId) -> bool {
         self.founders.contains(&node)
     }
 
-    /// How many nodes are known.
+    /// Returns the number of known nodes.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no node is known.
+    /// Returns whether no node is known.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/core/src/serving/jobs/dispatch/mod.rs
+++ b/crates/core/src/serving/jobs/dispatch/mod.rs
@@ -1,15 +1,15 @@
-//! Which item runs next, and what follows from how a run ended. Only the table's leader dispatches.
+//! Schedules the items of batch jobs and handles the end of their runs. Only the leader of the job table dispatches.
 //!
 //! | module | owns |
 //! |---|---|
 //! | this one | [`Dispatcher`]: the items without a result, in the order in which they run and pause |
-//! | `run_end` | [`RunEnd`]: what a worker's answer, or its silence, means for an item |
-//! | `run_estimate` | how long a run is expected to take |
-//! | `start` | [`decide_start`]: whether an item whose turn it is runs, waits or is given up |
+//! | `run_end` | [`RunEnd`]: the meaning of a worker's answer, or of its absence, for an item |
+//! | `run_estimate` | the expected duration of a run |
+//! | `start` | [`decide_start`]: whether the next item runs, waits or is abandoned |
 //! | `pacing` | [`ItemPacing`]: when items are tried, and when progress is logged |
 //!
-//! It relies on the job table ([`super::table`]) for what is open, and on its driver for times and for the runs
-//! themselves. All state is rebuilt from the table when a replica becomes the leader.
+//! Open items come from the job table ([`super::table`]); the caller supplies the time and performs the runs. All state
+//! is rebuilt from the table when a replica becomes the leader.
 
 mod pacing;
 mod run_end;
@@ -29,27 +29,27 @@
 use crate::backoff::Backoff;
 use crate::time::{Millis, Timestamp, UnixMillis};
 
-/// The wait after a run that failed or broke off: 40 ms, doubled with each in a row up to 640 ms. Spares items that
-/// would be paused at once again, and still finds a worker that recovered.
+/// The wait after an unsuccessful run, doubled with each consecutive one. Items that would be paused again at once back
+/// off, and recovered workers are still found soon.
 const RUN_BACKOFF: Backoff = Backoff::new(Millis(40), Millis(640));
 
-/// OpenItem is logged once an item has put out this many events more. Saves bytes of the log.
-const PROGRESS_EVENTS: u64 = 24;
+/// The number of new events after which an item's progress is logged. Limits the size of the log.
+const MIN_PROGRESS_EVENTS: u64 = 24;
 
-/// The time between two looks at an item that is quarantined, in milliseconds: how late the end of its quarantine, or
-/// of its time, is noticed.
+/// The interval between two checks of a quarantined item. Bounds how late the end of its quarantine or of its time
+/// limit is noticed.
 const QUARANTINE_CHECK_INTERVAL: Millis = Millis(1_000);
 
-/// An item that runs.
+/// An item that is running at a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningItem {
-    /// The item.
+    /// The item that is running.
     pub key: ItemKey,
-    /// Its run; a younger one has the greater number.
+    /// The number of the run; later runs have greater numbers.
     pub run: u64,
-    /// The id of the last event that it has put out, 0 for none.
+    /// The id of the last event that the item produced; 0 for none.
     pub events: u64,
-    /// Whether it was asked to pause already.
+    /// Whether the item has already been requested to pause.
     pub is_pausing: bool,
 }
 
@@ -68,17 +68,17 @@
     failures: u32,
     delays: u32,
     output: PartialOutput,
-    /// How much of the output the log has, proposals under way included.
+    /// The part of the output that is logged or proposed.
     logged: LoggedOutput,
-    /// When the last run began, and after which event.
+    /// When the last run started, and the id of the last event before it.
     started_at: Timestamp,
     started_after: u64,
 }
 
-/// The items without a result, and how far each is.
+/// The items without a result, and their progress.
 ///
-/// Ready items run in the order of their due time, but those that can't be in time any more come after
-/// all that can: under overload the plain order would make every item late.
+/// Ready items run in order of their due time, but items that can no longer finish in time run after all others. Under
+/// overload, the plain order would make every item late.
 #[derive(Clone, Debug, Default)]
 pub struct Dispatcher {
     estimate: RunEstimate,
@@ -86,12 +86,12 @@
     ready: BTreeSet<(UnixMillis, ItemKey)>,
     delayed: BTreeSet<(Timestamp, ItemKey)>,
     finished: BTreeSet<ItemKey>,
-    /// Items with failed runs that the log doesn't have.
+    /// Items with failed runs that are not yet logged.
     failed: BTreeSet<ItemKey>,
 }
 
 impl Dispatcher {
-    /// Starts anew from the table: this node became the leader.
+    /// Rebuilds the state from the table after this node became the leader.
     pub fn restart(&mut self, table: &JobTable) {
         *self = Self::default();
         for (_, job) in table.jobs() {
@@ -99,12 +99,12 @@
         }
     }
 
-    /// Drops everything: this node leads no longer.
+    /// Drops all items because this node no longer leads.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Adds the open items of a job.
+    /// Adds the items of a job that have no result.
     pub fn add_job(&mut self, job: &Job) {
         let submission = &job.submission;
         let due = UnixMillis(submission.received_at.0 + submission.due.0);
@@ -116,7 +116,7 @@
             self.ready.insert((due, key.clone()));
             let output = job.partial(item).cloned().unwrap_or_default();
             let logged = LoggedOutput { bytes: output.text.len(), last_event: output.last_event };
-            let progress = OpenItem {
+            let open_item = OpenItem {
                 phase: Phase::Ready,
                 due,
                 failures: job.failures(item),
@@ -126,73 +126,74 @@
                 started_at: Timestamp::default(),
                 started_after: 0,
             };
-            self.items.insert(key, progress);
+            self.items.insert(key, open_item);
         }
     }
 
-    /// Takes the most urgent item that may run now. `civil` is the time of day, which due times are in.
-    pub fn take_next(&mut self, now: Timestamp, civil: UnixMillis) -> Option<(ItemKey, PartialOutput)> {
+    /// Takes the most urgent item that may run now. `wall_time` is comparable to due times.
+    pub fn take_next(&mut self, now: Timestamp, wall_time: UnixMillis) -> Option<(ItemKey, PartialOutput)> {
         self.wake_delayed(now);
         let chosen = self
             .ready
             .iter()
             .find(|(due, key)| {
-                let done = self.items.get(key).and_then(|progress| progress.output.last_event).unwrap_or(0);
-                civil.0 + self.estimate.remaining(done).0 <= due.0
+                let done = self.items.get(key).and_then(|open_item| open_item.output.last_event).unwrap_or(0);
+                wall_time.0 + self.estimate.remaining(done).0 <= due.0
             })
             .or_else(|| self.ready.first())
             .cloned()?;
         self.ready.remove(&chosen);
-        let progress = self.items.get_mut(&chosen.1)?;
-        progress.phase = Phase::Running;
-        progress.started_at = now;
-        progress.started_after = progress.output.last_event.unwrap_or(0);
-        Some((chosen.1, std::mem::take(&mut progress.output)))
+        let open_item = self.items.get_mut(&chosen.1)?;
+        open_item.phase = Phase::Running;
+        open_item.started_at = now;
+        open_item.started_after = open_item.output.last_event.unwrap_or(0);
+        Some((chosen.1, std::mem::take(&mut open_item.output)))
     }
 
-    /// Puts running items in the order in which they should be paused: first those that can't be in time any more,
-    /// then those with the most time to spare. The ones that a pause would make late go last.
-    pub fn pause_order(&self, running: &mut [RunningItem], civil: UnixMillis) {
-        let spare = |item: &RunningItem| {
-            let due = self.items.get(&item.key).map_or(UnixMillis(0), |progress| progress.due);
-            let ends = civil.0 + self.estimate.remaining(item.events).0;
+    /// Sorts running items into the order in which they should be paused: first those that can no longer finish in
+    /// time, then those with the most slack, and last those that a pause would make late.
+    pub fn pause_order(&self, running: &mut [RunningItem], wall_time: UnixMillis) {
+        let slack = |item: &RunningItem| {
+            let due = self.items.get(&item.key).map_or(UnixMillis(0), |open_item| open_item.due);
+            let ends = wall_time.0 + self.estimate.remaining(item.events).0;
             due.0.checked_sub(ends).map(std::cmp::Reverse)
         };
-        running.sort_by_cached_key(|item| (spare(item), std::cmp::Reverse(item.run)));
+        running.sort_by_cached_key(|item| (slack(item), std::cmp::Reverse(item.run)));
     }
 
-    /// Which items at one worker to pause, so that `count` of them are leaving. Items that pause already count.
-    pub fn choose_pauses(&self, at_worker: Vec<RunningItem>, count: usize, civil: UnixMillis) -> Vec<ItemKey> {
+    /// Returns the items at one worker to pause so that `count` of them pause, including those that are already
+    /// pausing.
+    pub fn choose_pauses(&self, at_worker: Vec<RunningItem>, count: usize, wall_time: UnixMillis) -> Vec<ItemKey> {
         let (leaving, mut staying): (Vec<_>, Vec<_>) = at_worker.into_iter().partition(|item| item.is_pausing);
         let due = count.saturating_sub(leaving.len());
-        self.pause_order(&mut staying, civil);
+        self.pause_order(&mut staying, wall_time);
         staying.into_iter().take(due).map(|item| item.key).collect()
     }
 
-    /// Whether an item may run now.
+    /// Returns whether any item may run now.
     pub fn has_ready(&mut self, now: Timestamp) -> bool {
         self.wake_delayed(now);
         !self.ready.is_empty()
     }
 
-    /// Gives back an item that was taken and not sent.
+    /// Returns an item to the queue that was taken but not sent to a worker.
     pub fn requeue(&mut self, key: &ItemKey, output: PartialOutput) {
-        if let Some(progress) = self.items.get_mut(key) {
-            progress.output = output;
-            progress.phase = Phase::Ready;
-            self.ready.insert((progress.due, key.clone()));
+        if let Some(open_item) = self.items.get_mut(key) {
+            open_item.output = output;
+            open_item.phase = Phase::Ready;
+            self.ready.insert((open_item.due, key.clone()));
         }
     }
 
-    /// Gives back an item that was taken and is quarantined. It is looked at again in a while.
+    /// Returns a quarantined item to the queue, to be checked again after [`QUARANTINE_CHECK_INTERVAL`].
     pub fn delay_quarantined(&mut self, key: &ItemKey, output: PartialOutput, now: Timestamp) {
-        if let Some(progress) = self.items.get_mut(key) {
-            progress.output = output;
+        if let Some(open_item) = self.items.get_mut(key) {
+            open_item.output = output;
         }
         self.delay_until(key, now + QUARANTINE_CHECK_INTERVAL);
     }
 
-    /// A run ended. Returns whether a result is to be committed ([`Dispatcher::uncommitted_results`]).
+    /// Handles the end of a run. Returns whether there is a result to commit (see [`Dispatcher::uncommitted_results`]).
     pub fn run_ended(
         &mut self,
         key: &ItemKey,
@@ -201,54 +202,58 @@
         max_attempts: u32,
         now: Timestamp,
     ) -> bool {
-        let Some(progress) = self.items.get_mut(key) else { return false };
+        let Some(open_item) = self.items.get_mut(key) else { return false };
         let done = output.last_event.unwrap_or(0);
-        let made_progress = done > progress.started_after;
-        let whole = *end == RunEnd::Completed && progress.started_after == 0;
-        self.estimate.note(done.saturating_sub(progress.started_after), whole, now.since(progress.started_at));
-        progress.output = output;
+        let made_progress = done > open_item.started_after;
+        let is_complete = *end == RunEnd::Completed && open_item.started_after == 0;
+        self.estimate.record(
+            done.saturating_sub(open_item.started_after),
+            is_complete,
+            now.since(open_item.started_at),
+        );
+        open_item.output = output;
         match end {
             RunEnd::Completed => return self.finish(key, ItemState::Completed),
             RunEnd::Impossible => return self.finish(key, ItemState::GivenUp),
             RunEnd::Failed => {
-                progress.failures += 1;
-                if progress.failures >= max_attempts {
+                open_item.failures += 1;
+                if open_item.failures >= max_attempts {
                     return self.finish(key, ItemState::GivenUp);
                 }
                 self.failed.insert(key.clone());
             }
-            RunEnd::BrokenOff | RunEnd::Paused if made_progress => progress.delays = 0,
+            RunEnd::BrokenOff | RunEnd::Paused if made_progress => open_item.delays = 0,
             RunEnd::BrokenOff | RunEnd::NotRun | RunEnd::Paused => {}
         }
         self.delay(key, now);
         false
     }
 
-    /// Gives an item up: its route is gone, or its time.
+    /// Abandons an item whose route was removed or whose time limit has passed.
     pub fn give_up(&mut self, key: &ItemKey) -> bool {
         self.finish(key, ItemState::GivenUp)
     }
 
-    /// The commands for results that are not committed yet.
+    /// Returns commands for all results that are not yet committed.
     pub fn uncommitted_results(&self) -> Vec<JobCommand> {
         let command = |key: &ItemKey| {
-            let progress = self.items.get(key)?;
-            let Phase::Finished { state } = progress.phase else { return None };
-            let text = progress.output.text.get(progress.logged.bytes..).unwrap_or_default();
-            Some(JobCommand::Finish { key: key.clone(), state, after: progress.logged, text: Arc::from(text) })
+            let open_item = self.items.get(key)?;
+            let Phase::Finished { state } = open_item.phase else { return None };
+            let text = open_item.output.text.get(open_item.logged.bytes..).unwrap_or_default();
+            Some(JobCommand::Finish { key: key.clone(), state, after: open_item.logged, text: Arc::from(text) })
         };
         self.finished.iter().filter_map(command).collect()
     }
 
-    /// What a running item has put out beyond what the log has; `None` while that is little.
+    /// Returns the output of a running item that is not yet logged, or `None` while it is small.
     pub fn progress_of(&self, key: &ItemKey, output: &PartialOutput) -> Option<ItemProgress> {
         let logged = self.items.get(key)?.logged;
-        let is_much = output.last_event.unwrap_or(0) >= logged.last_event.unwrap_or(0) + PROGRESS_EVENTS;
-        let text = output.text.get(logged.bytes..).filter(|_| is_much)?;
+        let is_due = output.last_event.unwrap_or(0) >= logged.last_event.unwrap_or(0) + MIN_PROGRESS_EVENTS;
+        let text = output.text.get(logged.bytes..).filter(|_| is_due)?;
         Some(ItemProgress { key: key.clone(), after: logged, text: Arc::from(text), last_event: output.last_event })
     }
 
-    /// OpenItem was proposed: what follows goes on from there.
+    /// Records that progress was proposed. The next increment starts after it.
     pub fn progress_proposed(&mut self, progress: &ItemProgress) {
         if let Some(item) = self.items.get_mut(&progress.key) {
             let bytes = progress.after.bytes + progress.text.len();
@@ -256,7 +261,7 @@
         }
     }
 
-    /// Failed runs that the log doesn't have; `None` if there are none.
+    /// Returns the failed runs that are not yet logged, or `None` if there are none.
     pub fn unlogged_failures(&self) -> Option<Vec<ItemFailures>> {
         let count = |key: &ItemKey| {
             let failures = self.items.get(key)?.failures;
@@ -266,7 +271,7 @@
         (!failures.is_empty()).then_some(failures)
     }
 
-    /// Failed runs were proposed.
+    /// Records that failed runs were proposed.
     pub fn failures_proposed(&mut self, failures: &[ItemFailures]) {
         for item in failures {
             if self.failures(&item.key) == item.failures {
@@ -275,12 +280,13 @@
         }
     }
 
-    /// Items of a job that run, for a job that ended. The job is forgotten.
+    /// Removes the items of a job that ended, and returns those that are running.
     pub fn remove_job(&mut self, job: &JobKey) -> Vec<ItemKey> {
         let keys: Vec<ItemKey> = self.items.keys().filter(|key| key.job == *job).cloned().collect();
         let mut running = Vec::new();
         for key in keys {
-            let is_running = matches!(self.items.get(&key), Some(progress) if matches!(progress.phase, Phase::Running));
+            let is_running =
+                matches!(self.items.get(&key), Some(open_item) if matches!(open_item.phase, Phase::Running));
             if is_running {
                 running.push(key.clone());
             }
@@ -289,11 +295,11 @@
         running
     }
 
-    /// An item's result is committed.
+    /// Removes an item whose result is committed.
     pub fn remove(&mut self, key: &ItemKey) {
-        if let Some(progress) = self.items.remove(key) {
-            self.ready.remove(&(progress.due, key.clone()));
-            if let Phase::Delayed { until } = progress.phase {
+        if let Some(open_item) = self.items.remove(key) {
+            self.ready.remove(&(open_item.due, key.clone()));
+            if let Phase::Delayed { until } = open_item.phase {
                 self.delayed.remove(&(until, key.clone()));
             }
             self.finished.remove(key);
@@ -301,37 +307,37 @@
         }
     }
 
-    /// How many items have no result.
+    /// Returns the number of items without a result.
     pub fn open_count(&self) -> usize {
         self.items.len()
     }
 
-    /// How many runs of an item failed.
+    /// Returns the number of failed runs of an item.
     pub fn failures(&self, key: &ItemKey) -> u32 {
-        self.items.get(key).map_or(0, |progress| progress.failures)
+        self.items.get(key).map_or(0, |open_item| open_item.failures)
     }
 
     fn finish(&mut self, key: &ItemKey, state: ItemState) -> bool {
-        let Some(progress) = self.items.get_mut(key) else { return false };
+        let Some(open_item) = self.items.get_mut(key) else { return false };
         if state == ItemState::GivenUp {
-            progress.output = PartialOutput::default();
+            open_item.output = PartialOutput::default();
         }
-        self.ready.remove(&(progress.due, key.clone()));
-        progress.phase = Phase::Finished { state };
+        self.ready.remove(&(open_item.due, key.clone()));
+        open_item.phase = Phase::Finished { state };
         self.finished.insert(key.clone());
         true
     }
 
     fn delay(&mut self, key: &ItemKey, now: Timestamp) {
-        let Some(progress) = self.items.get_mut(key) else { return };
-        let until = now + RUN_BACKOFF.wait(progress.delays);
-        progress.delays += 1;
+        let Some(open_item) = self.items.get_mut(key) else { return };
+        let until = now + RUN_BACKOFF.wait(open_item.delays);
+        open_item.delays += 1;
         self.delay_until(key, until);
     }
 
     fn delay_until(&mut self, key: &ItemKey, until: Timestamp) {
-        if let Some(progress) = self.items.get_mut(key) {
-            progress.phase = Phase::Delayed { until };
+        if let Some(open_item) = self.items.get_mut(key) {
+            open_item.phase = Phase::Delayed { until };
             self.delayed.insert((until, key.clone()));
         }
     }
@@ -342,9 +348,9 @@
                 return;
             }
             self.delayed.pop_first();
-            if let Some(progress) = self.items.get_mut(&key) {
-                progress.phase = Phase::Ready;
-                self.ready.insert((progress.due, key));
+            if let Some(open_item) = self.items.get_mut(&key) {
+                open_item.phase = Phase::Ready;
+                self.ready.insert((open_item.due, key));
             }
         }
     }
--- a/crates/core/src/serving/jobs/dispatch/pacing.rs
+++ b/crates/core/src/serving/jobs/dispatch/pacing.rs
@@ -1,43 +1,42 @@
-//! When items are tried at all, and when the progress of running items is logged.
+//! Limits how often items are tried and how often the progress of running items is logged.
 
 use crate::time::{Millis, Timestamp};
 
-/// After an item found no worker with room, none is tried for this long, in milliseconds. The driver looks after every
-/// event, and each try looks at all ready items and all workers.
-const NO_ROOM_REST: Millis = Millis(15);
-/// The time between two rounds of logging what running items have put out, in milliseconds. A new leader loses as much
-/// output.
+/// The time without attempts after no worker had capacity for an item. Each attempt examines all ready items and all
+/// workers, and the caller attempts after every event.
+const NO_CAPACITY_BACKOFF: Millis = Millis(15);
+/// The interval at which the output of running items is logged. Bounds the output that is lost when the leader changes.
 const PROGRESS_INTERVAL: Millis = Millis(1_000);
 
-/// The rests between tries and between rounds of progress. They outlast a change of leadership.
+/// Schedules attempts and the logging of progress, independently of changes of leadership.
 #[derive(Clone, Copy, Debug)]
 pub struct ItemPacing {
-    /// No item is tried before, since no worker had room.
-    no_room_until: Timestamp,
-    last_progress: Timestamp,
+    /// No item is tried before this time because no worker had capacity.
+    no_capacity_until: Timestamp,
+    last_progress_log: Timestamp,
 }
 
 impl ItemPacing {
-    /// Items may be tried from `now` on; the first progress is due an interval later.
+    /// Allows attempts from `now` on, and schedules the first logging one interval later.
     pub fn new(now: Timestamp) -> Self {
-        Self { no_room_until: now, last_progress: now }
+        Self { no_capacity_until: now, last_progress_log: now }
     }
 
-    /// Whether items may be tried.
+    /// Returns whether items may be tried.
     pub fn may_start(&self, now: Timestamp) -> bool {
-        now >= self.no_room_until
+        now >= self.no_capacity_until
     }
 
-    /// No worker had room for an item.
+    /// Records that no worker had capacity for an item.
     pub fn record_no_capacity(&mut self, now: Timestamp) {
-        self.no_room_until = now + NO_ROOM_REST;
+        self.no_capacity_until = now + NO_CAPACITY_BACKOFF;
     }
 
-    /// Whether a round of progress is due. If so, the next one is due an interval from now.
+    /// Returns whether progress is due to be logged, and if so schedules the next time.
     pub fn poll_progress(&mut self, now: Timestamp) -> bool {
-        let is_due = now.since(self.last_progress) >= PROGRESS_INTERVAL;
+        let is_due = now.since(self.last_progress_log) >= PROGRESS_INTERVAL;
         if is_due {
-            self.last_progress = now;
+            self.last_progress_log = now;
         }
         is_due
     }
--- a/crates/core/src/serving/jobs/dispatch/run_end.rs
+++ b/crates/core/src/serving/jobs/dispatch/run_end.rs
@@ -1,43 +1,43 @@
-//! What a worker's answer to a batch item, or its silence, means for the item.
+//! The meaning of a worker's answer to a batch item, or of its absence.
 
 use crate::serving::online::attempt::AttemptEnd;
 use crate::time::Millis;
 
-/// How long the first event of a run is waited for, in milliseconds. Frees an item whose worker fell silent.
+/// The timeout for the first event of a run, after which the item is freed from an unresponsive worker.
 pub const FIRST_EVENT_TIMEOUT: Millis = Millis(2_500);
-/// How long each further event of a run is waited for, in milliseconds. The same within a stream.
+/// The timeout for each further event of a run.
 pub const EVENT_TIMEOUT: Millis = Millis(1_500);
 
-/// How a run of an item ended.
+/// The way in which a run of an item ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The whole output came.
+    /// The output is complete.
     Completed,
-    /// The worker says that the item can never be done.
+    /// The worker reported that the item can never be processed.
     Impossible,
-    /// The worker failed the item.
+    /// The worker reported a failure.
     Failed,
-    /// The run broke off; what came so far is kept.
+    /// The connection broke or the worker stopped responding. The output so far is retained.
     BrokenOff,
-    /// The run was stopped for online requests; what came so far is kept.
+    /// The run was stopped in favor of online requests. The output so far is retained.
     Paused,
     /// The item did not run.
     NotRun,
 }
 
 impl RunEnd {
-    /// What the status of a worker's answer means. `None` if the item's output follows.
+    /// Classifies the HTTP status of a worker's answer. Returns `None` if the output follows.
     pub fn from_status(status: u16) -> Option<Self> {
         match status {
             200..=299 => None,
-            // Unprocessable content: by this a worker says that the request can never be done.
+            // 422 Unprocessable Content: the worker can never process the request.
             422 => Some(Self::Impossible),
             _ => Some(Self::Failed),
         }
     }
 
-    /// What an attempt that brought no answer means. Nothing is known of an attempt that broke or fell silent, so it
-    /// counts as a run; one that surely did not begin does not.
+    /// Classifies an attempt without an answer. The item may have run if the attempt broke or timed out, so such an
+    /// attempt counts as a run, unlike one that certainly did not start.
     pub fn from_attempt(end: AttemptEnd) -> Self {
         match end {
             AttemptEnd::NotConnected | AttemptEnd::NotRun { .. } => Self::NotRun,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A short name, for figures.
+    /// Returns the name that is used as a metric label.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Completed => "completed",
--- a/crates/core/src/serving/jobs/dispatch/run_estimate.rs
+++ b/crates/core/src/serving/jobs/dispatch/run_estimate.rs
@@ -1,20 +1,19 @@
-//! How long a run of an item is expected to take.
+//! Estimates the duration of item runs.
 
 use crate::time::Millis;
 
-/// The share of a new run in the means. The expected run goes by some ten runs.
-const WEIGHT: f64 = 0.1;
+/// The weight of a new run in the moving averages, which thus reflect about the last ten runs.
+const NEW_RUN_WEIGHT: f64 = 0.1;
 
-/// How long whole runs take, from those that ended, so that an item that can't be in time any more is
-/// known early.
+/// Estimates the duration of complete runs, to detect items that can no longer finish in time.
 ///
-/// The first run sets the means, each later one has [`WEIGHT`]. The means of [`crate::moving_mean`] weigh the first runs
-/// otherwise, which would choose other items.
+/// The first run sets the averages, and later runs have the weight [`NEW_RUN_WEIGHT`]. [`crate::moving_mean`] weights
+/// the first runs differently, which would change the order of items.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RunEstimate {
-    /// Events in a whole output.
+    /// The average number of events in a complete output.
     events: f64,
-    /// Milliseconds for each event.
+    /// The average time per event in milliseconds.
     ms_per_event: f64,
 }
 
@@ -25,22 +24,22 @@
 }
 
 impl RunEstimate {
-    /// Notes a run that put out `events` events in `took`.
-    pub(super) fn note(&mut self, events: u64, is_whole: bool, took: Millis) {
+    /// Records a run that produced `events` events in `duration`.
+    pub(super) fn record(&mut self, events: u64, is_complete: bool, duration: Millis) {
         if events == 0 {
             return;
         }
         let is_first = self.ms_per_event == 0.0;
-        let ms_per_event = took.0 as f64 / events as f64;
-        let weight = if is_first { 1.0 } else { WEIGHT };
+        let ms_per_event = duration.0 as f64 / events as f64;
+        let weight = if is_first { 1.0 } else { NEW_RUN_WEIGHT };
         self.ms_per_event += (ms_per_event - self.ms_per_event) * weight;
-        if is_whole {
-            let weight = if self.events == 1.0 { 1.0 } else { WEIGHT };
+        if is_complete {
+            let weight = if self.events == 1.0 { 1.0 } else { NEW_RUN_WEIGHT };
             self.events += (events as f64 - self.events) * weight;
         }
     }
 
-    /// How long an item with so many events behind it still takes.
+    /// Returns the expected remaining duration of an item that has produced `events_done` events.
     pub(super) fn remaining(&self, events_done: u64) -> Millis {
         Millis(((self.events - events_done as f64).max(0.0) * self.ms_per_event) as u64)
     }
--- a/crates/core/src/serving/jobs/dispatch/start.rs
+++ b/crates/core/src/serving/jobs/dispatch/start.rs
@@ -1,4 +1,4 @@
-//! Whether an item whose turn it is runs, waits or is given up.
+//! Decides whether an item runs, waits or is abandoned.
 
 use std::sync::Arc;
 
@@ -9,55 +9,54 @@
 use crate::serving::regions::AllowedRegions;
 use crate::time::{Millis, UnixMillis};
 
-/// An item is given up this long after its route allows it, in milliseconds: its age goes by the clocks of two nodes.
+/// The time after its route's limit at which an item is abandoned, as a margin for differences between clocks.
 const GIVE_UP_MARGIN: Millis = Millis(10_000);
-/// Most failed runs of an item whose route is gone: the route's own limit isn't known any more.
-const DEFAULT_ATTEMPTS: u32 = 3;
+/// The maximum number of failed runs of an item whose route was removed.
+const DEFAULT_MAX_ATTEMPTS: u32 = 3;
 
-/// An item that is to run.
+/// An item to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemStart {
-    /// The item.
+    /// The item as submitted.
     pub item: JobItem,
-    /// The host that its job came to.
+    /// The host that the job was addressed to.
     pub host: Arc<str>,
-    /// On whose behalf it runs.
+    /// The caller on whose behalf the item runs.
     pub identity: CallerIdentity,
-    /// Its route.
+    /// The route of the item.
     pub route: Arc<Route>,
-    /// Where it may run.
+    /// The regions in which the item may run.
     pub regions: AllowedRegions,
 }
 
-/// What becomes of an item whose turn it is.
+/// The decision on an item that is next in the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StartDecision {
-    /// It runs if a worker has room.
+    /// The item runs if a worker has capacity.
     Start(ItemStart),
-    /// Its route is gone, or its time is up.
+    /// The route was removed, or the time limit has passed.
     GiveUp,
-    /// This node's configuration is older than the one that the job was taken under: its route may be yet to come.
+    /// The configuration of this node is older than that of the submission, so the route may still arrive.
     AwaitConfiguration,
-    /// The table has no such item, and it is to be dropped. No order of events is known to lead here: what takes an item
-    /// from the table takes it from the dispatcher too, and a table is replaced by a snapshot before its replica leads.
-    /// An item that was kept would count as running until leadership changes.
+    /// The table has no such item. Guards against an item that would count as running until leadership changes;
+    /// normally the dispatcher removes an item together with the table.
     Unknown,
 }
 
-/// Decides on the item at a place of a job. `civil` is the time of day, which submissions are stamped with.
+/// Decides whether to start the item at `index` of a job. `wall_time` is comparable to the submission times of jobs.
 pub fn decide_start(
     job: Option<&Job>,
-    place: u32,
+    index: u32,
     configuration: &GatewayConfiguration,
-    civil: UnixMillis,
+    wall_time: UnixMillis,
 ) -> StartDecision {
     let Some(submission) = job.map(|job| &job.submission) else { return StartDecision::Unknown };
-    let Some(item) = submission.items.get(place as usize) else { return StartDecision::Unknown };
+    let Some(item) = submission.items.get(index as usize) else { return StartDecision::Unknown };
     let Some(route) = configuration.route_for(&submission.host, &item.path) else {
-        let is_known_gone = configuration.version >= submission.configuration_version;
-        return if is_known_gone { StartDecision::GiveUp } else { StartDecision::AwaitConfiguration };
+        let is_removed = configuration.version >= submission.configuration_version;
+        return if is_removed { StartDecision::GiveUp } else { StartDecision::AwaitConfiguration };
     };
-    let age = Millis(civil.0.saturating_sub(submission.received_at.0));
+    let age = Millis(wall_time.0.saturating_sub(submission.received_at.0));
     if route.give_up_after.is_some_and(|limit| age > limit + GIVE_UP_MARGIN) {
         return StartDecision::GiveUp;
     }
@@ -70,13 +69,13 @@
     })
 }
 
-/// How many runs of a job's items may fail before an item is given up.
+/// Returns the number of failed runs after which an item of the job is abandoned.
 pub fn max_attempts(job: Option<&Job>, configuration: Option<&GatewayConfiguration>) -> u32 {
     let route = job.and_then(|job| configuration?.route_named(&job.submission.route));
-    route.map_or(DEFAULT_ATTEMPTS, |route| route.max_attempts.max(1))
+    route.map_or(DEFAULT_MAX_ATTEMPTS, |route| route.max_attempts.max(1))
 }
 
-/// On whose behalf the items of a job run. That outlives the tenant's keys, and the tenant itself.
+/// Returns the caller on whose behalf the items of a job run, even if the tenant or its keys were removed since.
 fn identity_of(submission: &Submission, configuration: &GatewayConfiguration) -> CallerIdentity {
     match &submission.tenant {
         Some(tenant) => CallerIdentity::Tenant(tenant.clone()),
--- a/crates/core/src/serving/jobs/load_aggregator.rs
+++ b/crates/core/src/serving/jobs/load_aggregator.rs
@@ -1,13 +1,13 @@
-//! The online requests of all nodes, gathered at the table's leader.
+//! Aggregates the online requests of all gateways at the leader of the job table.
 //!
-//! Each gateway reports its own requests at each worker a few times a second and gets those of all
-//! others. So nodes don't choose the same worker, and batch items stay out of the way.
+//! Each gateway reports its own requests at each worker several times per second and receives those of all others. This
+//! keeps gateways from choosing the same worker, and batch items away from busy workers.
 //!
-//! Where there are many gateways, a storing node of each zone aggregates for the zone: it reports to the leader the sums
-//! over its gateways, and keeps what it gets of all other zones as the report of one more node.
+//! In large fleets a storage node in each zone aggregates the reports of the zone: it sends the sums over its gateways
+//! to the leader, and stores what it receives about all other zones like the report of one more node.
 //!
-//! The sums over all nodes are kept, not made anew for each node that reports: with `n` nodes that would be
-//! work of `n * n` a round.
+//! The sums over all nodes are updated incrementally. Computing them for each report would take time quadratic in the
+//! number of nodes.
 
 use std::collections::BTreeMap;
 
@@ -15,60 +15,60 @@
 use crate::serving::workers::{LoadReport, WorkerCount, WorkerId, WorkerReport};
 use crate::time::{Millis, Timestamp};
 
-/// What a node reported is believed for this long, in milliseconds. A gateway that is gone doesn't count for longer.
-const LIFETIME: Millis = Millis(1_000);
-/// The sums are made anew after this long, in milliseconds, without what is believed no longer. Saves the leader's
-/// processor.
+/// The time after which a report expires. Bounds how long a stopped gateway still counts.
+const REPORT_LIFETIME: Millis = Millis(1_000);
+/// The interval at which the sums are rebuilt without expired reports. Limits the CPU time of the leader.
 const REBUILD_INTERVAL: Millis = Millis(100);
 
-/// Stands for the table's leader among the nodes that report to an aggregator of a zone. No node has this identity.
-const LEADER: NodeId = NodeId(0);
+/// Represents the leader of the table among the nodes that report to the aggregator of a zone. No real node has this
+/// id.
+const LEADER_ID: NodeId = NodeId(0);
 
 #[derive(Debug)]
 struct StoredReport {
     report: LoadReport,
-    at: Timestamp,
+    received_at: Timestamp,
 }
 
 impl StoredReport {
-    /// How many gateways it is of.
+    /// Returns the number of gateways that the report covers.
     fn nodes(&self) -> u32 {
         self.report.nodes.max(1)
     }
 
-    /// When the gateways reported it, weighted by the requests that they placed.
+    /// Returns the time at which the gateways reported, weighted by the requests that they placed.
     fn weighted_time(&self) -> u64 {
-        let reported_at = self.at.as_millis().saturating_sub(self.report.age.0);
+        let reported_at = self.received_at.as_millis().saturating_sub(self.report.age.0);
         reported_at * u64::from(self.report.placed_per_s)
     }
 }
 
-/// What all reporters together say of one worker.
+/// The sums over all reports for one worker.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
     requests: u32,
     self_reported: Option<u32>,
-    failing: u32,
+    ejecting_nodes: u32,
     batch: u32,
 }
 
 impl Total {
     fn report(&self, worker: &WorkerId, requests: u32) -> WorkerReport {
-        let Self { self_reported, failing, batch, .. } = *self;
-        WorkerReport { worker: worker.clone(), requests, self_reported, ejected_by: failing, batch }
+        let Self { self_reported, ejecting_nodes, batch, .. } = *self;
+        WorkerReport { worker: worker.clone(), requests, self_reported, ejected_by: ejecting_nodes, batch }
     }
 }
 
-/// How many gateways there are.
+/// The number of gateways, by their reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GatewayCount {
-    /// Their reports reach this node, or one that reports to it.
+    /// Gateways whose reports reach this node directly or through an aggregator.
     pub reachable: u32,
-    /// As one of them knows, those out of reach included.
+    /// Gateways known to any of the reporting gateways, including unreachable ones.
     pub known: u32,
 }
 
-/// What all reporters together say.
+/// The sums over all reports.
 #[derive(Debug, Default)]
 struct Totals {
     workers: BTreeMap<WorkerId, Total>,
@@ -86,13 +86,13 @@
         for worker in &stored.report.workers {
             let total = self.workers.entry(worker.worker.clone()).or_default();
             total.requests += worker.requests;
-            total.failing += worker.ejected_by;
+            total.ejecting_nodes += worker.ejected_by;
             total.batch += worker.batch;
             total.self_reported = total.self_reported.max(worker.self_reported);
         }
     }
 
-    /// The sums as one node's report.
+    /// Returns the sums as the report of a single node.
     fn report(&self, now: Timestamp) -> LoadReport {
         let workers = self.workers.iter().map(|(worker, total)| total.report(worker, total.requests)).collect();
         let reported_at = self.weighted_time.checked_div(u64::from(self.placed_per_s));
@@ -100,7 +100,7 @@
         LoadReport { workers, placed_per_s: self.placed_per_s, nodes: self.nodes, age, ..LoadReport::default() }
     }
 
-    /// Takes back what a node reported. The workers' own figures stay until the sums are made anew.
+    /// Subtracts a report. Loads that the workers reported themselves stay until the next rebuild.
     fn subtract(&mut self, stored: &StoredReport) {
         self.placed_per_s = self.placed_per_s.saturating_sub(stored.report.placed_per_s);
         self.nodes = self.nodes.saturating_sub(stored.nodes());
@@ -108,14 +108,14 @@
         for worker in &stored.report.workers {
             if let Some(total) = self.workers.get_mut(&worker.worker) {
                 total.requests = total.requests.saturating_sub(worker.requests);
-                total.failing = total.failing.saturating_sub(worker.ejected_by);
+                total.ejecting_nodes = total.ejecting_nodes.saturating_sub(worker.ejected_by);
                 total.batch = total.batch.saturating_sub(worker.batch);
             }
         }
     }
 }
 
-/// What the gateways reported.
+/// The reports of all gateways, and their sums.
 #[derive(Debug, Default)]
 pub struct LoadAggregator {
     nodes: BTreeMap<NodeId, StoredReport>,
@@ -124,34 +124,34 @@
 }
 
 impl LoadAggregator {
-    /// A node reported its requests.
+    /// Records the report of a node, replacing its earlier one.
     pub fn record_report(&mut self, node: NodeId, report: LoadReport, now: Timestamp) {
-        let stored = StoredReport { report, at: now };
+        let stored = StoredReport { report, received_at: now };
         self.totals.add(&stored);
         if let Some(earlier) = self.nodes.insert(node, stored) {
             self.totals.subtract(&earlier);
         }
     }
 
-    /// The leader answered this aggregator of a zone with the loads of all other zones, and batch.
+    /// Records the leader's answer to this zone's aggregator: the loads of all other zones, and of batch items.
     pub fn apply_leader_report(&mut self, report: LoadReport, now: Timestamp) {
-        self.record_report(LEADER, report, now);
+        self.record_report(LEADER_ID, report, now);
     }
 
-    /// What this aggregator of a zone reports to the leader: the sums over its gateways. What the workers reported to the
-    /// leader is left out, or it would go round for ever. `None` if no gateway reported to this node of late.
+    /// Returns the sums over this zone's gateways as a report to the leader, or `None` if no gateway has reported
+    /// recently. Excludes what the leader reported, which would otherwise circulate forever.
     pub fn zone_report(&mut self, now: Timestamp) -> Option<LoadReport> {
         self.refresh(now);
         let mut totals = Totals::default();
-        for (_, stored) in self.nodes.iter().filter(|(node, _)| **node != LEADER) {
+        for (_, stored) in self.nodes.iter().filter(|(node, _)| **node != LEADER_ID) {
             totals.add(stored);
         }
         let has_gateways = totals.nodes > 0;
         has_gateways.then(|| LoadReport { reporters: self.known_gateways(), ..totals.report(now) })
     }
 
-    /// What all nodes but one reported, with the requests of `batch` added. What the workers themselves reported
-    /// counts from every node.
+    /// Returns the sums over all nodes except `node`, plus the requests of `batch`. Loads that the workers reported
+    /// themselves count from every node.
     pub fn report_for(&mut self, node: NodeId, batch: &[WorkerCount], now: Timestamp) -> LoadReport {
         self.refresh(now);
         let own = self.nodes.get(&node).map(|stored| &stored.report.workers);
@@ -176,38 +176,38 @@
         LoadReport { workers, reporters, ..rest.report(now) }
     }
 
-    /// Online requests at each worker, of all nodes.
+    /// Returns the number of online requests of all nodes at each worker.
     pub fn online_requests(&mut self, now: Timestamp) -> Vec<WorkerCount> {
         self.refresh(now);
         let busy = self.totals.workers.iter().filter(|(_, total)| total.requests > 0);
         busy.map(|(worker, total)| WorkerCount { worker: worker.clone(), requests: total.requests }).collect()
     }
 
-    /// Online requests that all nodes place in a second.
+    /// Returns the number of online requests that all nodes place per second.
     pub fn placed_per_s(&mut self, now: Timestamp) -> u32 {
         self.refresh(now);
         self.totals.placed_per_s
     }
 
-    /// How many gateways there are, by their reports.
+    /// Returns the number of gateways, by their reports.
     pub fn gateways(&mut self, now: Timestamp) -> GatewayCount {
         self.refresh(now);
         GatewayCount { reachable: self.totals.nodes, known: self.known_gateways() }
     }
 
     fn known_gateways(&self) -> u32 {
-        let gateways = self.nodes.iter().filter(|(node, _)| **node != LEADER);
+        let gateways = self.nodes.iter().filter(|(node, _)| **node != LEADER_ID);
         gateways.map(|(_, stored)| stored.report.reporters).max().unwrap_or(0)
     }
 
-    /// Workers that are reported dead.
+    /// Returns the workers that enough nodes report as failed.
     pub fn failed_workers(&mut self, now: Timestamp) -> Vec<WorkerId> {
         self.refresh(now);
         let reports = self.totals.workers.iter().map(|(worker, total)| total.report(worker, total.requests));
         reports.filter(WorkerReport::should_eject).map(|report| report.worker).collect()
     }
 
-    /// Forgets everything: this node leads no longer.
+    /// Drops all reports because this node no longer leads.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
@@ -217,7 +217,7 @@
             return;
         }
         self.rebuilt_at = now;
-        self.nodes.retain(|_, stored| now.since(stored.at) < LIFETIME);
+        self.nodes.retain(|_, stored| now.since(stored.received_at) < REPORT_LIFETIME);
         self.totals = Totals::default();
         for stored in self.nodes.values() {
             self.totals.add(stored);
--- a/crates/core/src/serving/jobs/members.rs
+++ b/crates/core/src/serving/jobs/members.rs
@@ -1,7 +1,8 @@
-//! Who should hold the job table: lost members are replaced, machines are drained by order, and a group
-//! of two is kept able to lose one.
+//! Membership of the job table's group: replaces lost members, drains machines on request, and keeps a group of two
+//! able to lose one member.
 //!
-//! Every replica has one of these; [`MembershipPlanner::plan`] says what is due, and a driver carries it out.
+//! Each replica has its own [`MembershipPlanner`]. [`MembershipPlanner::plan`] returns the actions that are due, and
+//! the caller carries them out.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,26 +16,25 @@
 };
 use crate::time::{Millis, Timestamp};
 
-/// A member that has not answered for this long is replaced where there is a spare, in milliseconds. One that restarts
-/// is not replaced at once.
-const LOST_AFTER: Millis = Millis(2_200);
-/// A spare that was not in contact for this long is not chosen, in milliseconds. A dead one isn't taken in.
-const SPARE_CONTACT_WITHIN: Millis = Millis(1_500);
-/// The time between two plans, in milliseconds. Saves processor time.
-const INTERVAL: Millis = Millis(100);
-/// A member of a pair counts as lost once it was not in contact for this long, in milliseconds. A survivor is named
-/// only once the other is surely gone.
-const PAIR_LOST_AFTER: Millis = Millis(3_500);
+/// A member that has not answered for this long is replaced if there is a spare. Long enough for a restart.
+const MEMBER_TIMEOUT: Millis = Millis(2_200);
+/// A spare is added to the group only if it was in contact within this time.
+const SPARE_CONTACT_TIMEOUT: Millis = Millis(1_500);
+/// The interval between two plans. Limits the CPU time of planning.
+const PLAN_INTERVAL: Millis = Millis(100);
+/// A member of a pair is considered lost after this time without contact. Longer than for larger groups, because the
+/// survivor continues alone.
+const PAIR_MEMBER_TIMEOUT: Millis = Millis(3_500);
 
-/// The time between two join requests of a spare, in milliseconds. The leader learns of a spare this soon.
+/// The interval between two join requests of a ready spare.
 const JOIN_INTERVAL: Millis = Millis(400);
-/// Spares of each zone that ask at that interval.
-const READY_SPARES: usize = 4;
-/// The time between two join requests of all other spares, in milliseconds: they take the place of ready ones that are
-/// gone, and cost the leader little however many they are.
+/// The number of spares in each zone that send join requests at the short interval.
+const MAX_READY_SPARES: usize = 4;
+/// The interval between two join requests of all other spares, which replace ready spares that are gone. Keeps the load
+/// of the leader low in large fleets.
 const RESERVE_JOIN_INTERVAL: Millis = Millis(4_000);
 
-/// The place of a storing node among those of its zone, as all nodes rank them.
+/// Returns the rank of a storage node among those of its zone. All nodes compute the same ranking.
 pub fn spare_rank(directory: &StorageDirectory, zone: &str, own: NodeId) -> usize {
     let key = hash_bytes(zone.as_bytes());
     let own_weight = rendezvous_weight(key, own.0);
@@ -42,148 +42,149 @@
     in_zone.filter(|record| rendezvous_weight(key, record.node.0) < own_weight).count()
 }
 
-/// How many voters bear the loss of `tolerated` of them: what a majority holds is then still held by a
-/// majority's worth of the rest.
+/// Returns the number of voters required to tolerate the loss of `tolerated` of them. Data stored by a majority then
+/// survives on at least one of the rest.
 pub fn voters_tolerating(tolerated: usize) -> usize {
     2 * tolerated + 1
 }
 
-/// Whether a group of that many voters goes on with all that it acknowledged after the loss of `tolerated`
-/// of them. Of a pair either member may go on alone ([`super::pair`]).
+/// Returns whether a group with this number of voters retains all acknowledged data and continues after the loss of
+/// `tolerated` of them. Either member of a pair may continue alone (see [`super::pair`]).
 fn tolerates_losses(voters: usize, tolerated: usize) -> bool {
     let is_pair = voters == 2 && tolerated == 1;
     is_pair || voters >= voters_tolerating(tolerated)
 }
 
-/// How far the draining of a machine is.
+/// The progress of draining a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainState {
-    /// Copies are being made elsewhere.
+    /// Replicas are being created elsewhere.
     InProgress,
-    /// The machine holds nothing that is needed.
+    /// The machine can be removed without loss of data.
     Completed,
 }
 
-/// Something that is due.
+/// An action that is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
-    /// Change one member.
+    /// Changes one member.
     Change(MembershipChange),
-    /// Hand leadership to a member.
+    /// Transfers leadership to another member.
     TransferLeadership(NodeId),
-    /// Write the pair's record if the store's revision of it is still this one.
+    /// Writes the record of the pair if its revision in the store is unchanged.
     WritePair {
-        /// The record.
+        /// The record to write.
         record: PairRecord,
-        /// The revision.
+        /// The expected revision.
         revision: u64,
     },
-    /// Go on as the only voter: the store says so.
+    /// Continues as the only voter, as decided by the metadata store.
     ContinueAlone,
-    /// Report to the operator how far the draining of a machine is.
+    /// Reports the progress of draining a machine to the operator.
     ReportDrain {
-        /// The machine.
+        /// The name of the machine.
         machine: Arc<str>,
-        /// How far it is.
+        /// The progress of the drain.
         state: DrainState,
     },
 }
 
-/// What one replica knows of the others, and what it has reported.
+/// Plans the changes of membership for one replica, from its contacts with other nodes and the requested drains.
 #[derive(Clone, Debug)]
 pub struct MembershipPlanner {
     own: NodeId,
-    /// Losses of disks that must be borne at once.
+    /// The number of disks that may be lost at the same time.
     tolerated: usize,
     started_at: Timestamp,
-    looked_at: Timestamp,
+    planned_at: Timestamp,
     last_join: Timestamp,
     last_contact: BTreeMap<NodeId, Timestamp>,
     drains: BTreeMap<Arc<str>, Option<DrainState>>,
     pair: StoredPair,
-    pair_write_under_way: bool,
+    pair_write_in_progress: bool,
 }
 
 impl MembershipPlanner {
-    /// Knows nothing of the others yet. The group should bear the loss of `tolerated` disks at once.
+    /// Creates a planner without any contacts. The group should tolerate the loss of `tolerated` disks at the same
+    /// time.
     pub fn new(own: NodeId, tolerated: usize, now: Timestamp) -> Self {
         Self {
             own,
             tolerated,
             started_at: now,
-            looked_at: now,
+            planned_at: now,
             last_join: now,
             last_contact: BTreeMap::new(),
             drains: BTreeMap::new(),
             pair: StoredPair::default(),
-            pair_write_under_way: false,
+            pair_write_in_progress: false,
         }
     }
 
-    /// Another node was in contact.
+    /// Records that another node was in contact.
     pub fn record_contact(&mut self, node: NodeId, now: Timestamp) {
         self.last_contact.insert(node, now);
     }
 
-    /// The operator wants a machine drained.
+    /// Requests that a machine be drained.
     pub fn drain(&mut self, machine: Arc<str>) {
         self.drains.entry(machine).or_insert(None);
     }
 
-    /// The store has this as the pair's record.
+    /// Applies the record of the pair as read from the store.
     pub fn apply_pair_record(&mut self, pair: StoredPair) {
-        self.pair.take(pair);
+        self.pair.update(pair);
     }
 
-    /// A write of the pair's record ended; `read` is the record after it, if known.
+    /// Finishes a write of the record of the pair. `read` is the record after the write, if known.
     pub fn finish_pair_write(&mut self, read: Option<StoredPair>) {
-        self.pair_write_under_way = false;
+        self.pair_write_in_progress = false;
         if let Some(pair) = read {
-            self.pair.take(pair);
+            self.pair.update(pair);
         }
     }
 
-    /// Whether a join request is due: this node is outside the membership, or knows no leader. If so, the next one is
-    /// due an interval from now.
-    /// `rank` is the node's place among the storing nodes of its zone: the leader needs to know of a few spares only.
+    /// Returns whether a join request is due because this node is not a member or knows no leader, and if so schedules
+    /// the next one. `rank` is the node's rank among the storage nodes of its zone: only a few spares send requests at
+    /// the short interval.
     pub fn poll_join(&mut self, replica: &Replica, rank: usize, now: Timestamp) -> bool {
-        let belongs = replica.membership().contains(self.own) && replica.leader().is_some();
-        let is_ready = rank < READY_SPARES || replica.membership().contains(self.own);
+        let has_joined = replica.membership().contains(self.own) && replica.leader().is_some();
+        let is_ready = rank < MAX_READY_SPARES || replica.membership().contains(self.own);
         let interval = if is_ready { JOIN_INTERVAL } else { RESERVE_JOIN_INTERVAL };
-        let is_due = !belongs && now.since(self.last_join) >= interval;
+        let is_due = !has_joined && now.since(self.last_join) >= interval;
         if is_due {
             self.last_join = now;
         }
         is_due
     }
 
-    /// What is due now. Only a node that `may_hold` the table is taken in.
+    /// Returns the actions that are due. Only nodes for which `is_eligible` returns true are added to the group.
     pub fn plan(
         &mut self,
         replica: &Replica,
         leads: bool,
         directory: &StorageDirectory,
-        may_hold: impl Fn(&StorageRecord) -> bool,
+        is_eligible: impl Fn(&StorageRecord) -> bool,
         now: Timestamp,
     ) -> Vec<MembershipAction> {
-        if now.since(self.looked_at) < INTERVAL {
+        if now.since(self.planned_at) < PLAN_INTERVAL {
             return Vec::new();
         }
-        self.looked_at = now;
+        self.planned_at = now;
         if leads {
-            self.plan_as_leader(replica, directory, may_hold, now)
+            self.plan_as_leader(replica, directory, is_eligible, now)
         } else {
             self.plan_as_survivor(replica, directory, now)
         }
     }
 
-    /// A caught-up voter that could lead in this node's place.
+    /// Returns a caught-up voter that could take over leadership.
     pub fn successor(&self, replica: &Replica) -> Option<NodeId> {
-        self.successor_but(replica, &BTreeSet::new())
+        self.successor_excluding(replica, &BTreeSet::new())
     }
 
-    /// The same, outside of `drained`.
-    fn successor_but(&self, replica: &Replica, drained: &BTreeSet<NodeId>) -> Option<NodeId> {
+    /// Returns a caught-up voter that could take over leadership and is not in `drained`.
+    fn successor_excluding(&self, replica: &Replica, drained: &BTreeSet<NodeId>) -> Option<NodeId> {
         let voters = replica.membership().voters.iter().copied();
         let mut others = voters.filter(|voter| *voter != self.own && !drained.contains(voter));
         others.find(|voter| self.is_caught_up(replica, *voter))
@@ -193,21 +194,21 @@
         &mut self,
         replica: &Replica,
         directory: &StorageDirectory,
-        may_hold: impl Fn(&StorageRecord) -> bool,
+        is_eligible: impl Fn(&StorageRecord) -> bool,
         now: Timestamp,
     ) -> Vec<MembershipAction> {
         let membership = replica.membership();
         let drained = self.drained_nodes(directory);
-        // A member that is to be drained as well would hand leadership back at once, and so on. Until another one can take
-        // over, this node leads on and replaces the others.
+        // A successor that is to be drained too would hand leadership back at once, so this node keeps it and replaces
+        // the other members until another successor has caught up.
         if drained.contains(&self.own)
             && membership.voters.contains(&self.own)
-            && let Some(target) = self.successor_but(replica, &drained)
+            && let Some(target) = self.successor_excluding(replica, &drained)
         {
             return vec![MembershipAction::TransferLeadership(target)];
         }
         let mut actions = Vec::new();
-        let step = self.next_step(replica, directory, &drained, may_hold, now);
+        let step = self.next_step(replica, directory, &drained, is_eligible, now);
         let changes_voters = matches!(step, Some(MembershipChange::Promote(_) | MembershipChange::Remove(_)));
         actions.extend(self.pair_write(replica, true, changes_voters, false));
         if changes_voters && !self.pair.allows_change(membership, replica.log().membership_index()) {
@@ -223,16 +224,16 @@
         replica: &Replica,
         directory: &StorageDirectory,
         drained: &BTreeSet<NodeId>,
-        may_hold: impl Fn(&StorageRecord) -> bool,
+        is_eligible: impl Fn(&StorageRecord) -> bool,
         now: Timestamp,
     ) -> Option<MembershipChange> {
         let membership = replica.membership();
-        // This node is replaced by whoever leads after it.
+        // This node is replaced by the next leader.
         let is_drained = |node: &NodeId| *node != self.own && drained.contains(node);
         let candidates: Vec<StoreCandidate> = directory
             .records()
-            .filter(|record| !drained.contains(&record.node) && self.is_there(record.node, now))
-            .filter(|record| may_hold(record))
+            .filter(|record| !drained.contains(&record.node) && self.is_reachable(record.node, now))
+            .filter(|record| is_eligible(record))
             .map(|record| StoreCandidate { node: record.node, zone: record.zone.clone() })
             .collect();
         let health: Vec<ReplicaHealth> = membership
@@ -252,14 +253,14 @@
             candidates: &candidates,
         };
         let step = plan_repair(&input).map(|step| step.0);
-        // Where no spare takes an drained machine's place, the others go on without it if they are enough.
+        // Without a spare to replace a drained machine, the group shrinks if the remaining voters are enough.
         let may_shrink = tolerates_losses(membership.voters.len().saturating_sub(1), self.tolerated);
         let drained_voter = || membership.voters.iter().copied().find(|voter| may_shrink && is_drained(voter));
         let removal = || drained_voter().filter(|_| membership.learners.is_empty()).map(MembershipChange::Remove);
         step.or_else(removal)
     }
 
-    /// A member of a pair whose other member is lost becomes the survivor, once the store says so.
+    /// Makes this member the survivor of a pair whose other member is lost, once the metadata store has decided so.
     fn plan_as_survivor(
         &mut self,
         replica: &Replica,
@@ -270,26 +271,21 @@
         if replica.is_leader() || membership.voters.len() != 2 || !membership.voters.contains(&self.own) {
             return Vec::new();
         }
-        if self.pair.makes_survivor(self.own, membership, replica.log().membership_index()) {
+        if self.pair.is_survivor(self.own, membership, replica.log().membership_index()) {
             return vec![MembershipAction::ContinueAlone];
         }
-        if !self.other_of_pair_is_lost(membership, directory, now) {
+        if !self.is_pair_peer_lost(membership, directory, now) {
             return Vec::new();
         }
         self.pair_write(replica, false, false, true).into_iter().collect()
     }
 
-    fn other_of_pair_is_lost(
-        &self,
-        membership: &GroupMembership,
-        directory: &StorageDirectory,
-        now: Timestamp,
-    ) -> bool {
+    fn is_pair_peer_lost(&self, membership: &GroupMembership, directory: &StorageDirectory, now: Timestamp) -> bool {
         let Some(other) = membership.voters.iter().copied().find(|voter| *voter != self.own) else { return false };
-        // The directory is known if it lists this node; then another identity lies on the other's disk.
+        // A directory that lists this node is loaded; a missing peer then means that its disk has a new identity.
         let is_replaced = directory.of_node(self.own).is_some() && directory.of_node(other).is_none();
         let contact_at = self.last_contact.get(&other).copied().unwrap_or(self.started_at);
-        is_replaced || now.since(contact_at) >= PAIR_LOST_AFTER
+        is_replaced || now.since(contact_at) >= PAIR_MEMBER_TIMEOUT
     }
 
     fn pair_write(
@@ -299,7 +295,7 @@
         wants_change: bool,
         other_is_lost: bool,
     ) -> Option<MembershipAction> {
-        if self.pair_write_under_way {
+        if self.pair_write_in_progress {
             return None;
         }
         let index = replica.log().membership_index();
@@ -313,7 +309,7 @@
             wants_change,
         };
         let record = self.pair.next_write(&view)?;
-        self.pair_write_under_way = true;
+        self.pair_write_in_progress = true;
         Some(MembershipAction::WritePair { record, revision: self.pair.revision })
     }
 
@@ -322,38 +318,37 @@
         records.map(|record| record.node).collect()
     }
 
-    fn is_there(&self, node: NodeId, now: Timestamp) -> bool {
-        node == self.own || self.last_contact.get(&node).is_some_and(|at| now.since(*at) < SPARE_CONTACT_WITHIN)
+    fn is_reachable(&self, node: NodeId, now: Timestamp) -> bool {
+        node == self.own || self.last_contact.get(&node).is_some_and(|at| now.since(*at) < SPARE_CONTACT_TIMEOUT)
     }
 
-    /// A member is lost once another identity lies on its machine's disk, or it is silent for long.
+    /// A member is lost if its machine's disk has a new identity or the node has not been in contact for too long.
     fn is_lost(&self, replica: &Replica, directory: &StorageDirectory, node: NodeId, now: Timestamp) -> bool {
         if node == self.own {
             return false;
         }
-        let is_silent = |at: Option<Timestamp>| at.is_none_or(|at| now.since(at) >= LOST_AFTER);
+        let has_timed_out = |at: Option<Timestamp>| at.is_none_or(|at| now.since(at) >= MEMBER_TIMEOUT);
         let answered_at = replica.progress(node).and_then(|progress| progress.last_answer);
         let contact_at = self.last_contact.get(&node).copied();
-        directory.of_node(node).is_none() || (is_silent(answered_at) && is_silent(contact_at))
+        directory.of_node(node).is_none() || (has_timed_out(answered_at) && has_timed_out(contact_at))
     }
 
     fn is_caught_up(&self, replica: &Replica, node: NodeId) -> bool {
         node == self.own || replica.progress(node).is_some_and(|progress| progress.matched >= replica.commit())
     }
 
-    /// Machines whose duty has been moved: they hold no member, the change is committed, and all members
-    /// hold the whole log.
+    /// A machine is drained once it hosts no member, the change is committed, and all members have the complete log.
     fn drain_reports(&mut self, replica: &Replica, directory: &StorageDirectory) -> Vec<MembershipAction> {
         let membership = replica.membership();
         let index = replica.log().membership_index();
         let is_settled = index <= replica.commit()
-            && self.pair.is_whole(membership, index)
+            && self.pair.is_intact(membership, index)
             && replica.all_members_caught_up()
             && membership.learners.is_empty();
         let mut reports = Vec::new();
         for (machine, reported) in &mut self.drains {
-            let holds_member = directory.of_machine(machine).is_some_and(|record| membership.contains(record.node));
-            let state = if holds_member || !is_settled { DrainState::InProgress } else { DrainState::Completed };
+            let hosts_member = directory.of_machine(machine).is_some_and(|record| membership.contains(record.node));
+            let state = if hosts_member || !is_settled { DrainState::InProgress } else { DrainState::Completed };
             if *reported != Some(state) && *reported != Some(DrainState::Completed) {
                 *reported = Some(state);
                 reports.push(MembershipAction::ReportDrain { machine: machine.clone(), state });
--- a/crates/core/src/serving/jobs/mod.rs
+++ b/crates/core/src/serving/jobs/mod.rs
@@ -1,23 +1,23 @@
-//! Batch jobs whose items pass through to workers unchanged.
+//! Batch jobs, whose items are forwarded to workers unchanged.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`command`] | changes of the replicated table, and their outcomes |
-//! | [`table`] | the replicated table: jobs, items, results at fixed positions |
-//! | [`request`] | what other nodes ask of the table's leader |
+//! | [`command`] | commands that change the replicated table, and their outcomes |
+//! | [`table`] | the replicated table: jobs, items, and results at fixed positions |
+//! | [`request`] | requests of other nodes to the leader of the table |
 //! | [`node`] | one replica of the table: the log, the table, and the acknowledgements |
 //! | [`pending_reads`] | reads that wait for a result |
 //! | [`disk_budget`] | whether a job fits on the disk |
-//! | [`retention`] | when jobs that are over are forgotten |
-//! | [`dispatch`] | which item runs next, and what follows from how a run ended |
-//! | [`members`] | who should hold the table |
-//! | [`placement`] | where the table may lie |
-//! | [`pair`] | who goes on if one of two replicas is lost |
-//! | [`load_aggregator`] | the online requests of all nodes, gathered at the leader |
-//! | [`directory`] | the storing nodes, and which of them should hold the table |
+//! | [`retention`] | when finished jobs are removed |
+//! | [`dispatch`] | which item runs next, and the consequences of how a run ended |
+//! | [`members`] | membership of the table's replication group |
+//! | [`placement`] | the regions in which the table may be stored |
+//! | [`pair`] | failover of a group with two replicas |
+//! | [`load_aggregator`] | the online requests of all nodes, aggregated at the leader |
+//! | [`directory`] | the registered storage nodes, and the initial members of the group |
 //!
-//! The table is changed only by commands in the order of the replicated log
-//! ([`crate::replication`]). Applying a command is a pure function, and every command may arrive twice.
+//! The table is changed only by commands, in the order of the replicated log ([`crate::replication`]). Applying a
+//! command is a pure function, and every command may be applied twice.
 
 pub mod command;
 pub mod directory;
--- a/crates/core/src/serving/jobs/node/messages.rs
+++ b/crates/core/src/serving/jobs/node/messages.rs
@@ -1,74 +1,73 @@
-//! What one replica of the job table exchanges with its driver.
+//! The messages that one replica of the job table exchanges with its caller.
 
 use crate::identity::NodeId;
 use crate::replication::{LogIndex, LogWrite, ReplicationMessage, Snapshot};
 use crate::serving::jobs::command::{ItemKey, JobKey};
 use crate::serving::jobs::request::JobsAnswer;
 
-/// Names who waits for an answer, as the driver numbers them.
+/// Identifies the recipient of an answer. The caller assigns the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Waiter(pub u64);
 
-/// What a driver must do, in order.
+/// An effect that the caller must carry out, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobsEffect {
-    /// Write to disk, durably, before anything after it.
+    /// Writes to disk durably before any later effect is carried out.
     Persist(LogWrite),
-    /// Send to another replica.
+    /// Sends a message to another replica.
     Send(ReplicationMessage),
-    /// Replace the table ([`JobsNode::restore`]).
+    /// Replaces the table (see [`JobsNode::restore`]).
     Restore(Snapshot),
-    /// Apply what is committed ([`JobsNode::apply_up_to`]).
+    /// Applies committed entries (see [`JobsNode::apply_up_to`]).
     ApplyUpTo(LogIndex),
 }
 
-/// What applying the log brought about.
+/// A consequence of applying log entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobsChange {
-    /// Someone's answer.
+    /// An answer is ready.
     Answer {
-        /// Who waits.
+        /// The recipient of the answer.
         waiter: Waiter,
-        /// The answer.
+        /// The answer to send.
         answer: JobsAnswer,
     },
     /// A job is in the table.
     Accepted(JobKey),
-    /// An item's result is committed.
+    /// The result of an item is committed.
     ResultCommitted(ItemKey),
-    /// A result was proposed that does not follow on what the log has of the item: it must go on from
-    /// there.
+    /// The proposed result of an item does not continue its logged output. The item must be resumed from there.
     ResultDropped(ItemKey),
     /// A job has ended.
     Ended(JobKey),
-    /// A committed command can't be read, by this version of the program at least. The table stays as it was.
+    /// This version cannot decode a committed command. The table is unchanged.
     Unreadable(LogIndex),
 }
 
-/// Why a command was not proposed. Nothing of it will take effect.
+/// The reason why a command was not proposed. It has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotProposed {
-    /// Another replica leads, if known.
+    /// Another replica leads; its id is given if known.
     NotLeader(Option<NodeId>),
-    /// This replica leads and is not ready.
+    /// This replica leads but is not ready.
     Busy,
-    /// The job does not fit.
+    /// The job exceeds the limit of queued tokens.
     OverQuota {
-        /// Tokens that wait now.
+        /// The number of tokens queued at present.
         waiting: u64,
     },
 }
 
-/// A snapshot whose table can't be read, by this version of the program at least.
+/// This version cannot decode the table in a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnreadableSnapshot {
-    /// The last entry that it covers.
+    /// The index of the last entry that the snapshot covers.
     pub index: LogIndex,
 }
 
 impl std::fmt::Display for UnreadableSnapshot {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "the snapshot up to entry {} of the job table's log", self.index.0)
+        write!(formatter, "cannot decode the snapshot of the job table at log index {}", self.index.0)
     }
 }
 
--- a/crates/core/src/serving/jobs/node/mod.rs
+++ b/crates/core/src/serving/jobs/node/mod.rs
@@ -1,7 +1,7 @@
-//! One replica of the job table: the replicated log, the table, and acknowledgements.
+//! One replica of the job table: the replicated log, the table, and the acknowledgements.
 //!
-//! A driver takes the effects of each call in order. A [`JobsEffect::Persist`] must be durable before
-//! any later effect is carried out; meanwhile further events may be handled, their effects queue up.
+//! The caller carries out the effects of each call in order. A [`JobsEffect::Persist`] must be durable before any later
+//! effect is carried out; further events may be handled in the meantime, and their effects are queued.
 
 mod messages;
 
@@ -19,20 +19,20 @@
 };
 use crate::time::{Millis, Timestamp};
 
-/// A snapshot is taken once the log has this many bytes. Bounds the disk, and the time to start.
-const COMPACT_BYTES: usize = 8 << 20;
-/// The log up to a snapshot is dropped only once this many bytes follow it: a follower that lags by less than that
-/// needs no snapshot.
-const TAIL_BYTES: usize = 2 << 20;
+/// The log size at which a snapshot is taken. Limits disk usage and startup time.
+const COMPACTION_THRESHOLD_BYTES: usize = 8 << 20;
+/// The number of bytes that must follow a snapshot before the log up to it is dropped. Followers that lag by less need
+/// no snapshot.
+const RETAINED_LOG_BYTES: usize = 2 << 20;
 
 struct Proposal {
     term: Term,
     waiter: Option<Waiter>,
-    /// The job that it would take.
+    /// The job that the proposal would add.
     job: Option<ProposedJob>,
 }
 
-/// A job whose proposal is under way. Its tokens count against the limit meanwhile.
+/// A proposed job whose tokens count against the limit until the proposal is applied.
 struct ProposedJob {
     key: JobKey,
     queue: QueueKey,
@@ -45,13 +45,13 @@
     }
 }
 
-/// What applying one command brought about.
+/// The outcome of applying one command.
 struct Applied {
     answer: JobsAnswer,
     change: Option<JobsChange>,
 }
 
-struct HeldAnswer {
+struct PendingAnswer {
     index: LogIndex,
     waiter: Waiter,
     answer: JobsAnswer,
@@ -63,17 +63,17 @@
     replica: Replica,
     table: JobTable,
     proposals: BTreeMap<LogIndex, Proposal>,
-    held: Vec<HeldAnswer>,
-    announced: LogIndex,
-    /// A snapshot was taken over by the log and not yet by the table.
-    restoring: bool,
-    /// A snapshot of this replica that does not stand in for the log yet.
-    prepared: Option<Snapshot>,
+    pending: Vec<PendingAnswer>,
+    announced_commit: LogIndex,
+    /// Whether the log has installed a snapshot that the table has not restored yet.
+    awaiting_restore: bool,
+    /// A snapshot of the table that has not replaced the start of the log yet.
+    prepared_snapshot: Option<Snapshot>,
     full_ack_timeout: Millis,
 }
 
 impl JobsNode {
-    /// Starts a replica from what its disk holds. Returns `None` if the snapshot can't be read.
+    /// Creates a replica from its persisted state. Returns `None` if the snapshot cannot be decoded.
     pub fn new(
         id: NodeId,
         settings: ReplicaSettings,
@@ -82,7 +82,7 @@
         seed: u64,
     ) -> Option<Self> {
         let table = JobTable::decode(&persisted.snapshot.state)?;
-        let announced = persisted.snapshot.index;
+        let announced_commit = persisted.snapshot.index;
         let replica = Replica::new(GroupId(0), id, settings, persisted, now, seed);
         let proposals = BTreeMap::new();
         let full_ack_timeout = settings.full_ack_timeout;
@@ -90,82 +90,82 @@
             replica,
             table,
             proposals,
-            held: Vec::new(),
-            announced,
-            restoring: false,
-            prepared: None,
+            pending: Vec::new(),
+            announced_commit,
+            awaiting_restore: false,
+            prepared_snapshot: None,
             full_ack_timeout,
         })
     }
 
-    /// The replica.
+    /// Returns the underlying replica of the log.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The table as far as it was applied.
+    /// Returns the table with all applied entries.
     pub fn table(&self) -> &JobTable {
         &self.table
     }
 
-    /// Whether this replica leads and knows all that is committed.
+    /// Returns whether this replica leads and knows all committed entries.
     pub fn may_answer(&self, now: Timestamp) -> bool {
         self.replica.may_answer_reads(now)
     }
 
-    /// Gives a replica without a log its first membership.
+    /// Sets the first membership of a replica whose log is empty.
     pub fn bootstrap(&mut self, membership: GroupMembership, now: Timestamp) -> Vec<JobsEffect> {
         self.replica.bootstrap(membership, now);
-        self.gather()
+        self.collect_effects()
     }
 
-    /// Takes a message of another replica.
+    /// Handles a message from another replica.
     pub fn step(&mut self, message: ReplicationMessage, now: Timestamp) -> Vec<JobsEffect> {
         self.replica.step(message, now);
-        self.gather()
+        self.collect_effects()
     }
 
-    /// Lets time pass.
+    /// Handles the passage of time.
     pub fn tick(&mut self, now: Timestamp) -> Vec<JobsEffect> {
         self.replica.tick(now);
         self.compact();
-        self.gather()
+        self.collect_effects()
     }
 
-    /// Takes a snapshot when the log has grown long, and lets it stand in for the log a while later.
+    /// Prepares a snapshot once the log exceeds its size limit, and compacts the log when enough entries follow it.
     fn compact(&mut self) {
-        if self.restoring {
-            self.prepared = None;
+        if self.awaiting_restore {
+            self.prepared_snapshot = None;
             return;
         }
-        match self.prepared.take() {
-            Some(snapshot) if self.replica.log().has_bytes_after(snapshot.index, TAIL_BYTES) => {
+        match self.prepared_snapshot.take() {
+            Some(snapshot) if self.replica.log().has_bytes_after(snapshot.index, RETAINED_LOG_BYTES) => {
                 self.replica.compact_to(snapshot);
             }
-            Some(snapshot) => self.prepared = Some(snapshot),
-            None if self.replica.log().bytes() > COMPACT_BYTES => {
-                self.prepared = self.replica.snapshot_of(self.table.encode());
+            Some(snapshot) => self.prepared_snapshot = Some(snapshot),
+            None if self.replica.log().bytes() > COMPACTION_THRESHOLD_BYTES => {
+                self.prepared_snapshot = self.replica.snapshot_of(self.table.encode());
             }
             None => {}
         }
     }
 
-    /// Proposes to take a job.
+    /// Proposes to add a job.
     ///
     /// # Errors
     ///
-    /// [`NotProposed`]: nothing of the job will run because of this call.
+    /// [`NotProposed`] if the submission has no effect.
     pub fn submit(
         &mut self,
         submission: Submission,
         waiter: Waiter,
         now: Timestamp,
     ) -> Result<Vec<JobsEffect>, NotProposed> {
-        self.check_leading(now)?;
-        if !self.may_hold(&submission.key)
+        self.check_ready(now)?;
+        if !self.has_or_proposes(&submission.key)
             && let Some(limit) = submission.queued_token_limit
         {
-            let waiting = self.waiting_tokens(&submission.queue());
+            let waiting = self.queued_tokens(&submission.queue());
             if waiting + submission.token_count() > limit {
                 return Err(NotProposed::OverQuota { waiting });
             }
@@ -178,65 +178,65 @@
     ///
     /// # Errors
     ///
-    /// [`NotProposed`]: it was not proposed.
+    /// [`NotProposed`] if the command has no effect.
     pub fn propose(
         &mut self,
         command: &JobCommand,
         waiter: Option<Waiter>,
         now: Timestamp,
     ) -> Result<Vec<JobsEffect>, NotProposed> {
-        self.check_leading(now)?;
+        self.check_ready(now)?;
         self.propose_with(command, waiter, None, now)
     }
 
-    /// Proposes a change of one member. Refused while an earlier change is uncommitted.
+    /// Proposes a change of one member. Ignored while an earlier change is uncommitted.
     pub fn change_membership(&mut self, change: MembershipChange, now: Timestamp) -> Vec<JobsEffect> {
-        // A refusal means that the next plan tries again.
+        // A rejected change is proposed again by the next plan.
         let _ = self.replica.propose_membership(change, now);
-        self.gather()
+        self.collect_effects()
     }
 
-    /// Goes on as the only voter; see [`super::pair`] for when this is right.
+    /// Continues as the only voter; see [`super::pair`] for the conditions.
     pub fn become_sole_voter(&mut self, now: Timestamp) -> Vec<JobsEffect> {
         self.replica.become_sole_voter(now);
-        self.gather()
+        self.collect_effects()
     }
 
-    /// Hands leadership over.
+    /// Transfers leadership to another member.
     pub fn transfer_leadership(&mut self, target: NodeId, now: Timestamp) -> Vec<JobsEffect> {
         self.replica.transfer_leadership(target, now);
-        self.gather()
+        self.collect_effects()
     }
 
-    /// Replaces the table by a snapshot's.
+    /// Replaces the table by that of a snapshot.
     ///
     /// # Errors
     ///
-    /// [`UnreadableSnapshot`]: the table stays as it was, behind the log. No snapshot of it is taken until one that can
-    /// be read has come, as it would stand in for entries that it doesn't have.
+    /// [`UnreadableSnapshot`] if the table cannot be decoded. The table then stays behind the log, and no snapshot of
+    /// it is taken until a readable one arrives, because it would lack entries.
     pub fn restore(&mut self, snapshot: &Snapshot) -> Result<(), UnreadableSnapshot> {
         let Some(table) = JobTable::decode(&snapshot.state) else {
             return Err(UnreadableSnapshot { index: snapshot.index });
         };
         self.table = table;
-        self.restoring = false;
+        self.awaiting_restore = false;
         Ok(())
     }
 
-    /// Applies what is committed up to a place.
+    /// Applies committed entries up to and including `index`.
     pub fn apply_up_to(&mut self, index: LogIndex, now: Timestamp) -> Vec<JobsChange> {
         let mut changes = Vec::new();
         while self.replica.applied() < index {
             let Some(entry) = self.replica.next_committed() else { break };
             let proposal = self.proposals.remove(&entry.index);
-            let mine = proposal.as_ref().is_some_and(|proposal| proposal.term == entry.term);
+            let is_own = proposal.as_ref().is_some_and(|proposal| proposal.term == entry.term);
             let waiter = proposal.and_then(|proposal| proposal.waiter);
             let EntryPayload::Command(bytes) = &entry.payload else {
                 changes.extend(waiter.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Indeterminate }));
                 continue;
             };
             let Some(command) = JobCommand::decode(bytes) else {
-                // Whoever waits must not wait on: what the command would have done is not known here.
+                // The effect of the command is unknown here, so its sender must not wait for an outcome.
                 changes.push(JobsChange::Unreadable(entry.index));
                 changes.extend(waiter.map(|waiter| JobsChange::Answer { waiter, answer: JobsAnswer::Indeterminate }));
                 continue;
@@ -244,25 +244,27 @@
             let applied = self.apply(command);
             changes.extend(applied.change);
             if let Some(waiter) = waiter {
-                let answer = if mine { applied.answer } else { JobsAnswer::Indeterminate };
+                let answer = if is_own { applied.answer } else { JobsAnswer::Indeterminate };
                 let deadline = now + self.full_ack_timeout;
-                self.held.push(HeldAnswer { index: entry.index, waiter, answer, deadline });
+                self.pending.push(PendingAnswer { index: entry.index, waiter, answer, deadline });
             }
         }
         changes.extend(self.release_answers(now));
         changes
     }
 
-    /// Answers that waited until every replica that answers holds their entry on disk, or long enough.
+    /// Returns the answers whose entries are stored by all responsive replicas, or that have waited long enough.
     pub fn release_answers(&mut self, now: Timestamp) -> Vec<JobsChange> {
         let replica = &self.replica;
-        let is_due = |held: &HeldAnswer| held.deadline <= now || replica.is_on_all_responsive_voters(held.index, now);
-        let (due, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held).into_iter().partition(is_due);
-        self.held = waiting;
-        due.into_iter().map(|held| JobsChange::Answer { waiter: held.waiter, answer: held.answer }).collect()
+        let is_due = |pending: &PendingAnswer| {
+            pending.deadline <= now || replica.is_on_all_responsive_voters(pending.index, now)
+        };
+        let (due, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending).into_iter().partition(is_due);
+        self.pending = waiting;
+        due.into_iter().map(|pending| JobsChange::Answer { waiter: pending.waiter, answer: pending.answer }).collect()
     }
 
-    /// Proposals of an earlier term whose fate this node can't tell any more.
+    /// Answers proposals whose outcome is unknown because this node no longer leads.
     pub fn abandon_lost_proposals(&mut self) -> Vec<JobsChange> {
         if self.replica.is_leader() {
             return Vec::new();
@@ -284,7 +286,7 @@
             Some(JobsChange::ResultCommitted(item)) if !self.needs_no_result(&item) => {
                 Some(JobsChange::ResultDropped(item))
             }
-            // The job is another tenant's, and goes on.
+            // The job belongs to another tenant and continues.
             Some(JobsChange::Ended(_)) if outcome == JobOutcome::UnknownJob => None,
             other => other,
         };
@@ -297,14 +299,14 @@
         Applied { answer, change }
     }
 
-    /// Whether an item needs no result any more.
+    /// Returns whether an item has a result, or its job has ended or is gone.
     fn needs_no_result(&self, key: &ItemKey) -> bool {
         self.table.job(&key.job).is_none_or(|job| job.ended || job.has_result(key.item))
     }
 
-    /// Whether a job is in the table, or its proposal is under way. It must not be refused then: it is taken
-    /// already, or may be.
-    pub fn may_hold(&self, key: &JobKey) -> bool {
+    /// Returns whether a job is in the table or proposed. Such a job must not be rejected, because it is or may be
+    /// accepted.
+    pub fn has_or_proposes(&self, key: &JobKey) -> bool {
         self.table.job(key).is_some() || self.proposed_jobs().any(|job| job.key == *key)
     }
 
@@ -312,14 +314,14 @@
         self.proposals.values().filter_map(|proposal| proposal.job.as_ref())
     }
 
-    fn waiting_tokens(&self, queue: &QueueKey) -> u64 {
-        // A job that was submitted again meanwhile counts once.
+    fn queued_tokens(&self, queue: &QueueKey) -> u64 {
+        // A job that was submitted more than once counts once.
         let proposed: BTreeMap<&JobKey, u64> =
             self.proposed_jobs().filter(|job| job.queue == *queue).map(|job| (&job.key, job.tokens)).collect();
         self.table.open_tokens(queue) + proposed.values().sum::<u64>()
     }
 
-    fn check_leading(&self, now: Timestamp) -> Result<(), NotProposed> {
+    fn check_ready(&self, now: Timestamp) -> Result<(), NotProposed> {
         if !self.replica.is_leader() {
             return Err(NotProposed::NotLeader(self.replica.leader()));
         }
@@ -341,10 +343,10 @@
             ProposalError::Busy => NotProposed::Busy,
         })?;
         self.proposals.insert(index, Proposal { term: self.replica.term(), waiter, job });
-        Ok(self.gather())
+        Ok(self.collect_effects())
     }
 
-    fn gather(&mut self) -> Vec<JobsEffect> {
+    fn collect_effects(&mut self) -> Vec<JobsEffect> {
         let mut effects: Vec<JobsEffect> = self
             .replica
             .take_effects()
@@ -355,10 +357,10 @@
                 ReplicaEffect::Restore(snapshot) => JobsEffect::Restore(snapshot),
             })
             .collect();
-        self.restoring |= effects.iter().any(|effect| matches!(effect, JobsEffect::Restore(_)));
-        if self.replica.commit() > self.announced {
-            self.announced = self.replica.commit();
-            effects.push(JobsEffect::ApplyUpTo(self.announced));
+        self.awaiting_restore |= effects.iter().any(|effect| matches!(effect, JobsEffect::Restore(_)));
+        if self.replica.commit() > self.announced_commit {
+            self.announced_commit = self.replica.commit();
+            effects.push(JobsEffect::ApplyUpTo(self.announced_commit));
         }
         effects
     }
--- a/crates/core/src/serving/jobs/pair.rs
+++ b/crates/core/src/serving/jobs/pair.rs
@@ -1,13 +1,13 @@
-//! A group of two: who goes on if one of them is lost.
+//! Failover of a group with two voters.
 //!
-//! Two replicas commit only together, so each holds everything that was acknowledged, and either could
-//! go on alone; but a majority of two can't decide which. The metadata store decides by one record,
-//! changed by compare-and-swap only:
+//! Two replicas commit only together, so each stores everything that was acknowledged and either could continue alone,
+//! but two voters cannot form a majority that decides which. A record in the metadata store, changed by
+//! compare-and-swap only, decides instead:
 //!
-//! * the leader of a committed pair writes the pair's record;
-//! * a member that lost the other writes itself in as the survivor, and only then goes on alone;
-//! * the leader dissolves the record before the group grows beyond the pair, so that a member that was
-//!   cut off meanwhile can't become the survivor of a pair that is no more.
+//! * the leader of a committed pair writes the record of the pair;
+//! * a member that lost contact with the other one records itself as the survivor before it continues alone;
+//! * the leader dissolves the record before the group grows, so that a member that was disconnected in the meantime
+//!   cannot become the survivor of a former pair.
 
 use std::collections::BTreeSet;
 
@@ -16,71 +16,71 @@
 use crate::identity::NodeId;
 use crate::replication::{GroupMembership, LogIndex};
 
-/// How far a pair is.
+/// The state of a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PairState {
-    /// Both count.
+    /// Both members are required to commit.
     Whole,
-    /// Only this member goes on.
+    /// Only this member continues.
     Survived(NodeId),
-    /// The group is a pair no longer.
+    /// The group is no longer a pair.
     Dissolved,
 }
 
-/// The record in the metadata store.
+/// The record of a pair in the metadata store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PairRecord {
-    /// The place of the membership in the log.
+    /// The log index of the membership.
     pub index: LogIndex,
-    /// The two.
+    /// The two voters.
     pub voters: BTreeSet<NodeId>,
-    /// How far the pair is.
+    /// The state of the pair.
     pub state: PairState,
 }
 
-/// A record together with the store's revision of it; 0 if there is none.
+/// The record together with its revision in the metadata store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredPair {
-    /// The record.
+    /// The record; `None` if the store has none.
     pub record: Option<PairRecord>,
-    /// Its revision.
+    /// The revision; 0 if there is no record.
     pub revision: u64,
 }
 
-/// What a member knows of the group.
+/// A member's view of the group.
 #[derive(Clone, Copy, Debug)]
 pub struct PairView<'a> {
-    /// The member.
+    /// The member that has this view.
     pub own: NodeId,
-    /// It leads.
+    /// Whether the member is the leader.
     pub leads: bool,
-    /// The membership in its log.
+    /// The membership in the member's log.
     pub membership: &'a GroupMembership,
-    /// The place of that membership.
+    /// The log index of that membership.
     pub index: LogIndex,
-    /// The member knows that the membership is committed.
+    /// Whether the member knows that the membership is committed.
     pub is_committed: bool,
-    /// The other member is lost.
+    /// Whether the other member is considered lost.
     pub other_is_lost: bool,
-    /// The leader wants to change the voters.
+    /// Whether the leader wants to change the voters.
     pub wants_change: bool,
 }
 
 impl StoredPair {
-    /// Takes what the store answered, unless it is older than what is known.
-    pub fn take(&mut self, other: StoredPair) {
+    /// Replaces the record by `other` unless that is older.
+    pub fn update(&mut self, other: StoredPair) {
         if other.revision >= self.revision {
             *self = other;
         }
     }
 
-    /// The state of the pair that is in the member's log; `None` if the record is of another.
+    /// Returns the state of the pair in the member's log, or `None` if the record describes another membership.
     pub fn state_of(&self, membership: &GroupMembership, index: LogIndex) -> Option<PairState> {
         let record = self.record.as_ref()?;
         (record.index == index && record.voters == membership.voters).then_some(record.state)
     }
 
-    /// The record that the member should write now, if any.
+    /// Returns the record that the member should write now, if any.
     pub fn next_write(&self, view: &PairView<'_>) -> Option<PairRecord> {
         if view.membership.voters.len() != 2 || !view.membership.voters.contains(&view.own) {
             return None;
@@ -98,19 +98,19 @@
         }
     }
 
-    /// Whether the voters may be changed. A pair must be dissolved first: its record, or a write of it
-    /// that is still under way, could make the other member a survivor.
+    /// Returns whether the voters may be changed. A pair must be dissolved first, because its record, or a write of it
+    /// that is still in flight, could make the other member a survivor.
     pub fn allows_change(&self, membership: &GroupMembership, index: LogIndex) -> bool {
         membership.voters.len() != 2 || self.state_of(membership, index) == Some(PairState::Dissolved)
     }
 
-    /// Whether the leader may count on the pair's record.
-    pub fn is_whole(&self, membership: &GroupMembership, index: LogIndex) -> bool {
+    /// Returns whether the group is not a pair, or its record says that both members are required.
+    pub fn is_intact(&self, membership: &GroupMembership, index: LogIndex) -> bool {
         membership.voters.len() != 2 || self.state_of(membership, index) == Some(PairState::Whole)
     }
 
-    /// Whether the member is to go on alone.
-    pub fn makes_survivor(&self, own: NodeId, membership: &GroupMembership, index: LogIndex) -> bool {
+    /// Returns whether the record names this member as the survivor.
+    pub fn is_survivor(&self, own: NodeId, membership: &GroupMembership, index: LogIndex) -> bool {
         self.state_of(membership, index) == Some(PairState::Survived(own))
     }
 }
--- a/crates/core/src/serving/jobs/pending_reads.rs
+++ b/crates/core/src/serving/jobs/pending_reads.rs
@@ -1,9 +1,9 @@
-//! Reads of results that are answered once there is something new to read, or their time is up.
+//! Reads of results that wait until there is a new result or their deadline passes.
 //!
-//! It owns the reads that wait, in the order in which they came. It relies on its driver to call it whenever results
-//! were committed, a job ended, leadership may have changed, or time has passed. Their number has no bound of its
-//! own: each read ends at its deadline, at most [`super::request::JobsRequest::Read`]'s `wait` after it came, and
-//! holds no page until then.
+//! [`PendingReads`] stores the waiting reads in order of arrival. The caller polls it after results were committed, a
+//! job ended, leadership may have changed, or time has passed. The number of reads is not limited here, but each read
+//! ends at its deadline, at most the `wait` of [`super::request::JobsRequest::Read`] after it arrived, and holds no
+//! page until then.
 
 use super::command::JobKey;
 use super::node::Waiter;
@@ -12,47 +12,47 @@
 use crate::serving::configuration::tenant::CallerIdentity;
 use crate::time::Timestamp;
 
-/// Most bytes of text in one page of results. A page fits into one message between nodes.
-const PAGE_BYTES: usize = 900_000;
+/// The maximum size of the text in one page of results. A page must fit into one message between nodes.
+const MAX_PAGE_BYTES: usize = 900_000;
 
 /// A read that waits for a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingRead {
-    /// Who waits.
+    /// The recipient of the answer.
     pub waiter: Waiter,
-    /// The job.
+    /// The job to read.
     pub job: JobKey,
-    /// The first position wanted.
+    /// The position of the first result to return.
     pub first: u32,
-    /// Who reads.
+    /// The caller that reads.
     pub caller: CallerIdentity,
-    /// When it is answered even with nothing new.
+    /// The time at which the read is answered even without a new result.
     pub deadline: Timestamp,
 }
 
-/// The answer of a read.
+/// The answer to a waiting read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadAnswer {
-    /// Who waits.
+    /// The recipient of the answer.
     pub waiter: Waiter,
-    /// The answer; `None` if this replica may not answer reads any more.
+    /// The answer; `None` if this replica may no longer answer reads.
     pub answer: Option<JobsAnswer>,
 }
 
-/// The reads that wait.
+/// The waiting reads, in order of arrival.
 #[derive(Clone, Debug, Default)]
 pub struct PendingReads {
     reads: Vec<PendingRead>,
 }
 
 impl PendingReads {
-    /// Adds a read. The next [`PendingReads::take_due`] answers it if it need not wait.
+    /// Adds a read. The next call of [`PendingReads::take_due`] answers it if it does not have to wait.
     pub fn push(&mut self, read: PendingRead) {
         self.reads.push(read);
     }
 
-    /// Takes the answers of the reads that have something to read, or have waited long enough; of all reads if this
-    /// replica may not answer.
+    /// Removes and answers the reads that have a new result or whose deadline has passed. If this replica may not
+    /// answer, removes all reads.
     pub fn take_due(&mut self, table: &JobTable, may_answer: bool, now: Timestamp) -> Vec<ReadAnswer> {
         let mut answers = Vec::new();
         self.reads.retain(|read| {
@@ -71,10 +71,10 @@
     }
 }
 
-/// The answer of a read, unless it has to wait.
+/// Returns the answer to a read, or `None` if the read has to wait.
 fn due_answer(read: &PendingRead, table: &JobTable, now: Timestamp) -> Option<JobsAnswer> {
     let Some(job) = table.job_for(&read.job, &read.caller) else { return Some(JobsAnswer::UnknownJob) };
     let has_more = job.results.len() > read.first as usize;
     let is_due = has_more || job.is_over() || now >= read.deadline;
-    is_due.then(|| JobsAnswer::Page(job.page(read.first, PAGE_BYTES)))
+    is_due.then(|| JobsAnswer::Page(job.page(read.first, MAX_PAGE_BYTES)))
 }
--- a/crates/core/src/serving/jobs/placement.rs
+++ b/crates/core/src/serving/jobs/placement.rs
@@ -1,4 +1,4 @@
-//! Where the job table may lie, by the regions that the routes and tenants of its jobs allow.
+//! Restricts the placement of the job table to the regions that the routes and tenants of its jobs allow.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,8 @@
 use crate::serving::configuration::GatewayConfiguration;
 use crate::serving::regions::AllowedRegions;
 
-/// The regions that all jobs of the table allow. A new replica gets all of them, so it must lie in one of these.
+/// Returns the regions that all jobs in the table allow. A new replica receives every job, so it must be in one of
+/// them.
 pub fn table_regions(table: &JobTable, configuration: &GatewayConfiguration) -> AllowedRegions {
     let queues: BTreeSet<QueueKey> = table.jobs().map(|(_, job)| job.submission.queue()).collect();
     queues.iter().fold(AllowedRegions::Any, |allowed, queue| {
--- a/crates/core/src/serving/jobs/request.rs
+++ b/crates/core/src/serving/jobs/request.rs
@@ -1,4 +1,4 @@
-//! What nodes ask of the table's leader.
+//! Requests of other nodes to the leader of the job table.
 
 use std::sync::Arc;
 
@@ -11,52 +11,52 @@
 use crate::serving::workers::{LoadReport, WorkerCount, WorkerId};
 use crate::time::Millis;
 
-/// A request to the leader.
+/// A request to the leader of the job table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobsRequest {
-    /// Take a job.
+    /// Submits a job.
     Submit(Submission),
-    /// Results from a position on. Held for up to `wait` until there is one.
+    /// Reads results from a position on. The leader waits up to `wait` for a result before it answers.
     Read {
-        /// The job.
+        /// The job to read.
         job: JobKey,
-        /// The first position wanted.
+        /// The position of the first result to return.
         first: u32,
-        /// How long to wait for a result.
+        /// The maximum time to wait for a result.
         wait: Millis,
-        /// Who reads.
+        /// The caller that reads.
         caller: CallerIdentity,
     },
-    /// The body of an item without a result.
+    /// Reads the body of an item without a result.
     Body {
-        /// The job.
+        /// The job that contains the item.
         job: JobKey,
-        /// The item's id.
+        /// The id of the item.
         item: Arc<str>,
-        /// Who reads.
+        /// The caller that reads.
         caller: CallerIdentity,
     },
-    /// End a job.
+    /// Ends a job.
     End {
-        /// The job.
+        /// The job to end.
         job: JobKey,
-        /// Who ends it.
+        /// The caller that ends the job.
         caller: CallerIdentity,
     },
-    /// The sender is there and could hold the table.
+    /// Announces the sender as available to become a replica of the table.
     Join,
-    /// The sender's online requests at each worker; those of all others are wanted, from the leader.
+    /// Reports the sender's online requests at each worker to the leader, and requests those of all other nodes.
     ReportLoad(LoadReport),
-    /// The same, from any storing node: one that doesn't lead gathers the loads of its zone.
+    /// Like `ReportLoad`, but sent to any storage node; one that does not lead aggregates the loads of its zone.
     AggregateLoad(LoadReport),
-    /// What the sender let through of each tenant; what the tenants have left is wanted.
+    /// Reports what the sender admitted for each tenant, and requests the remaining quota of the tenants.
     ReportQuota(QuotaReport),
-    /// Permits for requests to workers that have just started are wanted, one for each.
+    /// Requests one permit for each of these workers, which have just started.
     RequestPermits(Vec<WorkerId>),
 }
 
 impl JobsRequest {
-    /// A short name, for figures.
+    /// Returns the name that is used as a metric label.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Submit(_) => "submit",
@@ -72,42 +72,42 @@
     }
 }
 
-/// The leader's answer.
+/// The leader's answer to a [`JobsRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobsAnswer {
-    /// The job is taken, and safe.
+    /// The job was accepted and is durable.
     Accepted,
-    /// The job does not fit, and nothing of it was taken.
+    /// The job was rejected because it exceeds the limit of queued tokens.
     OverQuota {
-        /// Tokens that wait now.
+        /// The number of tokens queued at present.
         waiting: u64,
     },
-    /// The disks have no room for the job, and nothing of it was taken.
+    /// The job was rejected because there is not enough disk space.
     NoRoom,
-    /// Another tenant has a job of this id, and nothing was taken.
+    /// The job was rejected because another tenant has a job with this id.
     KeyTaken,
-    /// There is no such job, or none that the caller may see.
+    /// The job does not exist or is not visible to the caller.
     UnknownJob,
-    /// Results.
+    /// A page of results.
     Page(ResultPage),
-    /// A body.
+    /// The body of an item.
     Body(Arc<[u8]>),
-    /// The job has no such item without a result.
+    /// The job has no item with this id and without a result.
     UnknownItem,
     /// The job has ended.
     Ended,
-    /// Requests at each worker, of all nodes but the asker, batch items among them.
+    /// Requests at each worker from all nodes except the sender, including batch items.
     Loads(LoadReport),
-    /// What tenants have left.
+    /// The remaining quota of the tenants.
     Quota(QuotaLevels),
-    /// The command was proposed, and whether it took effect is not known.
+    /// The command was proposed, but it is unknown whether it took effect.
     Indeterminate,
-    /// Permits for requests to workers that have just started. Each holds for a moment from the question on.
+    /// Permits for requests to workers that have just started. Each expires shortly after it was requested.
     Permits(Vec<WorkerCount>),
 }
 
 impl JobsAnswer {
-    /// A short name, for figures.
+    /// Returns the name that is used as a metric label.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Page(_) => "page",
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Whether it says that the request it answers took nothing, which tells nothing of an earlier try.
+    /// Returns whether the request was rejected without effect. An earlier attempt may still have taken effect.
     pub fn is_rejection(&self) -> bool {
         matches!(self, Self::OverQuota { .. } | Self::NoRoom | Self::KeyTaken)
     }
--- a/crates/core/src/serving/jobs/retention.rs
+++ b/crates/core/src/serving/jobs/retention.rs
@@ -1,35 +1,35 @@
-//! When jobs that are over are forgotten.
+//! Decides when finished jobs are removed from the table.
 
 use super::command::JobCommand;
 use crate::time::{Millis, Timestamp, UnixMillis};
 
-/// Jobs that are over are remembered this much longer than their results have to be kept, in milliseconds: their age
-/// goes by the clocks of two nodes, and readers' clocks are others again.
-const FORGET_MARGIN: Millis = Millis(60_000);
-/// The time between two rounds of forgetting, in milliseconds. Saves the log commands that forget nothing.
+/// The time for which finished jobs are retained beyond the retention period, as a margin for clock differences between
+/// nodes and readers.
+const RETENTION_MARGIN: Millis = Millis(60_000);
+/// The interval between commands that remove expired jobs. Limits the number of log entries without effect.
 const FORGET_INTERVAL: Millis = Millis(15_000);
 
-/// The rounds of forgetting. They go on over changes of leadership.
+/// Schedules the removal of expired jobs, independently of changes of leadership.
 #[derive(Clone, Copy, Debug)]
 pub struct Retention {
-    /// How long results are kept, from the submission on.
-    results_kept: Millis,
-    last_round: Timestamp,
+    /// The time for which results are retained, counted from the submission.
+    retention: Millis,
+    last_forget: Timestamp,
 }
 
 impl Retention {
-    /// The first round is due an interval from now.
-    pub fn new(results_kept: Millis, now: Timestamp) -> Self {
-        Self { results_kept, last_round: now }
+    /// Schedules the first removal one interval from now.
+    pub fn new(retention: Millis, now: Timestamp) -> Self {
+        Self { retention, last_forget: now }
     }
 
-    /// The command of a round that is due. `civil` is the time of day, which submissions are stamped with.
-    pub fn poll_forget(&mut self, now: Timestamp, civil: UnixMillis) -> Option<JobCommand> {
-        if now.since(self.last_round) < FORGET_INTERVAL {
+    /// Returns the removal command if one is due. `wall_time` is comparable to the submission times of jobs.
+    pub fn poll_forget(&mut self, now: Timestamp, wall_time: UnixMillis) -> Option<JobCommand> {
+        if now.since(self.last_forget) < FORGET_INTERVAL {
             return None;
         }
-        self.last_round = now;
-        let remembered = self.results_kept + FORGET_MARGIN;
-        Some(JobCommand::Forget { before: UnixMillis(civil.0.saturating_sub(remembered.0)) })
+        self.last_forget = now;
+        let retained_for = self.retention + RETENTION_MARGIN;
+        Some(JobCommand::Forget { before: UnixMillis(wall_time.0.saturating_sub(retained_for.0)) })
     }
 }
--- a/crates/core/src/serving/jobs/table.rs
+++ b/crates/core/src/serving/jobs/table.rs
@@ -12,44 +12,44 @@
 use crate::serving::configuration::tenant::CallerIdentity;
 use crate::time::UnixMillis;
 
-/// A result. Its position in its job never changes.
+/// A committed result. Its position in [`Job::results`] never changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommittedResult {
-    /// The item's place in its job.
+    /// The zero-based index of the item in its job.
     pub item: u32,
-    /// The item's id.
+    /// The id of the item.
     pub id: Arc<str>,
-    /// How it ended.
+    /// The final state of the item.
     pub state: ItemState,
-    /// Its output.
+    /// The complete output; empty unless the item completed.
     pub text: Arc<str>,
 }
 
-/// Results from a position on.
+/// A page of results, starting at a requested position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultPage {
-    /// How many items the job has.
+    /// The number of items in the job.
     pub total: u32,
     /// The results, in order of position.
     pub results: Vec<CommittedResult>,
-    /// Whether no more results will come.
+    /// Whether no further results will be added.
     pub is_over: bool,
 }
 
-/// One job.
+/// The state of one job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// What was submitted. The body of an item with a result is dropped.
+    /// The job as submitted. The bodies of items with a result are dropped.
     pub submission: Submission,
     /// The results in the order in which they were committed.
     pub results: Vec<CommittedResult>,
-    /// Whether each item has its result.
+    /// Whether each item has a result, by index.
     with_result: Vec<bool>,
-    /// What items without a result have put out so far.
+    /// The logged output of items without a result, by index.
     partials: BTreeMap<u32, PartialOutput>,
     /// Whether the submitter ended the job.
     pub ended: bool,
-    /// How many runs of items without a result have failed. In a snapshot it stands behind the table.
+    /// The number of failed runs of items without a result, by index. A snapshot stores it after the table.
     #[serde(skip)]
     failures: BTreeMap<u32, u32>,
 }
@@ -67,39 +67,39 @@
         }
     }
 
-    /// Whether a caller may read and end the job.
-    pub fn is_seen_by(&self, caller: &CallerIdentity) -> bool {
+    /// Returns whether a caller may read and end the job.
+    pub fn is_visible_to(&self, caller: &CallerIdentity) -> bool {
         caller.may_see(self.submission.tenant.as_ref())
     }
 
-    /// Whether nothing of the job will run any more.
+    /// Returns whether no item of the job will run any more.
     pub fn is_over(&self) -> bool {
         self.ended || self.results.len() == self.submission.items.len()
     }
 
-    /// Whether an item has its result.
+    /// Returns whether an item has a result. Items that do not exist have none.
     pub fn has_result(&self, item: u32) -> bool {
         self.with_result.get(item as usize).copied().unwrap_or(false)
     }
 
-    /// The places of items that have no result yet, unless the job has ended.
+    /// Returns the indexes of the items without a result; none if the job has ended.
     pub fn open_items(&self) -> impl Iterator<Item = u32> + '_ {
         let ended = self.ended;
         (0..self.with_result.len() as u32).filter(move |item| !ended && !self.has_result(*item))
     }
 
-    /// What an item without a result has put out, as far as the log has it.
+    /// Returns the logged output of an item without a result.
     pub fn partial(&self, item: u32) -> Option<&PartialOutput> {
         self.partials.get(&item)
     }
 
-    /// How many runs of an item without a result have failed, as far as the log has it.
+    /// Returns the logged number of failed runs of an item without a result.
     pub fn failures(&self, item: u32) -> u32 {
         self.failures.get(&item).copied().unwrap_or(0)
     }
 
-    /// Whether the log has just that much of an item's output.
-    fn follows_on(&self, item: u32, after: LoggedOutput) -> bool {
+    /// Returns whether the logged output of an item ends exactly at `after`.
+    fn log_ends_at(&self, item: u32, after: LoggedOutput) -> bool {
         let logged = self
             .partials
             .get(&item)
@@ -107,24 +107,25 @@
         logged.unwrap_or_default() == after
     }
 
-    /// Tokens of items that have no result yet.
+    /// Returns the number of tokens of items without a result.
     pub fn open_tokens(&self) -> u64 {
         self.open_items().map(|item| self.submission.items[item as usize].token_count).sum()
     }
 
-    /// The item with that id, while it has no result.
+    /// Returns the item with the given id, unless it already has a result.
     pub fn open_item_by_id(&self, id: &str) -> Option<&JobItem> {
-        let place = self.submission.items.iter().position(|item| &*item.id == id)?;
-        (!self.with_result[place]).then(|| &self.submission.items[place])
+        let index = self.submission.items.iter().position(|item| &*item.id == id)?;
+        (!self.with_result[index]).then(|| &self.submission.items[index])
     }
 
-    /// Results from `first` on, at least one if there is one and at most `most_bytes` of text.
-    pub fn page(&self, first: u32, most_bytes: usize) -> ResultPage {
+    /// Returns the results from `first` on, limited to `max_bytes` of text but with at least one result if there is
+    /// any.
+    pub fn page(&self, first: u32, max_bytes: usize) -> ResultPage {
         let mut bytes = 0;
         let mut results = Vec::new();
         for result in self.results.iter().skip(first as usize) {
             bytes += result.text.len();
-            if !results.is_empty() && bytes > most_bytes {
+            if !results.is_empty() && bytes > max_bytes {
                 break;
             }
             results.push(result.clone());
@@ -133,36 +134,36 @@
     }
 }
 
-/// The table.
+/// The replicated table of all jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobTable {
     jobs: BTreeMap<JobKey, Job>,
-    /// Tokens of items without a result.
+    /// The number of tokens of items without a result, by queue.
     open_tokens: BTreeMap<QueueKey, u64>,
 }
 
 impl JobTable {
-    /// A job.
+    /// Returns a job regardless of its owner.
     pub fn job(&self, key: &JobKey) -> Option<&Job> {
         self.jobs.get(key)
     }
 
-    /// A job as a caller sees it: those of other tenants don't exist.
+    /// Returns a job if it is visible to `caller`.
     pub fn job_for(&self, key: &JobKey, caller: &CallerIdentity) -> Option<&Job> {
-        self.job(key).filter(|job| job.is_seen_by(caller))
+        self.job(key).filter(|job| job.is_visible_to(caller))
     }
 
-    /// All jobs.
+    /// Returns all jobs in the order of their keys.
     pub fn jobs(&self) -> impl Iterator<Item = (&JobKey, &Job)> {
         self.jobs.iter()
     }
 
-    /// Tokens of items without a result of one tenant on a route.
+    /// Returns the number of tokens of items without a result in a queue.
     pub fn open_tokens(&self, queue: &QueueKey) -> u64 {
         self.open_tokens.get(queue).copied().unwrap_or(0)
     }
 
-    /// Applies a command.
+    /// Applies a command. Applying the same command again has no further effect.
     pub fn apply(&mut self, command: JobCommand) -> JobOutcome {
         match command {
             JobCommand::Accept(submission) => self.accept(submission),
@@ -170,14 +171,14 @@
             JobCommand::Progress(items) => self.progress(items),
             JobCommand::End { job, caller } => self.end(&job, &caller),
             JobCommand::Forget { before } => self.forget(before),
-            JobCommand::Failures(items) => self.count_failures(items),
+            JobCommand::Failures(items) => self.record_failures(items),
         }
     }
 
-    /// Encodes the table for a snapshot. Failed runs follow behind the table, where a version that does not know them reads
-    /// no further.
+    /// Encodes the table for a snapshot. The counts of failed runs follow the table, where versions that do not know
+    /// them stop reading.
     pub fn encode(&self) -> Arc<[u8]> {
-        // Can't fail: the length of all that is encoded is known, and a vector takes any.
+        // Cannot fail: all lengths are known, and a vector grows as needed.
         let mut bytes = postcard::to_stdvec(self).unwrap_or_default();
         let failures = self.all_failures();
         if !failures.is_empty() {
@@ -186,14 +187,14 @@
         Arc::from(bytes)
     }
 
-    /// Reads the table from a snapshot. The empty snapshot of a new log is the empty table.
+    /// Decodes the table from a snapshot. The empty snapshot of a new log decodes to an empty table.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         if bytes.is_empty() {
             return Some(Self::default());
         }
         let (mut table, rest): (Self, _) = postcard::take_from_bytes(bytes).ok()?;
         if !rest.is_empty() {
-            table.count_failures(postcard::from_bytes(rest).ok()?);
+            table.record_failures(postcard::from_bytes(rest).ok()?);
         }
         Some(table)
     }
@@ -207,13 +208,13 @@
         self.jobs.iter().flat_map(of_job).collect()
     }
 
-    fn count_failures(&mut self, items: Vec<ItemFailures>) -> JobOutcome {
+    fn record_failures(&mut self, items: Vec<ItemFailures>) -> JobOutcome {
         for ItemFailures { key, failures } in items {
             let Some(job) = self.jobs.get_mut(&key.job) else { continue };
             let is_open = !job.ended && job.with_result.get(key.item as usize) == Some(&false);
             if is_open {
-                let known = job.failures.entry(key.item).or_default();
-                *known = failures.max(*known);
+                let recorded = job.failures.entry(key.item).or_default();
+                *recorded = failures.max(*recorded);
             }
         }
         JobOutcome::Committed
@@ -230,14 +231,14 @@
     }
 
     fn progress(&mut self, items: Vec<ItemProgress>) -> JobOutcome {
-        for more in items {
-            let Some(job) = self.jobs.get_mut(&more.key.job) else { continue };
-            let item = more.key.item;
+        for update in items {
+            let Some(job) = self.jobs.get_mut(&update.key.job) else { continue };
+            let item = update.key.item;
             let is_open = !job.ended && job.with_result.get(item as usize) == Some(&false);
-            if is_open && job.follows_on(item, more.after) {
+            if is_open && job.log_ends_at(item, update.after) {
                 let partial = job.partials.entry(item).or_default();
-                partial.text.push_str(&more.text);
-                partial.last_event = more.last_event;
+                partial.text.push_str(&update.text);
+                partial.last_event = update.last_event;
             }
         }
         JobOutcome::Committed
@@ -245,39 +246,39 @@
 
     fn finish(&mut self, key: &ItemKey, state: ItemState, after: LoggedOutput, text: &str) -> JobOutcome {
         let Some(job) = self.jobs.get_mut(&key.job) else { return JobOutcome::UnknownJob };
-        let place = key.item as usize;
-        if job.ended || job.with_result.get(place).copied().unwrap_or(true) {
+        let index = key.item as usize;
+        if job.ended || job.with_result.get(index).copied().unwrap_or(true) {
             return JobOutcome::Dropped;
         }
         let text = match state {
             ItemState::GivenUp => Arc::from(""),
-            // A text that does not follow on what the log has would not be the whole output.
-            ItemState::Completed if !job.follows_on(key.item, after) => return JobOutcome::Dropped,
+            // Text that starts anywhere but at the end of the logged output would leave a gap or an overlap.
+            ItemState::Completed if !job.log_ends_at(key.item, after) => return JobOutcome::Dropped,
             ItemState::Completed => {
-                let begun = job.partials.get(&key.item).map_or("", |partial| partial.text.as_str());
-                Arc::from(format!("{begun}{text}"))
+                let logged_text = job.partials.get(&key.item).map_or("", |partial| partial.text.as_str());
+                Arc::from(format!("{logged_text}{text}"))
             }
         };
         job.partials.remove(&key.item);
         job.failures.remove(&key.item);
-        job.with_result[place] = true;
-        let item = &mut job.submission.items[place];
+        job.with_result[index] = true;
+        let item = &mut job.submission.items[index];
         job.results.push(CommittedResult { item: key.item, id: item.id.clone(), state, text });
         item.body = Arc::from([]);
         let tokens = item.token_count;
         let queue = job.submission.queue();
-        self.release(&queue, tokens);
+        self.release_tokens(&queue, tokens);
         JobOutcome::Committed
     }
 
     fn end(&mut self, key: &JobKey, caller: &CallerIdentity) -> JobOutcome {
-        let job = self.jobs.get_mut(key).filter(|job| job.is_seen_by(caller));
+        let job = self.jobs.get_mut(key).filter(|job| job.is_visible_to(caller));
         let Some(job) = job else { return JobOutcome::UnknownJob };
         let (queue, tokens) = (job.submission.queue(), job.open_tokens());
         job.ended = true;
         job.partials.clear();
         job.failures.clear();
-        self.release(&queue, tokens);
+        self.release_tokens(&queue, tokens);
         JobOutcome::Ended
     }
 
@@ -286,7 +287,7 @@
         JobOutcome::Forgotten
     }
 
-    fn release(&mut self, queue: &QueueKey, tokens: u64) {
+    fn release_tokens(&mut self, queue: &QueueKey, tokens: u64) {
         let Some(open) = self.open_tokens.get_mut(queue) else { return };
         *open = open.saturating_sub(tokens);
         if *open == 0 {
--- a/crates/core/tests/durable_failures.rs
+++ b/crates/core/tests/durable_failures.rs
@@ -1,5 +1,5 @@
-//! How many runs of an item have failed outlasts the leader that saw them: in the log, in snapshots, and beside replicas of
-//! a version that does not know the count.
+//! The number of failed runs of an item must survive a change of leader: in the log, in snapshots, and next to replicas
+//! of versions that do not know the count.
 
 use std::sync::Arc;
 
@@ -51,7 +51,7 @@
     JobCommand::Failures(vec![ItemFailures { key: key(item), failures }])
 }
 
-/// One run of whichever item comes next fails, some time later.
+/// Fails one run of the next item.
 fn fail_next(dispatcher: &mut Dispatcher, millis: u64) -> ItemKey {
     let (key, output) = dispatcher.take_next(at(millis), UnixMillis(2_000)).expect("an item is ready");
     dispatcher.run_ended(&key, &RunEnd::Failed, output, MAX_ATTEMPTS, at(millis));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn items_fail_no_more_often_over_many_leaders_than_under_one() {
+fn failed_runs_are_limited_across_leaders() {
     let mut table = table();
     let mut runs = 0;
     for leader in 0..20 {
@@ -70,7 +70,7 @@
             break;
         }
         dispatcher.restart(&table);
-        // Each leader is gone right after one failed run was logged.
+        // Each leader stops right after one failed run was logged.
         fail_next(&mut dispatcher, leader * 10_000);
         runs += 1;
         if let Some(failed) = dispatcher.unlogged_failures() {
@@ -85,44 +85,44 @@
             }
         }
     }
-    assert_eq!(runs, 2 * MAX_ATTEMPTS, "two items, each given up after as many runs as the route allows");
+    assert_eq!(runs, 2 * MAX_ATTEMPTS, "each of the two items is abandoned after the maximum number of attempts");
     let states: Vec<ItemState> =
-        table.job(&key(0).job).expect("it is there").results.iter().map(|result| result.state).collect();
+        table.job(&key(0).job).expect("the job exists").results.iter().map(|result| result.state).collect();
     assert_eq!(states, [ItemState::GivenUp, ItemState::GivenUp]);
 }
 
 #[test]
-fn a_count_never_goes_down_and_ends_with_the_item() {
+fn count_never_decreases_and_ends_with_the_item() {
     let mut table = table();
-    let count = |table: &JobTable, item| table.job(&key(0).job).expect("it is there").failures(item);
+    let count = |table: &JobTable, item| table.job(&key(0).job).expect("the job exists").failures(item);
     table.apply(failures(0, 2));
     table.apply(failures(0, 1));
     assert_eq!(count(&table, 0), 2);
     table.apply(failures(7, 2));
-    assert_eq!(count(&table, 7), 0, "there is no such item");
+    assert_eq!(count(&table, 7), 0, "the item does not exist");
     let after = LoggedOutput::default();
     table.apply(JobCommand::Finish { key: key(0), state: ItemState::Completed, after, text: Arc::from("done") });
     assert_eq!(count(&table, 0), 0);
     table.apply(failures(0, 3));
-    assert_eq!(count(&table, 0), 0, "it has its result");
+    assert_eq!(count(&table, 0), 0, "the item already has a result");
 }
 
 #[test]
-fn a_snapshot_holds_the_counts_and_a_version_without_them_reads_the_rest() {
+fn snapshot_contains_the_counts_after_a_table_readable_by_older_versions() {
     let mut table = table();
     let without = table.encode();
     table.apply(failures(1, 2));
     let with = table.encode();
     assert_eq!(JobTable::decode(&with).as_ref(), Some(&table));
-    assert!(with.starts_with(&without) && with.len() > without.len(), "the counts stand behind all else");
-    let cut = &with[..with.len() - 1];
-    assert_eq!(JobTable::decode(cut), None, "counts that are cut short make the snapshot unreadable");
+    assert!(with.starts_with(&without) && with.len() > without.len(), "the counts follow the table");
+    let truncated = &with[..with.len() - 1];
+    assert_eq!(JobTable::decode(truncated), None, "truncated counts make the snapshot undecodable");
 }
 
 #[test]
-fn commands_of_before_are_read_as_ever_and_the_new_one_is_apart() {
+fn failures_command_is_encoded_as_a_new_kind() {
     let new = failures(0, 1).encode();
     assert_eq!(JobCommand::decode(&new), Some(failures(0, 1)));
-    // The place of the kind among all kinds, which a version that ends with five does not know.
+    // The index of the command kind. Versions that know only kinds 0 to 4 cannot decode it.
     assert_eq!(new[0], 5);
 }
--- a/crates/core/tests/item_rules.rs
+++ b/crates/core/tests/item_rules.rs
@@ -1,5 +1,5 @@
-//! Rules of batch items on a virtual clock: whether an item starts, what a run's end means, when progress is due, which
-//! reads wait, and when jobs are forgotten.
+//! Rules of batch items on a virtual clock: whether an item starts, the meaning of a run's end, when progress is due,
+//! which reads wait, and when jobs are removed.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -89,33 +89,33 @@
 }
 
 #[test]
-fn an_item_starts_until_ten_seconds_after_its_route_allows_it_to_be_given_up() {
+fn item_is_abandoned_ten_seconds_after_the_limit_of_its_route() {
     let table = table_of(submission("j", 1));
     let job = table.job(&key("j"));
     let configuration = configuration(7, "/batch/");
     let StartDecision::Start(start) = decide_start(job, 0, &configuration, UnixMillis(170_000)) else {
-        panic!("it is 70 s old, the limit is 60 s and the margin 10 s")
+        panic!("expected a start at 70 s, with a limit of 60 s and a margin of 10 s")
     };
     assert_eq!(&*start.item.id, "j-0");
     assert_eq!((&*start.host, &*start.route.name), ("host", "route"));
     assert_eq!(start.identity, CallerIdentity::Unchecked);
     assert_eq!(decide_start(job, 0, &configuration, UnixMillis(170_001)), StartDecision::GiveUp);
     let earlier = decide_start(job, 0, &configuration, UnixMillis(0));
-    assert!(matches!(earlier, StartDecision::Start(_)), "a clock that is behind makes nothing old");
+    assert!(matches!(earlier, StartDecision::Start(_)), "an item is not abandoned if the local clock is behind");
 }
 
 #[test]
-fn an_item_without_a_route_waits_for_the_configuration_that_its_job_was_taken_under() {
+fn item_without_a_route_waits_for_the_configuration_of_its_job() {
     let table = table_of(submission("j", 1));
     let job = table.job(&key("j"));
     let decide = |version| decide_start(job, 0, &configuration(version, "/other/"), UnixMillis(100_000));
     assert_eq!(decide(6), StartDecision::AwaitConfiguration);
-    assert_eq!(decide(7), StartDecision::GiveUp, "the route is gone");
+    assert_eq!(decide(7), StartDecision::GiveUp, "the route was removed");
     assert_eq!(decide(8), StartDecision::GiveUp);
 }
 
 #[test]
-fn an_item_that_the_table_does_not_have_is_unknown() {
+fn item_missing_from_the_table_is_unknown() {
     let table = table_of(submission("j", 1));
     let configuration = configuration(7, "/batch/");
     assert_eq!(decide_start(None, 0, &configuration, UnixMillis(0)), StartDecision::Unknown);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn an_unknown_item_whose_turn_it_was_is_dropped_and_does_not_stay_open() {
+fn unknown_item_is_dropped_and_does_not_stay_open() {
     let mut dispatcher = Dispatcher::default();
     dispatcher.restart(&table_of(submission("replaced", 2)));
     let replacement = table_of(submission("j", 1));
@@ -136,29 +136,33 @@
         dropped += 1;
     }
     assert_eq!((dropped, dispatcher.open_count()), (2, 0));
-    dispatcher.add_job(replacement.job(&key("j")).expect("it was accepted"));
+    dispatcher.add_job(replacement.job(&key("j")).expect("the job was accepted"));
     assert_eq!(dispatcher.open_count(), 1);
 }
 
 #[test]
-fn items_run_on_behalf_of_their_tenant_and_else_of_the_public_where_there_are_tenants() {
+fn items_run_on_behalf_of_their_tenant_or_of_the_public() {
     let identity = |tenant: Option<&str>, configuration: &GatewayConfiguration| {
         let table = table_of(Submission { tenant: tenant.map(TenantName::new), ..submission("j", 1) });
         match decide_start(table.job(&key("j")), 0, configuration, UnixMillis(100_000)) {
             StartDecision::Start(start) => start.identity,
-            other => panic!("it starts, not {other:?}"),
+            other => panic!("expected a start, got {other:?}"),
         }
     };
     let open = configuration(7, "/batch/");
     let checked = configuration(7, "/batch/").with_tenants(TenantTable::default());
     assert_eq!(identity(Some("a"), &open), CallerIdentity::Tenant(TenantName::new("a")));
-    assert_eq!(identity(Some("a"), &checked), CallerIdentity::Tenant(TenantName::new("a")), "also once it is gone");
+    assert_eq!(
+        identity(Some("a"), &checked),
+        CallerIdentity::Tenant(TenantName::new("a")),
+        "the identity remains after the tenant was removed"
+    );
     assert_eq!(identity(None, &open), CallerIdentity::Unchecked);
     assert_eq!(identity(None, &checked), CallerIdentity::Public);
 }
 
 #[test]
-fn a_route_limits_the_failed_runs_and_three_are_the_limit_without_one() {
+fn failed_runs_are_limited_by_the_route_or_else_to_three() {
     let table = table_of(submission("j", 1));
     let job = table.job(&key("j"));
     let known = configuration(7, "/batch/");
@@ -167,14 +171,14 @@
     assert_eq!(max_attempts(None, Some(&known)), 3);
     let none = Route { max_attempts: 0, ..route("/batch/") };
     let none = GatewayConfiguration::new(7, vec![none], Vec::new(), CallerBounds::default());
-    assert_eq!(max_attempts(job, Some(&none)), 1, "each item runs once at least");
+    assert_eq!(max_attempts(job, Some(&none)), 1, "each item runs at least once");
     let renamed = Route { name: Arc::from("another"), ..route("/batch/") };
     let renamed = GatewayConfiguration::new(8, vec![renamed], Vec::new(), CallerBounds::default());
     assert_eq!(max_attempts(job, Some(&renamed)), 3);
 }
 
 #[test]
-fn what_a_worker_answers_decides_whether_an_item_failed_or_never_can_be_done() {
+fn answer_of_a_worker_distinguishes_failed_from_impossible_items() {
     assert_eq!(RunEnd::from_status(200), None);
     assert_eq!(RunEnd::from_status(299), None);
     assert_eq!(RunEnd::from_status(422), Some(RunEnd::Impossible));
@@ -189,17 +193,17 @@
 }
 
 #[test]
-fn events_follow_one_another_repeated_ones_are_skipped_and_a_gap_breaks_the_stream() {
+fn repeated_events_are_skipped_and_a_gap_breaks_the_stream() {
     let mut output = PartialOutput { text: "one".to_owned(), last_event: Some(1) };
     assert!(output.append_event("again", Some(1)));
     assert!(output.append_event("two", Some(2)));
     assert!(!output.append_event("four", Some(4)));
-    assert!(output.append_event("three", None), "an event without an id follows");
+    assert!(output.append_event("three", None), "an event without an id is appended");
     assert_eq!(output, PartialOutput { text: "one\ntwo\nthree".to_owned(), last_event: Some(2) });
 }
 
 #[test]
-fn items_rest_for_15_ms_without_room_and_progress_is_due_each_second() {
+fn items_back_off_for_15_ms_without_capacity_and_progress_is_due_each_second() {
     let mut pacing = ItemPacing::new(at(0));
     assert!(pacing.may_start(at(0)));
     pacing.record_no_capacity(at(100));
@@ -212,7 +216,7 @@
 }
 
 #[test]
-fn items_that_pause_already_count_towards_those_that_must() {
+fn pausing_items_count_towards_the_number_to_pause() {
     let table = table_of(submission("j", 4));
     let mut dispatcher = Dispatcher::default();
     dispatcher.restart(&table);
@@ -228,8 +232,8 @@
         keys.into_iter().map(|key| key.item).collect()
     };
     assert_eq!(chosen(0), [0_u32; 0]);
-    assert_eq!(chosen(1), [0_u32; 0], "one is leaving");
-    assert_eq!(chosen(2), [3], "of equal items the youngest run");
+    assert_eq!(chosen(1), [0_u32; 0], "one is already pausing");
+    assert_eq!(chosen(2), [3], "among equal items the youngest run is paused");
     assert_eq!(chosen(9), [3, 2, 0]);
 }
 
@@ -243,7 +247,7 @@
 }
 
 #[test]
-fn a_read_waits_for_a_result_for_the_end_of_its_job_or_for_its_deadline() {
+fn read_waits_for_a_result_the_end_of_its_job_or_its_deadline() {
     let mut table = table_of(submission("j", 3));
     let mut reads = PendingReads::default();
     reads.push(read(1, "j", 0, 500));
@@ -254,19 +258,19 @@
     table.apply(finish("j", 2));
     let answers = reads.take_due(&table, true, at(1));
     assert_eq!(waiters(&answers), [1]);
-    let Some(JobsAnswer::Page(page)) = &answers[0].answer else { panic!("a page is due") };
+    let Some(JobsAnswer::Page(page)) = &answers[0].answer else { panic!("expected a page") };
     assert_eq!((page.results.len(), page.total, page.is_over), (1, 3, false));
     assert_eq!(waiters(&reads.take_due(&table, true, at(499))), [0_u64; 0]);
     let answers = reads.take_due(&table, true, at(500));
-    let Some(JobsAnswer::Page(page)) = &answers[0].answer else { panic!("an empty page is due") };
+    let Some(JobsAnswer::Page(page)) = &answers[0].answer else { panic!("expected an empty page") };
     assert_eq!((waiters(&answers), page.results.len()), (vec![2], 0));
     reads.push(read(4, "j", 1, 900));
     table.apply(JobCommand::End { job: key("j"), caller: CallerIdentity::Unchecked });
-    assert_eq!(waiters(&reads.take_due(&table, true, at(501))), [4], "nothing more will come");
+    assert_eq!(waiters(&reads.take_due(&table, true, at(501))), [4], "an ended job adds no results");
 }
 
 #[test]
-fn a_replica_that_may_not_answer_refuses_all_reads_in_their_order() {
+fn replica_that_may_not_answer_rejects_all_reads_in_order() {
     let table = table_of(submission("j", 3));
     let mut reads = PendingReads::default();
     reads.push(read(7, "j", 0, 500));
@@ -277,25 +281,26 @@
 }
 
 #[test]
-fn a_job_is_forgotten_a_minute_after_its_results_need_not_be_kept() {
+fn job_is_removed_one_minute_after_its_retention_period() {
     let mut retention = Retention::new(Millis(100_000), at(0));
     assert_eq!(retention.poll_forget(at(14_999), UnixMillis(260_001)), None);
-    let round = retention.poll_forget(at(15_000), UnixMillis(260_000)).expect("it is due");
-    assert_eq!(round, JobCommand::Forget { before: UnixMillis(100_000) });
+    let removal = retention.poll_forget(at(15_000), UnixMillis(260_000)).expect("the removal is due");
+    assert_eq!(removal, JobCommand::Forget { before: UnixMillis(100_000) });
     assert_eq!(retention.poll_forget(at(15_001), UnixMillis(260_001)), None);
     let mut table = table_of(submission("j", 1));
     table.apply(finish("j", 0));
-    table.apply(round);
-    assert!(table.job(&key("j")).is_some(), "it was received at that very time");
-    let round = retention.poll_forget(at(30_000), UnixMillis(260_001)).expect("it is due");
-    table.apply(round);
+    table.apply(removal);
+    assert!(table.job(&key("j")).is_some(), "a job received exactly at the limit is retained");
+    let removal = retention.poll_forget(at(30_000), UnixMillis(260_001)).expect("the removal is due");
+    table.apply(removal);
     assert!(table.job(&key("j")).is_none());
 }
 
-/// A replica that is the only voter, leads and may answer.
+/// Creates a replica that is the only voter, leads and may answer requests.
 fn leading(now: Timestamp) -> JobsNode {
     let settings = ReplicaSettings::default();
-    let mut node = JobsNode::new(NodeId(1), settings, PersistedReplica::default(), now, 7).expect("an empty disk");
+    let mut node =
+        JobsNode::new(NodeId(1), settings, PersistedReplica::default(), now, 7).expect("an empty disk decodes");
     node.bootstrap(GroupMembership::of_voters(BTreeSet::from([NodeId(1)])), now);
     for tick in 1..=200 {
         for effect in node.tick(now + Millis(20 * tick)) {
@@ -308,26 +313,26 @@
 }
 
 #[test]
-fn a_job_that_is_under_way_needs_no_further_room_on_the_disk() {
+fn proposed_job_needs_no_additional_disk_space() {
     let mut node = leading(at(0));
     let now = at(4_000);
     assert!(node.may_answer(now));
     let full = DiskBudget::new(Some(0));
     assert!(!full.admits(&submission("j", 1), &node));
     assert!(DiskBudget::new(None).admits(&submission("j", 1), &node));
-    node.submit(submission("j", 1), Waiter(1), now).expect("it leads");
-    assert!(full.admits(&submission("j", 1), &node), "a resend must not be refused");
+    node.submit(submission("j", 1), Waiter(1), now).expect("the replica leads");
+    assert!(full.admits(&submission("j", 1), &node), "a resubmission must not be rejected");
     assert!(!full.admits(&submission("another", 1), &node));
 }
 
 #[test]
-fn a_node_outside_the_membership_asks_to_join_every_400_ms() {
+fn node_outside_the_membership_requests_to_join_every_400_ms() {
     let mut members = MembershipPlanner::new(NodeId(3), 1, at(0));
     let outside: Replica = {
         let settings = ReplicaSettings::default();
         let group = stallmoor_core::identity::GroupId(0);
         Replica::new(group, NodeId(3), settings, PersistedReplica::default(), at(0), 7)
     };
-    let asked: Vec<u64> = (0..1_000).filter(|millis| members.poll_join(&outside, 0, at(*millis))).collect();
-    assert_eq!(asked, [400, 800]);
+    let requested: Vec<u64> = (0..1_000).filter(|millis| members.poll_join(&outside, 0, at(*millis))).collect();
+    assert_eq!(requested, [400, 800]);
 }
--- a/crates/core/tests/job_table.rs
+++ b/crates/core/tests/job_table.rs
@@ -1,5 +1,5 @@
-//! The job table against a map: jobs opened, filled, accepted, completed and cancelled in any order and
-//! any number of times, with the state encoded and decoded in between.
+//! Checks the job table against a map under any order and repetition of opening, filling, accepting, completing and
+//! cancelling jobs, with the state encoded and decoded in between.
 
 mod support;
 
@@ -29,7 +29,7 @@
     Reload,
 }
 
-/// A job as the oracle sees it.
+/// The expected state of a job.
 #[derive(Clone, Debug, Default)]
 struct ModelJob {
     digest: u64,
@@ -45,7 +45,7 @@
     }
 }
 
-/// A map of accepted items.
+/// The expected state of all jobs.
 #[derive(Clone, Debug, Default)]
 struct Model {
     jobs: BTreeMap<u64, ModelJob>,
@@ -170,16 +170,16 @@
 
     fn apply(mut state: PartitionState, model: &Model, step: Step) -> PartitionState {
         let Some(command) = command_of(&step) else {
-            let reloaded = PartitionState::decode(&state.encode()).expect("an encoded state is read back");
+            let reloaded = PartitionState::decode(&state.encode()).expect("an encoded state decodes");
             assert_eq!(reloaded, state);
             return reloaded;
         };
         let first = state.apply(&command);
         let before = state.clone();
         let again = state.apply(&command);
-        assert_eq!(before, state, "a command that arrives twice changes nothing");
+        assert_eq!(before, state, "applying a command again changes nothing");
         let is_completion = matches!(step, Step::Complete { .. });
-        assert!(is_completion || first == again, "{step:?}: {first:?} then {again:?}");
+        assert!(is_completion || first == again, "{step:?}: first {first:?}, then {again:?}");
         if let Step::Open { job, digest } = step {
             let is_conflict = model.jobs[&job].digest != digest;
             assert_eq!(first == CommandOutcome::JobConflict, is_conflict);
@@ -190,16 +190,16 @@
     fn check_invariants(state: &PartitionState, model: &Model) {
         for (job, expected) in &model.jobs {
             let QueryAnswer::Job(summary) = state.query(&Query::JobStatus { job: id_of(*job) }) else {
-                panic!("job {job} is gone");
+                panic!("job {job} is missing");
             };
             assert_eq!(summary.received, expected.received);
             assert_eq!(summary.completed as usize, expected.results.len());
             assert_eq!(summary.phase == JobPhase::Cancelled, expected.cancelled);
             assert_eq!(summary.phase == JobPhase::Accepted, expected.accepted && !expected.cancelled);
             let query = Query::JobResults { job: id_of(*job), first: 0, limit: ITEMS };
-            let QueryAnswer::Results { results, .. } = state.query(&query) else { panic!("no results") };
+            let QueryAnswer::Results { results, .. } = state.query(&query) else { panic!("expected results") };
             let read: BTreeMap<u32, u128> = results.iter().map(|item| (item.item, item.result.attempt.0)).collect();
-            assert_eq!(read, expected.results, "each item keeps its first result");
+            assert_eq!(read, expected.results, "every item retains its first result");
         }
         let running = model.jobs.values().filter(|job| job.accepted && !job.cancelled && !job.is_complete()).count();
         assert_eq!(state.running_jobs().count(), running);
@@ -210,5 +210,5 @@
     #![proptest_config(support::fuzz_config())]
 
     #[test]
-    fn job_table_agrees_with_a_map(sequential 1..120 => JobTableTest);
+    fn job_table_matches_map(sequential 1..120 => JobTableTest);
 }
--- a/crates/core/tests/jobs_node.rs
+++ b/crates/core/tests/jobs_node.rs
@@ -1,4 +1,4 @@
-//! One replica of the job table: admission of jobs, and entries that it can't read.
+//! One replica of the job table: the admission of jobs, and entries and snapshots that this version cannot decode.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 
 const SELF: NodeId = NodeId(1);
 const OTHER: NodeId = NodeId(2);
-/// Tokens that may wait on the route: room for one job of the tests and no second.
+/// The limit on queued tokens, enough for one job of these tests but not for two.
 const LIMIT: u64 = 150;
 
-/// A replica that is the only voter, with effects that are carried out when the test says so.
+/// A replica that is the only voter. The test decides when its effects are carried out.
 struct Harness {
     node: JobsNode,
     now: Timestamp,
@@ -26,23 +26,24 @@
 }
 
 impl Harness {
-    /// A leader that may answer.
+    /// Creates a leader that may answer requests.
     fn leading() -> Self {
         let now = Timestamp::from_millis(100_000);
         let settings = ReplicaSettings::default();
-        let mut node = JobsNode::new(SELF, settings, PersistedReplica::default(), now, 7).expect("an empty disk");
+        let mut node =
+            JobsNode::new(SELF, settings, PersistedReplica::default(), now, 7).expect("an empty disk decodes");
         let effects = node.bootstrap(GroupMembership::of_voters(BTreeSet::from([SELF])), now);
         let mut harness = Self { node, now, effects };
         while !harness.node.may_answer(harness.now) {
             harness.now = harness.now + Millis(20);
             let effects = harness.node.tick(harness.now);
             harness.effects.extend(effects);
-            harness.carry_out();
+            harness.apply_effects();
         }
         harness
     }
 
-    fn carry_out(&mut self) -> Vec<JobsChange> {
+    fn apply_effects(&mut self) -> Vec<JobsChange> {
         let mut changes = Vec::new();
         for effect in std::mem::take(&mut self.effects) {
             if let JobsEffect::ApplyUpTo(index) = effect {
@@ -52,8 +53,8 @@
         changes
     }
 
-    /// Takes the messages that wait to be sent.
-    fn sent(&mut self) -> Vec<ReplicationMessage> {
+    /// Takes the messages that are queued to be sent.
+    fn take_messages(&mut self) -> Vec<ReplicationMessage> {
         let (sends, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.effects).into_iter().partition(|effect| matches!(effect, JobsEffect::Send(_)));
         self.effects = rest;
@@ -93,13 +94,13 @@
 }
 
 #[test]
-fn a_job_submitted_again_while_its_proposal_is_under_way_is_not_refused() {
+fn job_resubmitted_while_proposed_is_accepted() {
     let mut harness = Harness::leading();
-    harness.submit("a", 1).expect("it fits");
-    harness.submit("a", 2).expect("it is the same job, which will be taken");
-    assert!(harness.node.may_hold(&JobKey(Arc::from("a"))));
+    harness.submit("a", 1).expect("the job fits");
+    harness.submit("a", 2).expect("a resubmission of a proposed job is accepted");
+    assert!(harness.node.has_or_proposes(&JobKey(Arc::from("a"))));
     let answers: Vec<JobsAnswer> = harness
-        .carry_out()
+        .apply_effects()
         .into_iter()
         .filter_map(|change| match change {
             JobsChange::Answer { answer, .. } => Some(answer),
@@ -110,17 +111,21 @@
 }
 
 #[test]
-fn a_job_submitted_twice_counts_once_and_another_is_refused() {
+fn resubmitted_job_counts_once_and_other_job_is_rejected() {
     let mut harness = Harness::leading();
-    harness.submit("a", 1).expect("it fits");
-    harness.submit("a", 2).expect("it is the same job");
+    harness.submit("a", 1).expect("the job fits");
+    harness.submit("a", 2).expect("a resubmission of a proposed job is accepted");
     assert_eq!(harness.submit("b", 3), Err(NotProposed::OverQuota { waiting: 100 }));
-    harness.carry_out();
-    assert_eq!(harness.submit("b", 4), Err(NotProposed::OverQuota { waiting: 100 }), "also once it is in the table");
-    harness.submit("a", 5).expect("it is in the table");
+    harness.apply_effects();
+    assert_eq!(
+        harness.submit("b", 4),
+        Err(NotProposed::OverQuota { waiting: 100 }),
+        "the limit also applies once the job is in the table"
+    );
+    harness.submit("a", 5).expect("a resubmission of a stored job is accepted");
 }
 
-/// A follower's answer of yes to whatever the candidate or leader asked.
+/// Returns a follower's positive answer to a request of the candidate or leader.
 fn granted(message: &ReplicationMessage) -> Option<ReplicationMessage> {
     let kind = match &message.kind {
         MessageKind::PreVote { .. } => MessageKind::PreVoteAnswer { granted: true },
@@ -134,21 +139,21 @@
     Some(ReplicationMessage { from: message.to, to: message.from, kind, ..message.clone() })
 }
 
-/// A leader of two that may answer; the other one follows it.
+/// Creates a leader of two voters that may answer requests, with a responsive follower.
 fn leader_of_two() -> Harness {
     let now = Timestamp::from_millis(100_000);
     let settings = ReplicaSettings::default();
-    let mut node = JobsNode::new(SELF, settings, PersistedReplica::default(), now, 7).expect("an empty disk");
+    let mut node = JobsNode::new(SELF, settings, PersistedReplica::default(), now, 7).expect("an empty disk decodes");
     let effects = node.bootstrap(GroupMembership::of_voters(BTreeSet::from([SELF, OTHER])), now);
     let mut harness = Harness { node, now, effects };
     for _ in 0..200 {
-        let messages: Vec<ReplicationMessage> = harness.sent();
+        let messages: Vec<ReplicationMessage> = harness.take_messages();
         for answer in messages.iter().filter_map(granted) {
             let effects = harness.node.step(answer, harness.now);
             harness.effects.extend(effects);
         }
-        let messages = harness.sent();
-        harness.carry_out();
+        let messages = harness.take_messages();
+        harness.apply_effects();
         harness.effects.extend(messages.into_iter().map(JobsEffect::Send));
         if harness.node.may_answer(harness.now) {
             return harness;
@@ -157,19 +162,19 @@
         let effects = harness.node.tick(harness.now);
         harness.effects.extend(effects);
     }
-    panic!("it is never elected")
+    panic!("the replica was not elected")
 }
 
 #[test]
-fn whoever_waits_on_an_entry_that_cannot_be_read_is_told_that_the_outcome_is_not_known() {
+fn proposal_replaced_by_undecodable_entry_is_answered_as_indeterminate() {
     let mut harness = leader_of_two();
-    harness.carry_out();
-    harness.submit("a", 1).expect("it fits");
+    harness.apply_effects();
+    harness.submit("a", 1).expect("the job fits");
     let index = harness.node.replica().log().last_index();
     let previous = LogIndex(index.0 - 1);
-    let previous_term = harness.node.replica().log().term_at(previous).expect("it is in the log");
+    let previous_term = harness.node.replica().log().term_at(previous).expect("the previous entry is in the log");
     let term = Term(harness.node.replica().term().0 + 1);
-    // Another leader, of a later version, puts its own entry at that place.
+    // A new leader that runs a later version replaces the entry at that index.
     let entry = Entry { term, index, payload: EntryPayload::Command(Arc::from([0xff, 0xff, 0xff])) };
     let kind = MessageKind::Append {
         previous_index: previous,
@@ -181,22 +186,22 @@
     let append = ReplicationMessage { group: GroupId(0), from: OTHER, to: SELF, term, kind };
     let effects = harness.node.step(append, harness.now);
     harness.effects.extend(effects);
-    let unsure = JobsChange::Answer { waiter: Waiter(1), answer: JobsAnswer::Indeterminate };
-    assert_eq!(harness.carry_out(), [JobsChange::Unreadable(index), unsure]);
+    let indeterminate = JobsChange::Answer { waiter: Waiter(1), answer: JobsAnswer::Indeterminate };
+    assert_eq!(harness.apply_effects(), [JobsChange::Unreadable(index), indeterminate]);
     assert!(harness.node.table().job(&JobKey(Arc::from("a"))).is_none());
-    assert_eq!(harness.node.replica().applied(), index, "what follows is applied");
+    assert_eq!(harness.node.replica().applied(), index, "the undecodable entry does not block later entries");
 }
 
 #[test]
-fn a_snapshot_that_cannot_be_read_is_refused_and_the_table_stays() {
+fn undecodable_snapshot_is_rejected_and_table_is_unchanged() {
     let mut harness = Harness::leading();
-    harness.submit("a", 1).expect("it fits");
-    harness.carry_out();
+    harness.submit("a", 1).expect("the job fits");
+    harness.apply_effects();
     let before = harness.node.table().clone();
     let snapshot = Snapshot { index: LogIndex(9), state: Arc::from([0xff, 0xff, 0xff]), ..Snapshot::default() };
     assert_eq!(harness.node.restore(&snapshot), Err(UnreadableSnapshot { index: LogIndex(9) }));
     assert_eq!(harness.node.table(), &before);
     let readable = Snapshot { state: Arc::from([]), ..snapshot };
     assert_eq!(harness.node.restore(&readable), Ok(()));
-    assert_eq!(harness.node.table().jobs().count(), 0, "the empty snapshot is the empty table");
+    assert_eq!(harness.node.table().jobs().count(), 0, "the empty snapshot restores an empty table");
 }
--- a/crates/core/tests/jobs_rules.rs
+++ b/crates/core/tests/jobs_rules.rs
@@ -1,4 +1,4 @@
-//! Rules of batch jobs: the table, the order in which items run, and a group of two.
+//! Rules of batch jobs: the table, the order in which items run and pause, shared loads, and groups of two.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -67,48 +67,48 @@
 }
 
 #[test]
-fn a_job_is_taken_once_and_a_result_keeps_its_position() {
+fn job_is_accepted_once_and_results_retain_their_positions() {
     let mut table = JobTable::default();
     accept(&mut table, "j", 3, 0, 1_000);
     assert_eq!(table.apply(finish("j", 1, "first")), JobOutcome::Committed);
     accept(&mut table, "j", 3, 500, 1_000);
     assert_eq!(table.apply(finish("j", 1, "second")), JobOutcome::Dropped);
     assert_eq!(table.apply(finish("j", 0, "zero")), JobOutcome::Committed);
-    let job = table.job(&key("j")).expect("it was accepted");
+    let job = table.job(&key("j")).expect("the job was accepted");
     let texts: Vec<&str> = job.results.iter().map(|result| &*result.text).collect();
     assert_eq!(texts, ["first", "zero"]);
     assert_eq!(table.open_tokens(&queue()), 100);
-    assert!(job.open_item_by_id("j-1").is_none(), "a listed item has no body");
+    assert!(job.open_item_by_id("j-1").is_none(), "the body of an item with a result is gone");
     assert!(job.open_item_by_id("j-2").is_some());
 }
 
 #[test]
-fn a_job_is_seen_and_ended_by_its_own_tenant_only() {
+fn job_is_visible_only_to_its_tenant() {
     let mut table = JobTable::default();
     let (owner, other) = (TenantName::new("owner"), TenantName::new("other"));
     let job = Submission { tenant: Some(owner.clone()), ..submission("j", 2, 0, 1_000) };
     assert_eq!(table.apply(JobCommand::Accept(job.clone())), JobOutcome::Accepted);
-    assert_eq!(table.apply(JobCommand::Accept(job.clone())), JobOutcome::Accepted, "a resend");
-    let stolen = Submission { tenant: Some(other.clone()), ..job };
-    assert_eq!(table.apply(JobCommand::Accept(stolen)), JobOutcome::KeyTaken);
+    assert_eq!(table.apply(JobCommand::Accept(job.clone())), JobOutcome::Accepted, "a resubmission is accepted");
+    let conflicting = Submission { tenant: Some(other.clone()), ..job };
+    assert_eq!(table.apply(JobCommand::Accept(conflicting)), JobOutcome::KeyTaken);
     let as_owner = CallerIdentity::Tenant(owner.clone());
-    let strangers = [CallerIdentity::Tenant(other.clone()), CallerIdentity::Public];
-    for stranger in &strangers {
-        assert!(table.job_for(&key("j"), stranger).is_none());
-        let end = JobCommand::End { job: key("j"), caller: stranger.clone() };
+    let non_owners = [CallerIdentity::Tenant(other.clone()), CallerIdentity::Public];
+    for non_owner in &non_owners {
+        assert!(table.job_for(&key("j"), non_owner).is_none());
+        let end = JobCommand::End { job: key("j"), caller: non_owner.clone() };
         assert_eq!(table.apply(end), JobOutcome::UnknownJob);
     }
-    assert!(!table.job(&key("j")).expect("it is there").ended, "no stranger ended it");
+    assert!(!table.job(&key("j")).expect("the job exists").ended, "other tenants cannot end the job");
     assert!(table.job_for(&key("j"), &as_owner).is_some());
     let of = |tenant: TenantName| QueueKey { tenant: Some(tenant), ..queue() };
     assert_eq!(table.open_tokens(&of(owner.clone())), 200);
-    assert_eq!(table.open_tokens(&of(other)), 0, "each tenant has a queue of its own");
+    assert_eq!(table.open_tokens(&of(other)), 0, "each tenant has a separate queue");
     assert_eq!(table.apply(JobCommand::End { job: key("j"), caller: as_owner }), JobOutcome::Ended);
     assert_eq!(table.open_tokens(&of(owner)), 0);
 }
 
 #[test]
-fn an_ended_job_lists_nothing_more_and_frees_its_tokens() {
+fn ended_job_adds_no_results_and_releases_its_tokens() {
     let mut table = JobTable::default();
     accept(&mut table, "j", 3, 0, 1_000);
     table.apply(finish("j", 0, "zero"));
@@ -120,13 +120,13 @@
 }
 
 #[test]
-fn a_page_has_one_result_at_least_and_stops_at_its_size() {
+fn page_has_at_least_one_result_and_stops_at_its_size() {
     let mut table = JobTable::default();
     accept(&mut table, "j", 4, 0, 1_000);
     for item in 0..4 {
         table.apply(finish("j", item, &"t".repeat(60)));
     }
-    let job = table.job(&key("j")).expect("it was accepted");
+    let job = table.job(&key("j")).expect("the job was accepted");
     assert_eq!(job.page(0, 10).results.len(), 1);
     assert_eq!(job.page(0, 130).results.len(), 2);
     assert_eq!(job.page(3, 130).results.len(), 1);
@@ -136,9 +136,9 @@
 proptest! {
     #![proptest_config(support::fuzz_config())]
 
-    /// The table survives its encoding, and commands that arrive twice change nothing more.
+    /// The table survives encoding, and applying a command again changes nothing.
     #[test]
-    fn the_table_bears_repetition_and_encoding(steps in prop::collection::vec((0..3_u32, 0..4_u32, 0..5_u32), 1..60)) {
+    fn table_tolerates_repetition_and_encoding(steps in prop::collection::vec((0..3_u32, 0..4_u32, 0..5_u32), 1..60)) {
         let mut table = JobTable::default();
         for (job, item, what) in steps {
             let name = format!("job-{job}");
@@ -156,7 +156,7 @@
             table.apply(command);
             prop_assert_eq!(&table, &once);
             for (key, job) in before.jobs() {
-                let now = table.job(key).expect("jobs stay");
+                let now = table.job(key).expect("jobs are not removed");
                 prop_assert_eq!(&now.results[..job.results.len()], &job.results[..]);
             }
             let open: u64 = table.jobs().map(|(_, job)| job.open_tokens()).sum();
@@ -167,19 +167,19 @@
 }
 
 #[test]
-fn items_that_can_be_in_time_go_before_those_that_cannot() {
+fn items_that_can_finish_in_time_run_first() {
     let mut table = JobTable::default();
     accept(&mut table, "early", 1, 0, 5_000);
     let mut dispatcher = Dispatcher::default();
     dispatcher.restart(&table);
-    let (first, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("one is ready");
-    // A whole run takes 2,000 ms.
+    let (first, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("an item is ready");
+    // Sets the estimate of a complete run to 2,000 ms.
     assert!(dispatcher.run_ended(&first, &RunEnd::Completed, output(200), 3, at(2_000)));
     dispatcher.remove(&first);
     accept(&mut table, "hopeless", 1, 0, 6_000);
     accept(&mut table, "possible", 1, 0, 9_000);
     for name in ["hopeless", "possible"] {
-        dispatcher.add_job(table.job(&key(name)).expect("it was accepted"));
+        dispatcher.add_job(table.job(&key(name)).expect("the job was accepted"));
     }
     let order: Vec<JobKey> =
         std::iter::from_fn(|| dispatcher.take_next(at(5_000), UnixMillis(5_000))).map(|(taken, _)| taken.job).collect();
@@ -187,19 +187,22 @@
 }
 
 #[test]
-fn a_broken_run_goes_on_after_its_last_event_and_failures_are_counted() {
+fn broken_run_resumes_after_its_last_event_and_failures_are_counted() {
     let mut table = JobTable::default();
     accept(&mut table, "j", 1, 0, 20_000);
     let mut dispatcher = Dispatcher::default();
     dispatcher.restart(&table);
-    let (item, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("it is ready");
+    let (item, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("the item is ready");
     assert!(!dispatcher.run_ended(&item, &RunEnd::BrokenOff, output(17), 2, at(100)));
-    assert!(dispatcher.take_next(at(101), UnixMillis(101)).is_none(), "it waits a little");
-    let (_, kept) = dispatcher.take_next(at(1_000), UnixMillis(1_000)).expect("it is ready again");
-    assert_eq!(kept.last_event, Some(17));
-    assert!(!dispatcher.run_ended(&item, &RunEnd::Failed, kept, 2, at(1_100)));
-    let (_, kept) = dispatcher.take_next(at(3_000), UnixMillis(3_000)).expect("it is ready again");
-    assert!(dispatcher.run_ended(&item, &RunEnd::Failed, kept, 2, at(3_100)), "the second failure ends it");
+    assert!(dispatcher.take_next(at(101), UnixMillis(101)).is_none(), "the item is delayed");
+    let (_, resumed) = dispatcher.take_next(at(1_000), UnixMillis(1_000)).expect("the item is ready again");
+    assert_eq!(resumed.last_event, Some(17));
+    assert!(!dispatcher.run_ended(&item, &RunEnd::Failed, resumed, 2, at(1_100)));
+    let (_, resumed) = dispatcher.take_next(at(3_000), UnixMillis(3_000)).expect("the item is ready again");
+    assert!(
+        dispatcher.run_ended(&item, &RunEnd::Failed, resumed, 2, at(3_100)),
+        "the item is abandoned after the second failure"
+    );
     let given_up = JobCommand::Finish {
         key: item,
         state: ItemState::GivenUp,
@@ -210,34 +213,34 @@
 }
 
 #[test]
-fn an_item_that_was_paused_often_waits_no_longer_than_one_that_was_paused_once() {
+fn repeated_pauses_with_progress_do_not_increase_the_delay() {
     let mut table = JobTable::default();
     accept(&mut table, "j", 1, 0, 60_000);
     let mut dispatcher = Dispatcher::default();
     dispatcher.restart(&table);
     let mut now = 0;
     for pause in 1..8 {
-        let (item, kept) = dispatcher.take_next(at(now), UnixMillis(now)).expect("it is ready");
-        assert_eq!(kept.last_event.unwrap_or(0), (pause - 1) * 10);
+        let (item, resumed) = dispatcher.take_next(at(now), UnixMillis(now)).expect("the item is ready");
+        assert_eq!(resumed.last_event.unwrap_or(0), (pause - 1) * 10);
         now += 200;
         assert!(!dispatcher.run_ended(&item, &RunEnd::Paused, output(pause * 10), 3, at(now)));
-        assert!(dispatcher.take_next(at(now), UnixMillis(now)).is_none(), "the room is for an online request");
+        assert!(dispatcher.take_next(at(now), UnixMillis(now)).is_none(), "the capacity is left to an online request");
         now += 40;
     }
 }
 
 #[test]
-fn items_with_time_to_spare_are_paused_before_urgent_ones_and_hopeless_ones_first() {
+fn late_items_are_paused_first_then_those_with_the_most_slack() {
     let mut table = JobTable::default();
     accept(&mut table, "measured", 1, 0, 5_000);
     let mut dispatcher = Dispatcher::default();
     dispatcher.restart(&table);
-    let (first, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("one is ready");
-    // A whole run takes 2,000 ms.
+    let (first, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("an item is ready");
+    // Sets the estimate of a complete run to 2,000 ms.
     assert!(dispatcher.run_ended(&first, &RunEnd::Completed, output(200), 3, at(2_000)));
     for (name, due) in [("urgent", 8_000), ("hopeless", 6_000), ("spare", 20_000), ("nearly-done", 8_000)] {
         accept(&mut table, name, 1, 0, due);
-        dispatcher.add_job(table.job(&key(name)).expect("it was accepted"));
+        dispatcher.add_job(table.job(&key(name)).expect("the job was accepted"));
     }
     let running = |name: &str, run, events| RunningItem {
         key: ItemKey { job: key(name), item: 0 },
@@ -245,7 +248,7 @@
         events,
         is_pausing: false,
     };
-    // The youngest runs are the most urgent ones, as they are started first.
+    // The most urgent item has the youngest run, so pausing the youngest runs first would fail this test.
     let mut items = vec![
         running("hopeless", 1, 10),
         running("spare", 2, 10),
@@ -258,34 +261,38 @@
 }
 
 #[test]
-fn an_item_that_finds_no_room_waits_longer_each_time() {
+fn delay_grows_while_an_item_does_not_run() {
     let mut table = JobTable::default();
     accept(&mut table, "j", 1, 0, 60_000);
     let mut dispatcher = Dispatcher::default();
     dispatcher.restart(&table);
     for wait in [40, 80, 160] {
-        let (item, kept) = dispatcher.take_next(at(wait * 10), UnixMillis(0)).expect("it is ready");
-        assert!(!dispatcher.run_ended(&item, &RunEnd::NotRun, kept, 3, at(wait * 10)));
+        let (item, resumed) = dispatcher.take_next(at(wait * 10), UnixMillis(0)).expect("the item is ready");
+        assert!(!dispatcher.run_ended(&item, &RunEnd::NotRun, resumed, 3, at(wait * 10)));
         assert!(dispatcher.take_next(at(wait * 10 + wait - 1), UnixMillis(0)).is_none());
     }
 }
 
 #[test]
-fn an_impossible_item_is_given_up_at_once_and_an_ended_job_is_dropped() {
+fn impossible_item_is_abandoned_at_once_and_ended_job_is_dropped() {
     let mut table = JobTable::default();
     accept(&mut table, "j", 2, 0, 20_000);
     let mut dispatcher = Dispatcher::default();
     dispatcher.restart(&table);
-    let (first, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("it is ready");
-    let (second, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("it is ready");
+    let (first, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("the first item is ready");
+    let (second, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("the second item is ready");
     assert!(dispatcher.run_ended(&first, &RunEnd::Impossible, PartialOutput::default(), 3, at(10)));
-    assert_eq!(dispatcher.remove_job(&key("j")), vec![second.clone()], "what runs must be stopped");
+    assert_eq!(
+        dispatcher.remove_job(&key("j")),
+        vec![second.clone()],
+        "running items are returned so that they can be stopped"
+    );
     assert!(!dispatcher.run_ended(&second, &RunEnd::Completed, output(5), 3, at(20)));
     assert_eq!(dispatcher.open_count(), 0);
 }
 
 #[test]
-fn outputs_are_joined_by_line_feeds() {
+fn event_data_is_joined_by_line_feeds() {
     let mut partial = PartialOutput::default();
     partial.push("", Some(1));
     partial.push("two", Some(2));
@@ -295,95 +302,95 @@
 }
 
 #[test]
-fn shared_loads_leave_out_the_asker_and_old_news() {
+fn shared_loads_exclude_the_sender_and_expired_reports() {
     let count = |name: &str, requests| WorkerCount { worker: WorkerId(Arc::from(name)), requests };
-    let news = |name: &str, requests, told| WorkerReport {
+    let report = |name: &str, requests, reported| WorkerReport {
         worker: WorkerId(Arc::from(name)),
         requests,
-        self_reported: told,
+        self_reported: reported,
         ejected_by: 0,
         batch: 0,
     };
-    let mut share = LoadAggregator::default();
-    let first = LoadReport { workers: vec![news("w", 3, Some(9))], placed_per_s: 20, ..LoadReport::default() };
+    let mut aggregator = LoadAggregator::default();
+    let first = LoadReport { workers: vec![report("w", 3, Some(9))], placed_per_s: 20, ..LoadReport::default() };
     let second = LoadReport {
-        workers: vec![news("w", 4, None), news("v", 1, Some(1))],
+        workers: vec![report("w", 4, None), report("v", 1, Some(1))],
         placed_per_s: 30,
         ..LoadReport::default()
     };
-    share.record_report(NodeId(1), first, at(0));
-    share.record_report(NodeId(2), second, at(500));
+    aggregator.record_report(NodeId(1), first, at(0));
+    aggregator.record_report(NodeId(2), second, at(500));
     let batch = [count("v", 2)];
-    let heard = share.report_for(NodeId(1), &batch, at(500));
-    let with_items = WorkerReport { batch: 2, ..news("v", 3, Some(1)) };
-    assert_eq!(heard.workers, vec![with_items, news("w", 4, Some(9))]);
-    assert_eq!(heard.placed_per_s, 30, "the asker knows its own");
-    assert_eq!(heard.reporters, 2);
-    assert_eq!(share.online_requests(at(500)), vec![count("v", 1), count("w", 7)]);
-    assert_eq!(share.online_requests(at(1_200)), vec![count("v", 1), count("w", 4)]);
+    let received = aggregator.report_for(NodeId(1), &batch, at(500));
+    let with_items = WorkerReport { batch: 2, ..report("v", 3, Some(1)) };
+    assert_eq!(received.workers, vec![with_items, report("w", 4, Some(9))]);
+    assert_eq!(received.placed_per_s, 30, "the sender's own rate is excluded");
+    assert_eq!(received.reporters, 2);
+    assert_eq!(aggregator.online_requests(at(500)), vec![count("v", 1), count("w", 7)]);
+    assert_eq!(aggregator.online_requests(at(1_200)), vec![count("v", 1), count("w", 4)]);
 }
 
 #[test]
-fn a_worker_is_dead_once_it_failed_two_nodes_and_told_none() {
-    let mut share = LoadAggregator::default();
-    let failing = |told| {
-        let news = WorkerReport {
+fn worker_has_failed_if_two_nodes_ejected_it_and_it_did_not_report() {
+    let mut aggregator = LoadAggregator::default();
+    let failing = |reported| {
+        let report = WorkerReport {
             worker: WorkerId(Arc::from("w")),
             requests: 1,
-            self_reported: told,
+            self_reported: reported,
             ejected_by: 1,
             batch: 0,
         };
-        LoadReport { workers: vec![news], ..LoadReport::default() }
+        LoadReport { workers: vec![report], ..LoadReport::default() }
     };
-    share.record_report(NodeId(1), failing(None), at(0));
-    assert_eq!(share.failed_workers(at(0)), vec![]);
-    share.record_report(NodeId(2), failing(None), at(10));
-    assert_eq!(share.failed_workers(at(10)), vec![WorkerId(Arc::from("w"))]);
-    assert_eq!(share.report_for(NodeId(3), &[], at(10)).workers[0].ejected_by, 2);
-    share.record_report(NodeId(2), failing(Some(1)), at(20));
-    assert_eq!(share.failed_workers(at(20)), vec![]);
-}
-
-/// What one node of the oracle told, and when.
-struct Tale {
-    news: LoadReport,
+    aggregator.record_report(NodeId(1), failing(None), at(0));
+    assert_eq!(aggregator.failed_workers(at(0)), vec![]);
+    aggregator.record_report(NodeId(2), failing(None), at(10));
+    assert_eq!(aggregator.failed_workers(at(10)), vec![WorkerId(Arc::from("w"))]);
+    assert_eq!(aggregator.report_for(NodeId(3), &[], at(10)).workers[0].ejected_by, 2);
+    aggregator.record_report(NodeId(2), failing(Some(1)), at(20));
+    assert_eq!(aggregator.failed_workers(at(20)), vec![]);
+}
+
+/// The last report of a node, and when it was sent.
+struct OracleReport {
+    report: LoadReport,
     at: u64,
 }
 
 proptest! {
     #![proptest_config(support::fuzz_config())]
 
-    /// The kept sums are those that would be made from all that was told within the last second, apart from
-    /// what is believed for up to a tenth of a second longer.
+    /// The incremental sums equal the sums over all reports of the last second, except that expired reports may count
+    /// for up to 100 ms longer.
     #[test]
-    fn shared_loads_are_the_sums_of_what_was_told(
-        tales in prop::collection::vec((0..6_u64, 0..400_u64, prop::collection::vec((0..5_u32, 0..9_u32), 0..5)), 1..40),
+    fn shared_loads_are_the_sums_of_recent_reports(
+        reports in prop::collection::vec((0..6_u64, 0..400_u64, prop::collection::vec((0..5_u32, 0..9_u32), 0..5)), 1..40),
     ) {
-        let mut share = LoadAggregator::default();
-        let mut oracle: BTreeMap<u64, Tale> = BTreeMap::new();
+        let mut aggregator = LoadAggregator::default();
+        let mut oracle: BTreeMap<u64, OracleReport> = BTreeMap::new();
         let mut now = 0;
-        for (node, pause, loads) in tales {
+        for (node, pause, loads) in reports {
             now += pause;
             let loads: BTreeMap<u32, u32> = loads.into_iter().collect();
-            let named = |(worker, requests): (&u32, &u32)| WorkerReport {
+            let worker_report = |(worker, requests): (&u32, &u32)| WorkerReport {
                 worker: WorkerId(Arc::from(format!("w{worker}"))),
                 requests: *requests,
                 self_reported: None,
                 ejected_by: 0,
                 batch: 0,
             };
-            let news = LoadReport { workers: loads.iter().map(named).collect(), placed_per_s: node as u32, ..LoadReport::default() };
-            share.record_report(NodeId(node), news.clone(), at(now));
-            oracle.insert(node, Tale { news, at: now });
-            let heard = share.report_for(NodeId(node), &[], at(now));
-            let sum = |least_age: u64, worker: &WorkerId| -> u32 {
-                let others = oracle.iter().filter(|(other, tale)| **other != node && now - tale.at < least_age);
-                others.flat_map(|(_, tale)| &tale.news.workers).filter(|news| news.worker == *worker).map(|news| news.requests).sum()
+            let report = LoadReport { workers: loads.iter().map(worker_report).collect(), placed_per_s: node as u32, ..LoadReport::default() };
+            aggregator.record_report(NodeId(node), report.clone(), at(now));
+            oracle.insert(node, OracleReport { report, at: now });
+            let received = aggregator.report_for(NodeId(node), &[], at(now));
+            let sum = |max_age: u64, worker: &WorkerId| -> u32 {
+                let others = oracle.iter().filter(|(other, entry)| **other != node && now - entry.at < max_age);
+                others.flat_map(|(_, entry)| &entry.report.workers).filter(|report| report.worker == *worker).map(|report| report.requests).sum()
             };
             for worker in 0..5 {
                 let worker = WorkerId(Arc::from(format!("w{worker}")));
-                let requests = heard.workers.iter().find(|news| news.worker == worker).map_or(0, |news| news.requests);
+                let requests = received.workers.iter().find(|report| report.worker == worker).map_or(0, |report| report.requests);
                 prop_assert!(sum(1_000, &worker) <= requests && requests <= sum(1_100, &worker));
             }
         }
@@ -412,12 +419,12 @@
 }
 
 #[test]
-fn a_pair_is_recorded_only_once_it_is_committed() {
+fn pair_is_recorded_only_once_committed() {
     let membership = pair();
     let nothing = StoredPair::default();
     let uncommitted = PairView { is_committed: false, ..view(&membership, 1, true) };
     assert_eq!(nothing.next_write(&uncommitted), None);
-    let written = nothing.next_write(&view(&membership, 1, true)).expect("it is due");
+    let written = nothing.next_write(&view(&membership, 1, true)).expect("the record is due");
     assert_eq!(written.state, PairState::Whole);
     assert_eq!(nothing.next_write(&view(&membership, 2, false)), None, "a follower writes nothing");
     let three = GroupMembership::of_voters([NodeId(1), NodeId(2), NodeId(3)]);
@@ -425,20 +432,20 @@
 }
 
 #[test]
-fn only_a_member_of_the_recorded_pair_may_survive_it() {
+fn only_a_member_of_the_recorded_pair_becomes_its_survivor() {
     let membership = pair();
     let lost = PairView { other_is_lost: true, ..view(&membership, 2, false) };
-    let written = stored(PairState::Whole, 50).next_write(&lost).expect("it is due");
+    let written = stored(PairState::Whole, 50).next_write(&lost).expect("the record is due");
     assert_eq!(written.state, PairState::Survived(NodeId(2)));
-    assert_eq!(stored(PairState::Whole, 49).next_write(&lost), None, "the record is of another membership");
+    assert_eq!(stored(PairState::Whole, 49).next_write(&lost), None, "the record describes another membership");
     assert_eq!(stored(PairState::Dissolved, 50).next_write(&lost), None, "the group has grown since");
-    assert_eq!(stored(PairState::Survived(NodeId(1)), 50).next_write(&lost), None, "the other was first");
-    assert!(stored(PairState::Survived(NodeId(2)), 50).makes_survivor(NodeId(2), &membership, LogIndex(50)));
-    assert!(!stored(PairState::Survived(NodeId(1)), 50).makes_survivor(NodeId(2), &membership, LogIndex(50)));
+    assert_eq!(stored(PairState::Survived(NodeId(1)), 50).next_write(&lost), None, "the other member was faster");
+    assert!(stored(PairState::Survived(NodeId(2)), 50).is_survivor(NodeId(2), &membership, LogIndex(50)));
+    assert!(!stored(PairState::Survived(NodeId(1)), 50).is_survivor(NodeId(2), &membership, LogIndex(50)));
 }
 
 #[test]
-fn a_pair_is_dissolved_before_the_group_grows() {
+fn pair_is_dissolved_before_the_group_grows() {
     let membership = pair();
     let grows = PairView { wants_change: true, ..view(&membership, 1, true) };
     for known in [StoredPair::default(), stored(PairState::Whole, 50)] {
@@ -456,33 +463,33 @@
 }
 
 #[test]
-fn another_leader_goes_on_from_what_the_log_has() {
+fn new_leader_resumes_from_the_logged_output() {
     let mut table = JobTable::default();
     accept(&mut table, "j", 1, 0, 20_000);
     let mut first = Dispatcher::default();
     first.restart(&table);
-    let (item, mut output) = first.take_next(at(0), UnixMillis(0)).expect("it is ready");
+    let (item, mut output) = first.take_next(at(0), UnixMillis(0)).expect("the item is ready");
     for number in 1..=30 {
         output.push(&format!("piece {number}"), Some(number));
     }
-    let logged = first.progress_of(&item, &output).expect("that is much");
+    let logged = first.progress_of(&item, &output).expect("enough events for a progress record");
     first.progress_proposed(&logged);
-    assert_eq!(first.progress_of(&item, &output), None, "nothing more came");
+    assert_eq!(first.progress_of(&item, &output), None, "there is no new output");
     table.apply(JobCommand::Progress(vec![logged]));
     let mut second = Dispatcher::default();
     second.restart(&table);
-    let (item, mut output) = second.take_next(at(0), UnixMillis(0)).expect("it is ready");
-    assert_eq!(output.last_event, Some(30), "it goes on after the thirtieth event");
+    let (item, mut output) = second.take_next(at(0), UnixMillis(0)).expect("the item is ready");
+    assert_eq!(output.last_event, Some(30), "the item resumes after the last logged event");
     output.push("piece 31", Some(31));
     assert!(second.run_ended(&item, &RunEnd::Completed, output, 3, at(100)));
-    let finished = second.uncommitted_results().pop().expect("a result is due");
+    let finished = second.uncommitted_results().pop().expect("there is a result to commit");
     assert_eq!(table.apply(finished), JobOutcome::Committed);
-    let whole: Vec<String> = (1..=31).map(|number| format!("piece {number}")).collect();
-    assert_eq!(&*table.job(&key("j")).expect("it is there").results[0].text, whole.join("\n"));
+    let complete: Vec<String> = (1..=31).map(|number| format!("piece {number}")).collect();
+    assert_eq!(&*table.job(&key("j")).expect("the job exists").results[0].text, complete.join("\n"));
 }
 
 #[test]
-fn a_result_that_does_not_follow_on_what_the_log_has_is_dropped() {
+fn result_that_does_not_continue_the_logged_output_is_dropped() {
     let mut table = JobTable::default();
     accept(&mut table, "j", 1, 0, 20_000);
     table.apply(progress("j", LoggedOutput::default(), "one", 1));
@@ -495,5 +502,5 @@
     let item = ItemKey { job: key("j"), item: 0 };
     let end = JobCommand::Finish { key: item, state: ItemState::Completed, after, text: Arc::from("\nthree") };
     assert_eq!(table.apply(end), JobOutcome::Committed);
-    assert_eq!(&*table.job(&key("j")).expect("it is there").results[0].text, "one\ntwo\nthree");
+    assert_eq!(&*table.job(&key("j")).expect("the job exists").results[0].text, "one\ntwo\nthree");
 }
