--- a/crates/core/tests/jobs_simulation.rs
+++ b/crates/core/tests/jobs_simulation.rs
@@ -1,5 +1,6 @@
-//! Storing nodes on a virtual clock: power losses, lost disks, emptied machines and cuts, against an
-//! oracle of what was acknowledged. The decision code is the one that runs: [`JobsNode`], [`MembershipPlanner`].
+//! Simulates storage nodes on a virtual clock under power losses, lost disks, drained machines and network partitions,
+//! and checks against an oracle that acknowledged data is retained. Runs the production [`JobsNode`] and
+//! [`MembershipPlanner`].
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -22,12 +23,12 @@
 use stallmoor_core::serving::jobs::table::CommittedResult;
 use stallmoor_core::time::{Millis, Timestamp, UnixMillis};
 
-/// The clock's step, in milliseconds.
-const STEP: u64 = 4;
-/// A sync of the disk takes this long, in milliseconds.
-const SYNC: u64 = 8;
-/// A disk may be lost this long after the last one was replaced, in milliseconds.
-const CATCH_UP: u64 = 4_800;
+/// The step of the virtual clock in milliseconds.
+const STEP_MS: u64 = 4;
+/// The duration of a disk sync in milliseconds.
+const SYNC_MS: u64 = 8;
+/// The minimum time between the replacement of a disk and the loss of the next one, in milliseconds.
+const CATCH_UP_MS: u64 = 4_800;
 
 struct Machine {
     zone: &'static str,
@@ -35,7 +36,7 @@
     disk: PersistedReplica,
     process: Option<Process>,
     starts_at: Option<u64>,
-    cut_until: u64,
+    partitioned_until: u64,
     removed: bool,
 }
 
@@ -44,7 +45,7 @@
     members: MembershipPlanner,
     queue: VecDeque<JobsEffect>,
     syncing: Option<(u64, stallmoor_core::replication::LogWrite)>,
-    greeted_at: u64,
+    contacted_at: u64,
 }
 
 /// The metadata store: the directory, and the pair's record with its revision.
@@ -60,26 +61,26 @@
 #[derive(Default)]
 struct Oracle {
     accepted: BTreeSet<JobKey>,
-    listed: BTreeMap<(JobKey, u32), CommittedResult>,
+    observed: BTreeMap<(JobKey, u32), CommittedResult>,
 }
 
 struct World {
-    /// Disks that may be lost at once.
+    /// The number of disks that may be lost at the same time.
     tolerated: usize,
     now: u64,
     random: Xoshiro256PlusPlus,
     machines: BTreeMap<String, Machine>,
-    under_way: VecDeque<(u64, ReplicationMessage)>,
-    greetings: VecDeque<(u64, NodeId)>,
+    in_flight: VecDeque<(u64, ReplicationMessage)>,
+    contacts: VecDeque<(u64, NodeId)>,
     store: Store,
     oracle: Oracle,
     submitted: BTreeMap<Waiter, JobKey>,
-    emptied: Vec<Arc<str>>,
+    drained: Vec<Arc<str>>,
     next: u64,
     disk_lost_at: u64,
-    /// Bytes of each item's body.
+    /// The size of each item's body.
     body_bytes: usize,
-    /// Snapshots that were sent to a follower.
+    /// The number of snapshots sent to followers.
     snapshots_sent: u64,
 }
 
@@ -119,12 +120,12 @@
             now: 1_000_000,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             machines: BTreeMap::new(),
-            under_way: VecDeque::new(),
-            greetings: VecDeque::new(),
+            in_flight: VecDeque::new(),
+            contacts: VecDeque::new(),
             store: Store::default(),
             oracle: Oracle::default(),
             submitted: BTreeMap::new(),
-            emptied: Vec::new(),
+            drained: Vec::new(),
             next: 0,
             disk_lost_at: 0,
             body_bytes: 200,
@@ -138,9 +139,9 @@
         let names: Vec<String> = world.machines.keys().cloned().collect();
         for name in &names {
             world.start(name);
-            let machine = world.machines.get_mut(name).expect("it was added");
+            let machine = world.machines.get_mut(name).expect("the machine was added");
             if founders.contains(&machine.id) {
-                let process = machine.process.as_mut().expect("it was started");
+                let process = machine.process.as_mut().expect("the machine was started");
                 let effects = process.node.bootstrap(GroupMembership::of_voters(founders.clone()), now);
                 process.queue.extend(effects);
             }
@@ -152,14 +153,14 @@
         Timestamp::from_millis(self.now)
     }
 
-    fn draw_id(&mut self) -> NodeId {
+    fn next_id(&mut self) -> NodeId {
         self.next += 1;
         NodeId(self.next)
     }
 
     fn add_machine(&mut self) -> String {
         const ZONES: [&str; 3] = ["a", "b", "c"];
-        let id = self.draw_id();
+        let id = self.next_id();
         let name = format!("machine-{:02}", id.0);
         let zone = ZONES[self.machines.len() % ZONES.len()];
         let machine = Machine {
@@ -168,7 +169,7 @@
             disk: PersistedReplica::default(),
             process: None,
             starts_at: None,
-            cut_until: 0,
+            partitioned_until: 0,
             removed: false,
         };
         self.machines.insert(name.clone(), machine);
@@ -178,11 +179,12 @@
     fn start(&mut self, name: &str) {
         let now = self.time();
         let seed = self.random.random();
-        let machine = self.machines.get_mut(name).expect("it exists");
+        let machine = self.machines.get_mut(name).expect("the machine exists");
         let settings = ReplicaSettings::default();
-        let node = JobsNode::new(machine.id, settings, machine.disk.clone(), now, seed).expect("it can be read");
+        let node =
+            JobsNode::new(machine.id, settings, machine.disk.clone(), now, seed).expect("the disk can be decoded");
         let members = MembershipPlanner::new(machine.id, self.tolerated, now);
-        machine.process = Some(Process { node, members, queue: VecDeque::new(), syncing: None, greeted_at: 0 });
+        machine.process = Some(Process { node, members, queue: VecDeque::new(), syncing: None, contacted_at: 0 });
         machine.starts_at = None;
         let record = StorageRecord {
             name: Arc::from(name),
@@ -193,30 +195,30 @@
         self.store.directory.upsert(record);
     }
 
-    /// Power is lost: what was being synced is there or not.
-    fn lose_power(&mut self, name: &str, back_after: u64) {
-        let torn = self.random.random::<bool>();
-        let at = self.now + back_after;
-        let machine = self.machines.get_mut(name).expect("it exists");
+    /// Cuts the power of a machine. A sync in progress either completed or is lost.
+    fn lose_power(&mut self, name: &str, restart_after: u64) {
+        let sync_completed = self.random.random::<bool>();
+        let at = self.now + restart_after;
+        let machine = self.machines.get_mut(name).expect("the machine exists");
         if let Some(Process { syncing: Some((_, write)), .. }) = machine.process.take()
-            && torn
+            && sync_completed
         {
             machine.disk.write(&write);
         }
         machine.starts_at = Some(at);
     }
 
-    fn lose_disk(&mut self, name: &str, back_after: u64) {
-        self.lose_power(name, back_after);
-        let id = self.draw_id();
-        let machine = self.machines.get_mut(name).expect("it exists");
+    fn lose_disk(&mut self, name: &str, restart_after: u64) {
+        self.lose_power(name, restart_after);
+        let id = self.next_id();
+        let machine = self.machines.get_mut(name).expect("the machine exists");
         machine.disk = PersistedReplica::default();
         machine.id = id;
-        self.disk_lost_at = self.now + back_after;
+        self.disk_lost_at = self.now + restart_after;
     }
 
     fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_MS;
         let due: Vec<String> = self
             .machines
             .iter()
@@ -235,14 +237,14 @@
 
     fn deliver(&mut self) {
         let now = self.time();
-        let messages: Vec<(u64, ReplicationMessage)> = self.under_way.drain(..).collect();
+        let messages: Vec<(u64, ReplicationMessage)> = self.in_flight.drain(..).collect();
         for (at, message) in messages {
             if at > self.now {
-                self.under_way.push_back((at, message));
+                self.in_flight.push_back((at, message));
                 continue;
             }
             let (from, to) = (message.from, message.to);
-            if self.is_cut(from) || self.is_cut(to) {
+            if self.is_partitioned(from) || self.is_partitioned(to) {
                 continue;
             }
             let target = self.machines.values_mut().find(|machine| machine.id == to);
@@ -252,11 +254,11 @@
                 process.queue.extend(effects);
             }
         }
-        let greetings: Vec<(u64, NodeId)> = self.greetings.drain(..).collect();
-        for (at, from) in greetings {
+        let contacts: Vec<(u64, NodeId)> = self.contacts.drain(..).collect();
+        for (at, from) in contacts {
             if at > self.now {
-                self.greetings.push_back((at, from));
-            } else if !self.is_cut(from) {
+                self.contacts.push_back((at, from));
+            } else if !self.is_partitioned(from) {
                 for process in self.machines.values_mut().filter_map(|machine| machine.process.as_mut()) {
                     process.members.record_contact(from, now);
                 }
@@ -264,8 +266,8 @@
         }
     }
 
-    fn is_cut(&self, node: NodeId) -> bool {
-        self.machines.values().any(|machine| machine.id == node && machine.cut_until > self.now)
+    fn is_partitioned(&self, node: NodeId) -> bool {
+        self.machines.values().any(|machine| machine.id == node && machine.partitioned_until > self.now)
     }
 
     fn run_process(&mut self, name: &str) {
@@ -273,18 +275,18 @@
         let store_is_up = self.store.down_until <= self.now;
         let directory = self.store.directory.clone();
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let is_cut = machine.cut_until > self.now;
+        let is_partitioned = machine.partitioned_until > self.now;
         let Some(process) = machine.process.as_mut() else { return };
         let effects = process.node.tick(now);
         process.queue.extend(effects);
-        if !process.node.replica().membership().contains(machine.id) && self.now - process.greeted_at > 400 {
-            process.greeted_at = self.now;
-            self.greetings.push_back((self.now + 2, machine.id));
+        if !process.node.replica().membership().contains(machine.id) && self.now - process.contacted_at > 400 {
+            process.contacted_at = self.now;
+            self.contacts.push_back((self.now + 2, machine.id));
         }
-        if store_is_up && !is_cut {
+        if store_is_up && !is_partitioned {
             process.members.apply_pair_record(self.store.pair.clone());
-            for emptied in &self.emptied {
-                process.members.drain(emptied.clone());
+            for drained in &self.drained {
+                process.members.drain(drained.clone());
             }
         }
         let leads = process.node.may_answer(now);
@@ -298,7 +300,7 @@
                 }
                 MembershipAction::ContinueAlone => process.queue.extend(process.node.become_sole_voter(now)),
                 MembershipAction::WritePair { record, revision } => {
-                    let reachable = store_is_up && !is_cut;
+                    let reachable = store_is_up && !is_partitioned;
                     let read = reachable.then(|| write_pair(&mut self.store, record, revision));
                     process.members.finish_pair_write(read);
                 }
@@ -321,24 +323,24 @@
         while process.syncing.is_none() {
             let Some(effect) = process.queue.pop_front() else { break };
             match effect {
-                JobsEffect::Persist(write) => process.syncing = Some((self.now + SYNC, write)),
+                JobsEffect::Persist(write) => process.syncing = Some((self.now + SYNC_MS, write)),
                 JobsEffect::Send(message) => {
                     self.snapshots_sent += u64::from(matches!(message.kind, MessageKind::InstallSnapshot(_)));
                     let delay = 1 + self.random.random_range(0..4);
                     if self.random.random_range(0..100) > 0 {
-                        self.under_way.push_back((self.now + delay, message));
+                        self.in_flight.push_back((self.now + delay, message));
                     }
                 }
                 JobsEffect::Restore(snapshot) => {
-                    process.node.restore(&snapshot).expect("a snapshot of a table can be read")
+                    process.node.restore(&snapshot).expect("a snapshot of a table can be decoded")
                 }
                 JobsEffect::ApplyUpTo(index) => changes.extend(process.node.apply_up_to(index, now)),
             }
         }
-        self.note(changes);
+        self.record_answers(changes);
     }
 
-    fn note(&mut self, changes: Vec<JobsChange>) {
+    fn record_answers(&mut self, changes: Vec<JobsChange>) {
         for change in changes {
             if let JobsChange::Answer { waiter, answer } = change
                 && let Some(key) = self.submitted.remove(&waiter)
@@ -349,15 +351,15 @@
         }
     }
 
-    /// A client submits a job, a worker finishes an item, and a client reads, each at whoever leads.
-    fn use_leader(&mut self) {
+    /// Lets a client submit a job, a worker finish an item, and a client read, at each node that leads.
+    fn run_clients(&mut self) {
         let now = self.time();
         let number = self.next;
         self.next += 1;
         let leaders: Vec<String> = self
             .machines
             .iter()
-            .filter(|(_, machine)| machine.cut_until <= self.now)
+            .filter(|(_, machine)| machine.partitioned_until <= self.now)
             .filter(|(_, machine)| machine.process.as_ref().is_some_and(|process| process.node.may_answer(now)))
             .map(|(name, _)| name.clone())
             .collect();
@@ -367,8 +369,8 @@
             for (key, job) in process.node.table().jobs() {
                 for (position, result) in job.results.iter().enumerate() {
                     let place = (key.clone(), position as u32);
-                    let earlier = self.oracle.listed.entry(place).or_insert_with(|| result.clone());
-                    assert_eq!(earlier, result, "a position of {key} changed");
+                    let earlier = self.oracle.observed.entry(place).or_insert_with(|| result.clone());
+                    assert_eq!(earlier, result, "the result of {key} at a fixed position changed");
                 }
             }
             let key = JobKey(Arc::from(format!("job-{number}")));
@@ -402,7 +404,7 @@
         while self.now < end {
             self.step();
             if self.now.is_multiple_of(80) {
-                self.use_leader();
+                self.run_clients();
             }
         }
     }
@@ -420,16 +422,16 @@
         live[self.random.random_range(0..live.len())].clone()
     }
 
-    fn may_lose_disk(&self) -> bool {
+    fn can_lose_disk(&self) -> bool {
         let all_up = self
             .machines
             .values()
             .filter(|machine| !machine.removed)
-            .all(|machine| machine.process.is_some() && machine.cut_until <= self.now);
-        all_up && self.now > self.disk_lost_at + CATCH_UP
+            .all(|machine| machine.process.is_some() && machine.partitioned_until <= self.now);
+        all_up && self.now > self.disk_lost_at + CATCH_UP_MS
     }
 
-    fn strike(&mut self) {
+    fn inject_fault(&mut self) {
         match self.random.random_range(0..8) {
             0 => {
                 let name = self.random_machine();
@@ -442,13 +444,13 @@
                     }
                 }
             }
-            2 | 3 if self.may_lose_disk() => {
-                // Those that are struck have no process, so that none is drawn twice.
+            2 | 3 if self.can_lose_disk() => {
+                // Machines without a process are not chosen, so none is chosen twice.
                 for _ in 0..self.random.random_range(1..=self.tolerated) {
                     let name = self.random_machine();
                     self.lose_disk(&name, 1_500);
                 }
-                // At times all others lose power at the same moment.
+                // In half of the cases all other machines lose power at the same time.
                 if self.random.random::<bool>() {
                     for other in self.machines.keys().cloned().collect::<Vec<_>>() {
                         if self.machines[&other].process.is_some() {
@@ -460,24 +462,24 @@
             4 => {
                 let name = self.random_machine();
                 let until = self.now + 4_000;
-                self.machines.get_mut(&name).expect("it exists").cut_until = until;
+                self.machines.get_mut(&name).expect("the machine exists").partitioned_until = until;
             }
             5 => self.store.down_until = self.now + 3_000,
             _ => {}
         }
     }
 
-    /// A machine is emptied by order and taken away as soon as that is said to be complete.
-    fn empty_one(&mut self) {
+    /// Drains a machine and removes it as soon as the drain is reported as completed.
+    fn drain_one(&mut self) {
         let name = self.random_machine();
         let machine: Arc<str> = Arc::from(name.as_str());
-        self.emptied.push(machine.clone());
+        self.drained.push(machine.clone());
         for _ in 0..60 {
             self.run_for(100);
             if self.store.completed.contains(&machine) {
-                let taken = self.machines.get_mut(&name).expect("it exists");
-                taken.process = None;
-                taken.removed = true;
+                let drained_machine = self.machines.get_mut(&name).expect("the machine exists");
+                drained_machine.process = None;
+                drained_machine.removed = true;
                 return;
             }
         }
@@ -485,7 +487,7 @@
 
     fn check(&mut self) {
         for machine in self.machines.values_mut() {
-            machine.cut_until = 0;
+            machine.partitioned_until = 0;
         }
         self.store.down_until = 0;
         self.run_for(9_000);
@@ -495,15 +497,19 @@
             .values()
             .filter_map(|machine| machine.process.as_ref())
             .find(|process| process.node.may_answer(now));
-        let leader = leader.expect("there is a leader once all are back");
+        let leader = leader.expect("there is a leader once all machines are back");
         for key in &self.oracle.accepted {
-            assert!(leader.node.table().job(key).is_some(), "{key} was accepted and is gone");
+            assert!(leader.node.table().job(key).is_some(), "{key} was accepted and lost");
         }
-        for ((key, position), result) in &self.oracle.listed {
-            let job = leader.node.table().job(key).expect("it was read before");
-            assert_eq!(job.results.get(*position as usize), Some(result), "{key} at {position}");
+        for ((key, position), result) in &self.oracle.observed {
+            let job = leader.node.table().job(key).expect("a job whose results were read exists");
+            assert_eq!(
+                job.results.get(*position as usize),
+                Some(result),
+                "the result of {key} at position {position} changed"
+            );
         }
-        assert!(!self.oracle.accepted.is_empty(), "something was accepted");
+        assert!(!self.oracle.accepted.is_empty(), "at least one job was accepted");
     }
 }
 
@@ -516,12 +522,12 @@
 }
 
 #[test]
-fn nothing_that_was_accepted_is_lost_under_power_losses_lost_disks_and_cuts() {
+fn accepted_data_survives_power_losses_lost_disks_and_partitions() {
     for seed in 1..=24 {
         let mut world = World::new(seed, 3 + seed % 2);
         world.run_for(3_000);
         for _ in 0..8 {
-            world.strike();
+            world.inject_fault();
             let pause = world.random.random_range(200..3_000);
             world.run_for(pause);
         }
@@ -530,12 +536,12 @@
 }
 
 #[test]
-fn a_group_of_two_outlives_the_disk_of_either_member() {
+fn group_of_two_survives_the_loss_of_either_disk() {
     for seed in 1..=12 {
         let mut world = World::new(seed, 3);
         world.run_for(3_000);
-        world.empty_one();
-        assert_eq!(world.store.completed.len(), 1, "the machine was emptied");
+        world.drain_one();
+        assert_eq!(world.store.completed.len(), 1, "the machine was drained");
         world.run_for(200);
         let name = world.random_machine();
         world.lose_disk(&name, 2_000);
@@ -545,13 +551,13 @@
 }
 
 #[test]
-fn a_lost_disk_is_made_good_within_the_time_to_catch_up() {
+fn lost_disk_is_replaced_within_the_catch_up_time() {
     for seed in 1..=8 {
         let mut world = World::new(seed, 3);
         world.run_for(3_000);
         let first = world.random_machine();
         world.lose_disk(&first, 1_000);
-        world.run_for(1_000 + CATCH_UP);
+        world.run_for(1_000 + CATCH_UP_MS);
         let others: Vec<String> = world.machines.keys().filter(|name| **name != first).cloned().collect();
         let second = others[seed as usize % others.len()].clone();
         world.lose_disk(&second, 1_000);
@@ -561,12 +567,12 @@
 }
 
 #[test]
-fn two_disks_lost_at_once_are_borne_where_two_have_to_be() {
+fn two_disks_lost_at_once_are_tolerated_if_configured() {
     for seed in 1..=24 {
         let mut world = World::tolerating(2, seed, 6 + seed % 3);
         world.run_for(3_000);
         for _ in 0..6 {
-            world.strike();
+            world.inject_fault();
             let pause = world.random.random_range(200..3_000);
             world.run_for(pause);
         }
@@ -575,7 +581,7 @@
 }
 
 #[test]
-fn two_disks_lost_while_all_others_lose_power_lose_nothing() {
+fn two_lost_disks_during_a_power_loss_of_all_others_lose_nothing() {
     for seed in 1..=16 {
         let mut world = World::tolerating(2, seed, 7);
         world.run_for(3_000);
@@ -593,20 +599,20 @@
     }
 }
 
-/// A follower that was out of reach for a moment lags by what came meanwhile. A leader that has compacted
-/// its log just then must not send it the whole state for that.
+/// A follower that was unreachable for a moment must not be sent the whole state because the leader has just compacted
+/// its log.
 #[test]
-fn followers_that_lag_a_little_need_no_snapshot() {
+fn slightly_lagging_followers_need_no_snapshot() {
     for seed in 1..=2 {
         let mut world = World::new(seed, 3);
         world.run_for(2_000);
         world.body_bytes = 60_000;
         let now = world.time();
         let follows = |machine: &Machine| machine.process.as_ref().is_some_and(|process| !process.node.may_answer(now));
-        let found = world.machines.iter().find(|(_, machine)| follows(machine));
-        let follower = found.map(|(name, _)| name.clone()).expect("two follow");
+        let follower_entry = world.machines.iter().find(|(_, machine)| follows(machine));
+        let follower = follower_entry.map(|(name, _)| name.clone()).expect("there are two followers");
         for _ in 0..14 {
-            world.machines.get_mut(&follower).expect("it exists").cut_until = world.now + 600;
+            world.machines.get_mut(&follower).expect("the machine exists").partitioned_until = world.now + 600;
             world.run_for(1_000);
         }
         let replicas = world.machines.values().filter_map(|machine| machine.process.as_ref());
@@ -617,14 +623,14 @@
 }
 
 #[test]
-fn a_machine_is_not_emptied_where_too_few_copies_would_be_left() {
+fn machine_is_not_drained_if_too_few_replicas_would_remain() {
     for seed in 1..=8 {
         let mut world = World::new(seed, 3);
         world.run_for(3_000);
-        world.empty_one();
-        assert_eq!(world.store.completed.len(), 1, "two copies bear the loss of one");
-        world.empty_one();
-        assert_eq!(world.store.completed.len(), 1, "one copy would not");
+        world.drain_one();
+        assert_eq!(world.store.completed.len(), 1, "two replicas tolerate the loss of one");
+        world.drain_one();
+        assert_eq!(world.store.completed.len(), 1, "a single replica would not");
         let name = world.random_machine();
         world.lose_disk(&name, 2_000);
         world.run_for(6_000);
@@ -632,15 +638,15 @@
     }
 }
 
-/// Seen: with two machines left and both to be emptied, each leader handed over to the other one at once, 470 terms in 26 s. Items
-/// began anew with each leader, which kept what had failed in its memory, and connections to workers were opened and dropped.
+/// With all remaining machines to be drained, leadership must not move back and forth between them: each change
+/// restarts the items and drops the connections to workers.
 #[test]
-fn leadership_stays_where_all_members_are_to_be_emptied() {
+fn leadership_is_stable_while_all_members_are_drained() {
     for seed in 1..=8 {
         let mut world = World::new(seed, 3);
         world.run_for(3_000);
         let names: Vec<String> = world.machines.keys().cloned().collect();
-        world.emptied.extend(names.iter().map(|name| Arc::from(name.as_str())));
+        world.drained.extend(names.iter().map(|name| Arc::from(name.as_str())));
         world.run_for(2_000);
         let term = |world: &World| {
             let processes = world.machines.values().filter_map(|machine| machine.process.as_ref());
@@ -649,14 +655,17 @@
         let before = term(&world);
         world.run_for(10_000);
         assert_eq!(term(&world), before, "seed {seed}");
-        // Machines that are to stay take over all copies.
+        // New machines that are not drained take over all replicas.
         for _ in 0..3 {
             let name = world.add_machine();
             world.start(&name);
         }
         world.run_for(20_000);
         for name in &names {
-            assert!(world.store.completed.iter().any(|machine| **machine == **name), "{name}, seed {seed}");
+            assert!(
+                world.store.completed.iter().any(|machine| **machine == **name),
+                "{name} was not drained, seed {seed}"
+            );
         }
         world.check();
     }
