--- a/crates/core/src/serving/jobs/dispatch/mod.rs
+++ b/crates/core/src/serving/jobs/dispatch/mod.rs
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Returns a quarantined item to the queue, to be checked again after [`QUARANTINE_CHECK_INTERVAL`].
+    /// Returns a quarantined item to the queue, to be checked again after a fixed interval.
     pub fn delay_quarantined(&mut self, key: &ItemKey, output: PartialOutput, now: Timestamp) {
         if let Some(open_item) = self.items.get_mut(key) {
             open_item.output = output;
--- a/crates/core/tests/jobs_rules.rs
+++ b/crates/core/tests/jobs_rules.rs
@@ -380,17 +380,29 @@
                 ejected_by: 0,
                 batch: 0,
             };
-            let report = LoadReport { workers: loads.iter().map(worker_report).collect(), placed_per_s: node as u32, ..LoadReport::default() };
+            let report = LoadReport {
+                workers: loads.iter().map(worker_report).collect(),
+                placed_per_s: node as u32,
+                ..LoadReport::default()
+            };
             aggregator.record_report(NodeId(node), report.clone(), at(now));
             oracle.insert(node, OracleReport { report, at: now });
             let received = aggregator.report_for(NodeId(node), &[], at(now));
             let sum = |max_age: u64, worker: &WorkerId| -> u32 {
                 let others = oracle.iter().filter(|(other, entry)| **other != node && now - entry.at < max_age);
-                others.flat_map(|(_, entry)| &entry.report.workers).filter(|report| report.worker == *worker).map(|report| report.requests).sum()
+                others
+                    .flat_map(|(_, entry)| &entry.report.workers)
+                    .filter(|report| report.worker == *worker)
+                    .map(|report| report.requests)
+                    .sum()
             };
             for worker in 0..5 {
                 let worker = WorkerId(Arc::from(format!("w{worker}")));
-                let requests = received.workers.iter().find(|report| report.worker == worker).map_or(0, |report| report.requests);
+                let requests = received
+                    .workers
+                    .iter()
+                    .find(|report| report.worker == worker)
+                    .map_or(0, |report| report.requests);
                 prop_assert!(sum(1_000, &worker) <= requests && requests <= sum(1_100, &worker));
             }
         }
