--- a/crates/core/src/serving/jobs/node/messages.rs
+++ b/crates/core/src/serving/jobs/node/messages.rs
@@ -16,9 +16,9 @@
     Persist(LogWrite),
     /// Sends a message to another replica.
     Send(ReplicationMessage),
-    /// Replaces the table (see [`JobsNode::restore`]).
+    /// Replaces the table (see [`JobsNode::restore`](super::JobsNode::restore)).
     Restore(Snapshot),
-    /// Applies committed entries (see [`JobsNode::apply_up_to`]).
+    /// Applies committed entries (see [`JobsNode::apply_up_to`](super::JobsNode::apply_up_to)).
     ApplyUpTo(LogIndex),
 }
 
