--- a/crates/core/src/serving/configuration/mod.rs
+++ b/crates/core/src/serving/configuration/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration that a gateway goes by: routes, services and limits.
+//! Configuration of a gateway: routes, services and tenants.
 //!
-//! Owns one version of it as typed values. The adapter decodes it from the operator's records and checks it there; a node
-//! replaces it only by a higher version.
+//! Holds one version of the configuration as typed values. The adapter decodes and validates the operator's records,
+//! and a node replaces its configuration only by a higher version.
 
 pub mod tenant;
 
@@ -15,73 +15,73 @@
 use crate::time::Millis;
 use tenant::{ApiKey, CallerIdentity, Tenant, TenantName, TenantTable, UnknownKey};
 
-/// Whether and how a request may run again.
+/// Kind of a route, which determines whether and how its requests may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// A request may run any number of times.
+    /// Requests are idempotent and may run any number of times.
     Repeatable,
-    /// A request runs at most once.
+    /// Requests run at most once.
     AtMostOnce,
-    /// The answer is a stream of events.
+    /// The response is a stream of events.
     Stream {
-        /// Another worker may go on after the last event that was passed on.
+        /// Whether another worker may continue after the last event that was forwarded.
         resumable: bool,
     },
-    /// Batch jobs are submitted here.
+    /// The route accepts batch jobs.
     Batch,
 }
 
 impl RouteKind {
-    /// Whether a request may run on a second worker after it may have run on a first.
+    /// Returns whether a request that may have run on one worker may run on another.
     pub fn is_retryable(self) -> bool {
         matches!(self, Self::Repeatable | Self::Stream { resumable: true } | Self::Batch)
     }
 }
 
-/// A part of a route's traffic and the service that takes it.
+/// A service that receives a fraction of a route's traffic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteTarget {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Its share, against the weights of the route's other targets.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// One route.
+/// A route from a host and path prefix to services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// The host that it belongs to.
+    /// Host whose requests the route matches.
     pub host: Arc<str>,
-    /// The path prefix, which begins and ends with a slash.
+    /// Path prefix that the route matches. Begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// Whether and how its requests may run again.
+    /// Whether and how its requests may be retried.
     pub kind: RouteKind,
-    /// The longest time that a request may take.
+    /// Maximum duration of a request.
     pub timeout: Millis,
-    /// The time to the first piece of the answer that counts as in time.
+    /// Latency objective for the first chunk of the response.
     pub objective: Millis,
-    /// The longest pause between events that counts as in time, if the route has one.
+    /// Latency objective for the gap between events of a stream, if the route has one.
     pub gap_target: Option<Millis>,
-    /// Most workers that one request may run on.
+    /// Maximum number of workers on which one request may run.
     pub max_attempts: u32,
-    /// Where its requests go.
+    /// Services that receive its requests.
     pub targets: Vec<RouteTarget>,
-    /// For batch: after which time from the submission results are due.
+    /// For batch routes: time after the submission at which results are due.
     pub due: Millis,
-    /// For batch: after which time from the submission an item may be given up.
+    /// For batch routes: time after the submission after which an item may be abandoned.
     pub give_up_after: Option<Millis>,
-    /// For batch: most tokens of one tenant that may wait; `None` for no limit.
+    /// For batch routes: maximum number of queued tokens per tenant; `None` for no limit.
     pub queued_token_limit: Option<u64>,
-    /// Callers need no key.
+    /// Whether callers need no API key.
     pub is_public: bool,
-    /// Where its requests may run and lie.
+    /// Regions in which its requests may be processed and stored.
     pub regions: AllowedRegions,
 }
 
 impl Route {
-    /// The service that takes a request, drawn by the targets' weights. The first one where all weights are zero.
+    /// Selects a service at random by the targets' weights, or the first one if all weights are zero.
     pub fn draw_service(&self, random: &mut impl Rng) -> Option<&Arc<str>> {
         let first = self.targets.first().map(|target| &target.service);
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
@@ -99,29 +99,29 @@
     }
 }
 
-/// One service: workers that are alike.
+/// A service, whose workers are interchangeable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: Arc<str>,
-    /// Most connections that one worker accepts from all nodes together.
+    /// Maximum number of connections that one worker accepts from all nodes together.
     pub max_connections: u32,
-    /// Requests that one worker runs at once.
+    /// Number of requests that one worker processes concurrently.
     pub slots: u32,
-    /// Tokens that fit into one worker's memory; 0 if not known.
+    /// Number of tokens that fit into one worker's memory; 0 if unknown.
     pub cache_tokens: u64,
-    /// What a worker bears for some time after its start; `None` if as much as later.
+    /// Load limit of a worker for some time after its start; `None` if it takes full load immediately.
     pub cold_start: Option<ColdStart>,
 }
 
-/// What a caller may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerBounds {
-    /// Most bytes in a request's head.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// Most bytes in a request's body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Longest rest of a connection between requests, the time for the next request's head included.
+    /// Maximum time between requests on a connection, including the time to receive the next request's head.
     pub idle_timeout: Millis,
 }
 
@@ -134,20 +134,20 @@
 /// One version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GatewayConfiguration {
-    /// Grows with each change.
+    /// Version number, which increases with each change.
     pub version: u64,
-    /// The routes of each host, longest prefix first.
+    /// Routes of each host, longest prefix first.
     routes: BTreeMap<Arc<str>, Vec<Arc<Route>>>,
-    /// The services by name.
+    /// Services by name.
     pub services: BTreeMap<Arc<str>, Service>,
-    /// The tenants; `None` if callers need no key anywhere.
+    /// Tenants; `None` if no route requires an API key.
     pub tenants: Option<TenantTable>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub bounds: CallerBounds,
 }
 
 impl GatewayConfiguration {
-    /// Builds a version from its parts.
+    /// Builds a version without tenants.
     pub fn new(version: u64, routes: Vec<Route>, services: Vec<Service>, bounds: CallerBounds) -> Self {
         let mut by_host: BTreeMap<Arc<str>, Vec<Arc<Route>>> = BTreeMap::new();
         for route in routes {
@@ -160,38 +160,39 @@
         Self { version, routes: by_host, services, tenants: None, bounds }
     }
 
-    /// The same version with tenants.
+    /// Returns this version with the given tenants.
     pub fn with_tenants(mut self, tenants: TenantTable) -> Self {
         self.tenants = Some(tenants);
         self
     }
 
-    /// On whose behalf a request comes that shows this key, if any.
+    /// Returns the identity on whose behalf a request with this key, if any, is made.
     ///
     /// # Errors
     ///
-    /// [`UnknownKey`]: it shows no key of a tenant, and the route is not public.
+    /// [`UnknownKey`] if the key belongs to no tenant, or is missing, and the route is not public.
     pub fn identify(&self, key: Option<&ApiKey>, is_public: bool) -> Result<CallerIdentity, UnknownKey> {
         let Some(tenants) = &self.tenants else { return Ok(CallerIdentity::Unchecked) };
-        match key.and_then(|key| tenants.of_key(key)) {
+        match key.and_then(|key| tenants.tenant_for_key(key)) {
             Some(tenant) => Ok(CallerIdentity::Tenant(tenant.name.clone())),
             None if is_public => Ok(CallerIdentity::Public),
             None => Err(UnknownKey),
         }
     }
 
-    /// A tenant; `None` if this version has no tenant of that name.
+    /// Returns the tenant with this name, if any.
     pub fn tenant(&self, name: &TenantName) -> Option<&Arc<Tenant>> {
         self.tenants.as_ref()?.named(name)
     }
 
-    /// What workers bear after their start, of the services that name it.
+    /// Returns the load limits after a worker's start, for the services that define one.
     pub fn cold_starts(&self) -> BTreeMap<Arc<str>, ColdStart> {
         let named = self.services.values().filter_map(|service| Some((service.name.clone(), service.cold_start?)));
         named.collect()
     }
 
-    /// Where a request of a route may run and lie: the route and the tenant must both allow it.
+    /// Returns the regions in which a request may be processed and stored: those allowed by both the route and the
+    /// tenant.
     pub fn regions_for(&self, route: &Route, tenant: Option<&TenantName>) -> AllowedRegions {
         match tenant.and_then(|name| self.tenant(name)) {
             Some(tenant) => route.regions.intersection(&tenant.regions),
@@ -199,17 +200,18 @@
         }
     }
 
-    /// The route of a request: of its host's routes, the one with the longest prefix of the path.
+    /// Returns the route of a request: the one of its host with the longest matching prefix.
     pub fn route_for(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.routes.get(host)?.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// The route of that name.
+    /// Returns the route with this name, if any.
     pub fn route_named(&self, name: &str) -> Option<&Arc<Route>> {
         self.routes.values().flatten().find(|route| &*route.name == name)
     }
 
-    /// Whether calls about batch jobs need no key at a host: all its routes for batch are public.
+    /// Returns whether requests about batch jobs need no API key on a host, which is the case if it has batch routes
+    /// and all of them are public.
     pub fn has_public_jobs(&self, host: &str) -> bool {
         let routes = self.routes.get(host).into_iter().flatten();
         let mut batch = routes.filter(|route| route.kind == RouteKind::Batch).peekable();
--- a/crates/core/src/serving/configuration/tenant.rs
+++ b/crates/core/src/serving/configuration/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants: who they are, by which keys they call, and how much they may ask.
+//! Tenants: identity, API keys and rate limits.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,17 +9,17 @@
 
 use crate::serving::regions::AllowedRegions;
 
-/// The name of a tenant, as the operator gave it.
+/// Name of a tenant, as configured by the operator.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TenantName(Arc<str>);
 
 impl TenantName {
-    /// Builds a name from text.
+    /// Creates a name.
     pub fn new(name: &str) -> Self {
         Self(Arc::from(name))
     }
 
-    /// The name as text.
+    /// Returns the name as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -31,12 +31,12 @@
     }
 }
 
-/// A secret by which a caller shows which tenant it belongs to. Its text is never printed.
+/// Secret that identifies a caller's tenant. `Debug` does not print it.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ApiKey(Arc<str>);
 
 impl ApiKey {
-    /// Builds a key from text.
+    /// Creates a key.
     pub fn new(key: &str) -> Self {
         Self(Arc::from(key))
     }
@@ -48,17 +48,17 @@
     }
 }
 
-/// A number of requests, in thousandths. Negative where more was spent than there was.
+/// Number of requests in thousandths. Negative for a debt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MilliRequests(pub i64);
 
 impl MilliRequests {
-    /// So many requests, rounded to thousandths.
+    /// Converts a number of requests, rounding to thousandths.
     pub fn of(requests: f64) -> Self {
         Self((requests * 1_000.0).round() as i64)
     }
 
-    /// The number of requests.
+    /// Returns the number of requests.
     pub fn requests(self) -> f64 {
         self.0 as f64 / 1_000.0
     }
@@ -70,64 +70,64 @@
     }
 }
 
-/// How much a tenant may ask over all nodes together.
+/// Rate limit of a tenant over all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateLimit {
-    /// Requests in a second, in the long run.
+    /// Sustained rate in requests per second.
     pub per_s: MilliRequests,
-    /// Requests on top of that at once.
+    /// Number of requests that may exceed the rate at once.
     pub burst: MilliRequests,
 }
 
-/// One tenant.
+/// A tenant with its limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: TenantName,
-    /// How much it may ask; `None` for no limit.
+    /// Rate limit; `None` for no limit.
     pub limit: Option<RateLimit>,
-    /// Where its requests may run and lie.
+    /// Regions in which its requests may be processed and stored.
     pub regions: AllowedRegions,
 }
 
-/// A tenant and its keys, as they are configured.
+/// A configured tenant with its keys.
 #[derive(Clone, Debug)]
 pub struct TenantEntry {
     /// The tenant.
     pub tenant: Tenant,
-    /// Its keys. A tenant without any can't call.
+    /// Its API keys. A tenant without keys cannot send requests.
     pub keys: Vec<ApiKey>,
 }
 
-/// Why tenants can't be used.
+/// Reason why the configured tenants are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum TenantError {
-    /// A tenant has no name.
+    /// A tenant has an empty name.
     #[snafu(display("a tenant's name is empty"))]
     EmptyName,
-    /// A name stands twice.
+    /// Two tenants have the same name.
     #[snafu(display("the tenant {name} stands twice"))]
     DuplicateName {
-        /// The name.
+        /// Name used twice.
         name: TenantName,
     },
-    /// A key is empty.
+    /// A tenant has an empty key.
     #[snafu(display("a key of the tenant {name} is empty"))]
     EmptyKey {
-        /// The tenant.
+        /// Name of the tenant.
         name: TenantName,
     },
     /// Two tenants have the same key.
     #[snafu(display("the tenants {first} and {second} have the same key"))]
     SharedKey {
-        /// One of them.
+        /// Tenant that was configured first.
         first: TenantName,
-        /// The other.
+        /// Tenant that uses the key as well.
         second: TenantName,
     },
 }
 
-/// All tenants of one version of the configuration.
+/// Tenants of one version of the configuration, indexed by key and by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TenantTable {
     by_key: BTreeMap<ApiKey, Arc<Tenant>>,
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     ///
-    /// [`TenantError`]: a key or a name would not say which tenant is meant.
+    /// [`TenantError`] if a name or a key is empty or does not identify a single tenant.
     pub fn new(entries: Vec<TenantEntry>) -> Result<Self, TenantError> {
         let mut table = Self::default();
         for TenantEntry { tenant, keys } in entries {
@@ -170,30 +170,30 @@
         }
     }
 
-    /// The tenant that a key belongs to.
-    pub fn of_key(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
+    /// Returns the tenant to which a key belongs.
+    pub fn tenant_for_key(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
         self.by_key.get(key)
     }
 
-    /// The tenant of that name.
+    /// Returns the tenant with this name.
     pub fn named(&self, name: &TenantName) -> Option<&Arc<Tenant>> {
         self.by_name.get(name)
     }
 }
 
-/// On whose behalf a request comes, as far as that was checked.
+/// Identity on whose behalf a request is made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallerIdentity {
-    /// The configuration has no tenants, so nobody was asked.
+    /// Not authenticated, since no tenants are configured.
     Unchecked,
-    /// Whoever it is: the route is open to all.
+    /// Unknown caller of a public route.
     Public,
-    /// A tenant, by its key.
+    /// Tenant identified by its key.
     Tenant(TenantName),
 }
 
 impl CallerIdentity {
-    /// The tenant, if it is known.
+    /// Returns the tenant, if the caller was identified as one.
     pub fn tenant(&self) -> Option<&TenantName> {
         match self {
             Self::Tenant(name) => Some(name),
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Whether the caller may see what belongs to `owner`. What belongs to nobody is open to all.
+    /// Returns whether the caller may access what belongs to `owner`. Anyone may access what has no owner.
     pub fn may_see(&self, owner: Option<&TenantName>) -> bool {
         match (self, owner) {
             (Self::Unchecked, _) | (_, None) => true,
@@ -210,6 +210,6 @@
     }
 }
 
-/// A caller showed no key of any tenant where one is due.
+/// Error for a request without a valid key where one is required.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownKey;
--- a/crates/core/tests/tenant_rules.rs
+++ b/crates/core/tests/tenant_rules.rs
@@ -1,4 +1,4 @@
-//! Rules of tenants: keys, names, and on whose behalf a request comes.
+//! Tenants' names and keys, and the identity on whose behalf a request is made.
 
 use std::collections::BTreeMap;
 
@@ -17,32 +17,32 @@
 }
 
 fn configuration(entries: Vec<TenantEntry>) -> GatewayConfiguration {
-    let table = TenantTable::new(entries).expect("sound tenants");
+    let table = TenantTable::new(entries).expect("the tenants are valid");
     GatewayConfiguration::new(1, Vec::new(), Vec::new(), CallerBounds::default()).with_tenants(table)
 }
 
 #[test]
-fn a_request_comes_on_behalf_of_the_tenant_that_holds_its_key() {
+fn a_request_is_attributed_to_the_tenant_of_its_key() {
     let known = configuration(vec![entry("a", &["k1", "k2"]), entry("b", &["k3"]), entry("keyless", &[])]);
     let caller = |key: &str| known.identify(Some(&ApiKey::new(key)), false);
     assert_eq!(caller("k2"), Ok(CallerIdentity::Tenant(TenantName::new("a"))));
     assert_eq!(caller("k3"), Ok(CallerIdentity::Tenant(TenantName::new("b"))));
-    assert_eq!(caller("K3"), Err(UnknownKey), "keys are told apart by case");
+    assert_eq!(caller("K3"), Err(UnknownKey), "keys are case-sensitive");
     assert_eq!(known.identify(None, false), Err(UnknownKey));
     assert_eq!(known.identify(None, true), Ok(CallerIdentity::Public));
     assert_eq!(known.identify(Some(&ApiKey::new("x")), true), Ok(CallerIdentity::Public));
 }
 
 #[test]
-fn nobody_is_asked_for_a_key_where_no_tenants_are_configured() {
+fn no_key_is_required_without_configured_tenants() {
     let open = GatewayConfiguration::new(1, Vec::new(), Vec::new(), CallerBounds::default());
     assert_eq!(open.identify(None, false), Ok(CallerIdentity::Unchecked));
     let closed = configuration(Vec::new());
-    assert_eq!(closed.identify(None, false), Err(UnknownKey), "a table without tenants lets nobody in");
+    assert_eq!(closed.identify(None, false), Err(UnknownKey), "an empty table accepts no caller");
 }
 
 #[test]
-fn tenants_that_do_not_go_together_are_refused() {
+fn conflicting_tenants_are_rejected() {
     let shared = TenantTable::new(vec![entry("a", &["k"]), entry("b", &["k"])]);
     let (first, second) = (TenantName::new("a"), TenantName::new("b"));
     assert_eq!(shared, Err(TenantError::SharedKey { first: first.clone(), second }));
@@ -50,11 +50,11 @@
     assert_eq!(TenantTable::new(vec![entry("a", &[""])]), Err(TenantError::EmptyKey { name: first.clone() }));
     let twice = TenantTable::new(vec![entry("a", &["k"]), entry("a", &["l"])]);
     assert_eq!(twice, Err(TenantError::DuplicateName { name: first }));
-    assert!(TenantTable::new(vec![entry("a", &["k", "k"])]).is_ok(), "a key that stands twice is one key");
+    assert!(TenantTable::new(vec![entry("a", &["k", "k"])]).is_ok(), "a tenant may repeat its own key");
 }
 
 #[test]
-fn a_key_is_never_printed() {
+fn a_key_is_never_printed_by_debug() {
     let known = configuration(vec![entry("a", &["very-secret"])]);
     assert!(!format!("{known:?}").contains("very-secret"));
 }
@@ -62,10 +62,10 @@
 proptest! {
     #![proptest_config(support::fuzz_config())]
 
-    /// Against a model: after any changes of the tenants' keys, exactly the keys of the newest version let in, and
-    /// each as its holder.
+    /// Checked against a model: after any changes of keys, exactly the keys of the latest version are accepted, each
+    /// for its own tenant.
     #[test]
-    fn the_newest_version_alone_says_who_holds_a_key(versions in prop::collection::vec(
+    fn only_the_latest_version_determines_the_tenant_of_a_key(versions in prop::collection::vec(
         prop::collection::btree_map(0u8..12, 0u8..4, 0..8), 1..6,
     )) {
         for holders in &versions {
