--- a/crates/core/src/serving/quota/fleet_size.rs
+++ b/crates/core/src/serving/quota/fleet_size.rs
@@ -1,15 +1,15 @@
-//! How many gateways there are, those out of reach included.
+//! Number of gateways, including unreachable ones.
 //!
-//! A gateway that is out of reach goes on with its part of each limit, so whoever divides a limit must not forget it when
-//! it falls silent.
+//! An unreachable gateway continues with its share of each limit, so it must still be counted where a limit is
+//! divided.
 
 use crate::time::{Millis, Timestamp};
 
-/// A number of gateways that was seen is gone by for this long, in milliseconds: longer than gateways are cut off. After
-/// it a fleet that has shrunk divides its limits among fewer.
-const REMEMBERED_FOR: Millis = Millis(300_000);
+/// Time for which the largest observed number is retained. Longer than gateways are usually disconnected; afterwards
+/// a fleet that has shrunk divides its limits among fewer gateways.
+const RETENTION: Millis = Millis(300_000);
 
-/// The greatest number of gateways that was seen of late.
+/// Largest number of gateways observed within the retention period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetSize {
     gateways: u32,
@@ -17,20 +17,20 @@
 }
 
 impl FleetSize {
-    /// So many gateways were seen.
+    /// Records an observed number of gateways.
     pub fn record(&mut self, gateways: u32, now: Timestamp) {
-        if gateways >= self.gateways || now.since(self.seen_at) >= REMEMBERED_FOR {
+        if gateways >= self.gateways || now.since(self.seen_at) >= RETENTION {
             self.gateways = gateways;
             self.seen_at = now;
         }
     }
 
-    /// How many there are; 0 if nothing is known.
+    /// Returns the number of gateways; 0 if unknown.
     pub fn gateways(self) -> u32 {
         self.gateways
     }
 
-    /// The share of each of them; `None` if nothing is known.
+    /// Returns the share of each gateway in an even division; `None` if the number of gateways is unknown.
     pub fn even_share(self) -> Option<f64> {
         (self.gateways > 0).then(|| 1.0 / f64::from(self.gateways))
     }
--- a/crates/core/src/serving/quota/limiter.rs
+++ b/crates/core/src/serving/quota/limiter.rs
@@ -1,5 +1,4 @@
-//! A gateway's side of tenants' limits: whether a request is admitted, when the leader gets a report, and what a
-//! missing answer means.
+//! A gateway's side of tenants' limits: admits or refuses requests, and decides when to report to the leader.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,112 +6,110 @@
 use super::bucket::BucketLimit;
 use super::fleet_size::FleetSize;
 use super::message::{QuotaLevels, QuotaReport};
-use super::tenant_level::{LeaderLevel, TenantState, UNKNOWN_SHARE};
+use super::tenant_level::{INITIAL_SHARE, LeaderLevel, TenantState};
 use crate::serving::configuration::tenant::{RateLimit, TenantName};
 use crate::time::{Millis, Timestamp};
 
-/// How long a request waits for the leader's first answer for its tenant, in milliseconds: tenants below their limits
-/// aren't refused at a gateway that knows nothing of them.
+/// Maximum time for which a request waits for the leader's first answer for its tenant. Avoids refusing tenants below
+/// their limits at a gateway that has no level for them yet.
 pub const FIRST_ANSWER_TIMEOUT: Millis = Millis(60);
-/// A report without an answer counts as lost after this long, in milliseconds: this gateway's own part of the limits
-/// takes over.
+/// Time after which a report without an answer counts as lost, and this gateway continues with its own share of the
+/// limits.
 pub const REPORT_TIMEOUT: Millis = Millis(250);
-/// The time between two checks whether a report is due, in milliseconds: saves processor time.
+/// Interval between checks whether a report is due.
 pub const REPORT_CHECK_INTERVAL: Millis = Millis(20);
-/// A level is gone by for this many intervals between reports, so that it outlives two lost reports, and for
-/// [`LEAST_LEVEL_LIFETIME`] at the least.
+/// Lifetime of a level in report intervals, so that it outlives two lost reports. At least [`MIN_LEVEL_LIFETIME`].
 const LEVEL_LIFETIME_INTERVALS: u64 = 3;
-/// The least time for which a level is gone by, in milliseconds: the same at short intervals.
-const LEAST_LEVEL_LIFETIME: Millis = Millis(1_000);
-/// The shortest time between two reports of which the second is early, in milliseconds: saves the leader's processor.
-const EARLY_REPORT_INTERVAL: Millis = Millis(40);
-/// A tenant that asked for nothing for this long is not reported, in milliseconds: saves bytes.
-const REPORTED_FOR: Millis = Millis(10_000);
-/// A tenant that asked for nothing for this long is forgotten, in milliseconds: saves memory.
-const REMEMBERED_FOR: Millis = Millis(60_000);
-/// The shortest time after which a refused caller is asked to try again, in milliseconds: spares the gateway callers
-/// that would be back at once.
+/// Minimum lifetime of a level, for short report intervals.
+const MIN_LEVEL_LIFETIME: Millis = Millis(1_000);
+/// Minimum time between a report and a following early one. Limits the CPU time spent on the leader.
+const MIN_EARLY_REPORT_INTERVAL: Millis = Millis(40);
+/// Time without requests after which a tenant is no longer reported.
+const REPORT_RETENTION: Millis = Millis(10_000);
+/// Time without requests after which the state of a tenant is dropped.
+const STATE_RETENTION: Millis = Millis(60_000);
+/// Minimum retry delay for refused callers, so that they do not return at once.
 const MIN_RETRY_AFTER: Millis = Millis(20);
-/// The longest, in milliseconds: callers wait no longer than they have.
+/// Maximum retry delay for refused callers.
 const MAX_RETRY_AFTER: Millis = Millis(2_000);
 
-/// A request is over its tenant's limit.
+/// Refusal of a request because its tenant is over its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverLimit {
-    /// When there should be room again.
+    /// Time after which a retry is likely to be admitted.
     pub retry_after: Millis,
-    /// What was left for this gateway, in requests.
+    /// Number of requests left for this gateway.
     pub remaining: f64,
-    /// How old the leader's level is; `None` if there is none.
+    /// Age of the leader's level; `None` if there is none.
     pub age: Option<Millis>,
 }
 
-/// What is asked of the limiter.
+/// A request for which admission is decided.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// The tenant.
+    /// Tenant that sent the request.
     pub tenant: &'a TenantName,
-    /// Its limit over all gateways.
+    /// Limit of the tenant over all gateways.
     pub limit: RateLimit,
-    /// The request has waited for the leader's answer already.
+    /// Whether the request has already waited for the leader's answer.
     pub has_waited: bool,
 }
 
-/// What becomes of a request.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It is admitted.
+    /// The request is admitted.
     Admitted,
-    /// The leader has not answered for its tenant of late and should be asked first, for [`FIRST_ANSWER_TIMEOUT`] at the
-    /// most: many gateways that each admit one request at once would be over a small limit.
+    /// There is no recent level for the tenant. The request should wait for the leader's answer for at most
+    /// [`FIRST_ANSWER_TIMEOUT`]: if many gateways admitted one request each, they would exceed a small limit.
     AwaitLevel,
-    /// It must be refused.
+    /// The request must be refused.
     Refused(OverLimit),
 }
 
-/// Decides at one gateway which requests are admitted.
+/// Admission of requests at one gateway.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     machine: Arc<str>,
     tenants: BTreeMap<TenantName, TenantState>,
     interval: Millis,
     size: FleetSize,
-    /// The last report named tenants.
+    /// Whether the last report included any tenants.
     has_reported: bool,
-    /// The last report got no answer.
+    /// Whether the last report was lost.
     is_disconnected: bool,
 }
 
 impl RateLimiter {
-    /// A limiter that has admitted nothing yet.
+    /// Creates a limiter for the gateway on this machine.
     pub fn new(machine: Arc<str>) -> Self {
         let interval = QuotaLevels::default().interval();
         let size = FleetSize::default();
         Self { machine, tenants: BTreeMap::new(), interval, size, has_reported: false, is_disconnected: false }
     }
 
-    /// So many gateways were seen, this one among them.
+    /// Records the number of gateways observed, including this one.
     pub fn record_gateway_count(&mut self, gateways: u32, now: Timestamp) {
         self.size.record(gateways, now);
     }
 
-    /// Decides on a request. `drawn` is a random number from 0 to 1. A request that `has_waited` for the leader's
-    /// answer is decided without it.
-    pub fn admit(&mut self, ask: &AdmissionRequest<'_>, drawn: f64, now: Timestamp) -> Admission {
+    /// Decides on a request. `random` is a random number from 0 to 1. A request with `has_waited` set is decided
+    /// without a recent level.
+    pub fn admit(&mut self, request: &AdmissionRequest<'_>, random: f64, now: Timestamp) -> Admission {
         let lifetime = self.level_lifetime();
-        let limit = BucketLimit::of(ask.limit);
-        let state = self.tenants.entry(ask.tenant.clone()).or_default();
-        state.request_came(ask.has_waited, now);
-        if !state.is_level_fresh(lifetime, now) && !ask.has_waited && !self.is_disconnected {
+        let limit = BucketLimit::of(request.limit);
+        let state = self.tenants.entry(request.tenant.clone()).or_default();
+        state.record_request(request.has_waited, now);
+        if !state.is_level_fresh(lifetime, now) && !request.has_waited && !self.is_disconnected {
             return Admission::AwaitLevel;
         }
         let remaining = state.remaining(limit, lifetime, self.size, now);
-        if remaining >= state.threshold(drawn) {
+        if remaining >= state.threshold(random) {
             state.admit(now);
             return Admission::Admitted;
         }
-        let share = state.level().map_or(UNKNOWN_SHARE, |level| level.share());
-        let retry_after = limit.part(share).time_for(1.0 - remaining);
+        let share = state.level().map_or(INITIAL_SHARE, |level| level.share());
+        let retry_after = limit.scaled(share).time_to_accrue(1.0 - remaining);
         Admission::Refused(OverLimit {
             retry_after: retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
             remaining,
@@ -120,36 +117,37 @@
         })
     }
 
-    /// When the next report is due after one at `last`: early where much was admitted since, or where the leader
-    /// has not answered for a tenant yet.
+    /// Returns when the next report is due after one at `last`. A report is due early if many requests were admitted
+    /// since, or if the leader has not answered for a tenant yet.
     pub fn next_report(&self, last: Timestamp) -> Timestamp {
-        let is_early = self.tenants.values().any(|state| state.needs_early_report(last, LEAST_LEVEL_LIFETIME));
-        last + if is_early { EARLY_REPORT_INTERVAL } else { self.interval }
+        let is_early = self.tenants.values().any(|state| state.needs_early_report(last, MIN_LEVEL_LIFETIME));
+        last + if is_early { MIN_EARLY_REPORT_INTERVAL } else { self.interval }
     }
 
-    /// The report that is due after one at `last`; `None` if none is, or there is nothing to report.
+    /// Returns the report due after one at `last`; `None` if none is due or there is nothing to report.
     pub fn due_report(&mut self, last: Timestamp, now: Timestamp) -> Option<QuotaReport> {
         if self.next_report(last) > now {
             return None;
         }
         let report = self.report(now);
-        // A last report without tenants tells the leader that this gateway is not out of reach.
+        // One report without tenants follows the last one with tenants, so that the leader does not treat this
+        // gateway as unreachable.
         let had_reported = std::mem::replace(&mut self.has_reported, !report.tenants.is_empty());
         (self.has_reported || had_reported).then_some(report)
     }
 
-    /// What there is to report to the leader.
+    /// Builds a report of all recently used tenants.
     pub fn report(&mut self, now: Timestamp) -> QuotaReport {
-        self.tenants.retain(|_, state| state.used_within(REMEMBERED_FOR, now));
-        for state in self.tenants.values_mut().filter(|state| !state.used_within(REPORTED_FOR, now)) {
-            state.forget_level();
+        self.tenants.retain(|_, state| state.used_within(STATE_RETENTION, now));
+        for state in self.tenants.values_mut().filter(|state| !state.used_within(REPORT_RETENTION, now)) {
+            state.clear_level();
         }
-        let reported = self.tenants.iter_mut().filter(|(_, state)| state.used_within(REPORTED_FOR, now));
+        let reported = self.tenants.iter_mut().filter(|(_, state)| state.used_within(REPORT_RETENTION, now));
         let tenants = reported.map(|(name, state)| state.usage(name, now)).collect();
         QuotaReport { machine: self.machine.clone(), tenants }
     }
 
-    /// Takes the leader's answer to a report. Its levels are counted from `at`.
+    /// Applies the leader's answer to a report. The levels refill from `at` on.
     pub fn apply(&mut self, report: &QuotaReport, answer: &QuotaLevels, at: Timestamp) {
         self.interval = answer.interval();
         self.is_disconnected = false;
@@ -160,24 +158,23 @@
         }
     }
 
-    /// A report got no answer in time, or a wrong one. Until the next answer no request waits for the leader, and this
-    /// gateway goes on with its own part of each limit once the last level is too old.
+    /// Records that a report received no valid answer in time. Until the next answer, requests do not wait for the
+    /// leader, and this gateway uses its own share of each limit once the last level has expired.
     pub fn report_failed(&mut self) {
         self.is_disconnected = true;
     }
 
-    /// Whether no tenant asked for anything of late.
+    /// Returns whether no tenant has sent requests recently.
     pub fn is_idle(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// The time between two reports.
+    /// Returns the current interval between reports.
     pub fn interval(&self) -> Millis {
         self.interval
     }
 
-    /// How long a level is gone by.
     fn level_lifetime(&self) -> Millis {
-        Millis(self.interval.0 * LEVEL_LIFETIME_INTERVALS).max(LEAST_LEVEL_LIFETIME)
+        Millis(self.interval.0 * LEVEL_LIFETIME_INTERVALS).max(MIN_LEVEL_LIFETIME)
     }
 }
--- a/crates/core/src/serving/quota/message.rs
+++ b/crates/core/src/serving/quota/message.rs
@@ -1,4 +1,4 @@
-//! Reports of gateways to the leader on tenants' limits, and their answers.
+//! Gateways' reports to the leader about tenants' limits, and the answers.
 
 use std::sync::Arc;
 
@@ -7,62 +7,61 @@
 use crate::serving::configuration::tenant::{MilliRequests, TenantName};
 use crate::time::Millis;
 
-/// Reports that the leader handles in a second: bounds its processor time.
-const REPORTS_PER_S: u64 = 300;
-/// The shortest time between two reports of a gateway, in milliseconds: saves the leader's processor where there are
-/// few gateways.
-const LEAST_INTERVAL: Millis = Millis(100);
-/// The longest time between two reports of a gateway, in milliseconds: keeps levels fresh where there are many
-/// gateways.
-const LONGEST_INTERVAL: Millis = Millis(1_000);
+/// Maximum number of reports per second at the leader. Bounds its CPU time.
+const MAX_REPORTS_PER_S: u64 = 300;
+/// Minimum interval between reports of a gateway, for a small number of gateways.
+const MIN_REPORT_INTERVAL: Millis = Millis(100);
+/// Maximum interval between reports of a gateway, so that levels stay fresh with a large number of gateways.
+const MAX_REPORT_INTERVAL: Millis = Millis(1_000);
 
-/// What a gateway has admitted.
+/// Usage of tenants at one gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaReport {
-    /// The gateway's machine. A process that was started again there takes the place of the one before.
+    /// Machine of the gateway. A restarted process replaces the previous one on the same machine.
     pub machine: Arc<str>,
-    /// Tenants that asked for something of late.
+    /// Tenants that have sent requests recently.
     pub tenants: Vec<TenantUsage>,
 }
 
-/// One tenant at one gateway.
+/// Usage of one tenant at one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantUsage {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: TenantName,
     /// Requests admitted since the gateway's process started.
     pub spent: u64,
-    /// Those of them that were admitted in the last [`super::RECENT_WINDOW`].
+    /// Requests admitted within the last [`super::RECENT_WINDOW`].
     pub latest: u64,
-    /// Requests asked for in a second, refused ones too, smoothed.
+    /// Smoothed demand at the gateway in requests per second, including refused requests.
     pub asked_per_s: MilliRequests,
-    /// The same of all gateways, as the leader answered it last. A new leader sees by it whether some are out of reach.
+    /// Demand at all gateways according to the leader's last answer. Lets a new leader detect that some gateways are
+    /// unreachable.
     pub known_per_s: MilliRequests,
 }
 
-/// What the leader answers: of each tenant in the report, what is left.
+/// Answer of the leader: the level of each reported tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaLevels {
-    /// The tenants that have a limit.
+    /// Reported tenants that have a limit.
     pub tenants: Vec<TenantLevel>,
-    /// How many gateways report.
+    /// Number of gateways that report.
     pub gateways: u32,
 }
 
 impl QuotaLevels {
-    /// The time between two reports of one gateway: as short as the leader can handle.
+    /// Returns the interval between reports of one gateway, which grows with the number of gateways.
     pub fn interval(&self) -> Millis {
-        Millis(u64::from(self.gateways) * 1_000 / REPORTS_PER_S).clamp(LEAST_INTERVAL, LONGEST_INTERVAL)
+        Millis(u64::from(self.gateways) * 1_000 / MAX_REPORTS_PER_S).clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL)
     }
 }
 
-/// What a tenant has left over all gateways.
+/// Level of a tenant over all gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantLevel {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: TenantName,
-    /// Requests that may be admitted at once. Negative after too many were.
+    /// Requests that may be admitted at once. Negative after too many were admitted.
     pub level: MilliRequests,
-    /// Requests asked for in a second at all gateways.
+    /// Demand at all gateways in requests per second.
     pub asked_per_s: MilliRequests,
 }
--- a/crates/core/src/serving/quota/mod.rs
+++ b/crates/core/src/serving/quota/mod.rs
@@ -1,20 +1,20 @@
-//! Limits on what a tenant may ask, over all gateways together.
+//! Rate limits of tenants over all gateways together.
 //!
-//! Each gateway reports to the job table's leader what it has admitted, and learns how much each of its tenants has
-//! left. Between two reports it goes by that. While at least half is left all gateways draw on it freely; when it grows
-//! scarce each takes the part that corresponds to its share of the demand. A gateway that loses the leader goes on
-//! with that part of the limit alone, and the leader reserves the part for as long.
+//! Each gateway reports the requests that it has admitted to the job table's leader and receives the level of each of
+//! its tenants, which it uses until the next report. While at least half of the capacity is left, all gateways draw
+//! from it freely; below that, each gateway uses the part that corresponds to its share of the demand. A gateway that
+//! loses the leader continues with that share of the limit, and the leader reserves the share for the same time.
 //!
-//! Relies on the tenants of the configuration ([`super::configuration::tenant`]); when reports are sent and answers
-//! come is the driver's.
+//! Depends on the tenants of the configuration ([`super::configuration::tenant`]). The caller sends the reports and
+//! delivers the answers.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`bucket`] | a token bucket |
-//! | [`fleet_size`] | how many gateways there are, those out of reach included |
-//! | [`limiter`] | a gateway's side: whether a request is admitted, when a report is due |
-//! | `tenant_level` | what a gateway knows of one tenant's limit |
-//! | [`coordinator`] | the leader's side: what each tenant has left |
+//! | [`bucket`] | token bucket |
+//! | [`fleet_size`] | number of gateways, including unreachable ones |
+//! | [`limiter`] | a gateway's side: admission of requests, schedule of reports |
+//! | `tenant_level` | a gateway's state for one tenant |
+//! | [`coordinator`] | the leader's side: level of each tenant |
 //! | [`message`] | reports and their answers |
 
 pub mod bucket;
@@ -26,9 +26,9 @@
 
 use crate::time::Millis;
 
-/// How long a gateway that lost the leader goes on with its part of a limit, and how long the leader reserves that
-/// part, in milliseconds: tenants of such gateways are served on.
+/// Time for which a gateway that lost the leader continues with its share of a limit, and for which the leader
+/// reserves that share.
 pub const LEASE: Millis = Millis(20_000);
-/// The first reports of all gateways reach a new leader within this time, in milliseconds, and each says what was
-/// admitted for as long: a new leader knows what was spent before it.
+/// Time within which all gateways first report to a new leader. Each report includes the requests admitted within
+/// this window, so that a new leader accounts for what was spent before it.
 pub const RECENT_WINDOW: Millis = Millis(1_000);
--- a/crates/core/src/serving/quota/tenant_level.rs
+++ b/crates/core/src/serving/quota/tenant_level.rs
@@ -1,5 +1,5 @@
-//! What a gateway knows of one tenant's limit: the level in the leader's last answer, its own count since, and its
-//! share of the demand.
+//! A gateway's state for one tenant's limit: the level in the leader's last answer, the requests admitted since, and
+//! the gateway's share of the demand.
 
 use std::collections::VecDeque;
 
@@ -10,27 +10,26 @@
 use crate::serving::configuration::tenant::{MilliRequests, TenantName};
 use crate::time::{Millis, Timestamp};
 
-/// While at least this share of a tenant's capacity is left, all gateways draw on it freely: a small tenant isn't cut
-/// into parts of less than a request, and what all admit between two reports is covered by the rest.
-const POOLED_SHARE: f64 = 0.5;
-/// The share of a tenant's limit that a gateway admits before the leader has answered for the tenant: keeps the limit
-/// meanwhile.
-pub(super) const UNKNOWN_SHARE: f64 = 0.0625;
-/// What a gateway without a leader takes for itself goes by the demand that it was told, and by an even division among all
-/// gateways as if this share of the rate were asked for evenly: demand that was learned from few requests says little.
-const EVEN_DEMAND: f64 = 0.25;
-/// The part of its share that a gateway without a leader uses: keeps the limit where demand moved on after the last
-/// report.
-pub(super) const DISCONNECTED_PART: f64 = 0.9;
-/// A gateway reports early once it has admitted this part of its share: keeps the limit where much is admitted between
-/// two reports.
-const EARLY_REPORT_PART: f64 = 0.5;
-/// The time over which demand is smoothed, in milliseconds, so that shares don't jump with each request.
-const DEMAND_SMOOTHING: Millis = Millis(1_500);
-/// Recent admissions are counted in steps of this, in milliseconds, to save memory.
-const RECENT_STEP: Millis = Millis(250);
+/// Fraction of a tenant's capacity down to which all gateways draw from the shared level freely. Keeps a small limit
+/// from being divided into parts of less than a request; the remainder covers what all gateways admit between two
+/// reports.
+const MIN_POOLED_FRACTION: f64 = 0.5;
+/// Share of a tenant's limit that a gateway uses before the leader has answered for the tenant.
+pub(super) const INITIAL_SHARE: f64 = 0.0625;
+/// Demand, as a fraction of the rate, that is added evenly over all gateways when the share of a disconnected gateway
+/// is computed. A demand estimated from few requests is unreliable.
+const EVEN_DEMAND_FRACTION: f64 = 0.25;
+/// Fraction of its share that a disconnected gateway uses. Protects the limit when demand shifts between gateways
+/// after the last report.
+pub(super) const DISCONNECTED_SHARE_FACTOR: f64 = 0.9;
+/// Fraction of its share after whose use a gateway reports early.
+const EARLY_REPORT_FRACTION: f64 = 0.5;
+/// Time constant of the smoothed demand, so that shares do not jump with each request.
+const DEMAND_TIME_CONSTANT: Millis = Millis(1_500);
+/// Resolution of the count of recent admissions. Limits its memory.
+const RECENT_RESOLUTION: Millis = Millis(250);
 
-/// How many requests are asked for in a second, smoothed.
+/// Exponentially smoothed rate of requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
     per_s: f64,
@@ -39,16 +38,16 @@
 
 impl Demand {
     fn record(&mut self, now: Timestamp) {
-        self.per_s = self.at_time(now) + 1_000.0 / DEMAND_SMOOTHING.0 as f64;
+        self.per_s = self.at_time(now) + 1_000.0 / DEMAND_TIME_CONSTANT.0 as f64;
         self.at = now;
     }
 
     fn at_time(&self, now: Timestamp) -> f64 {
-        self.per_s * (-(now.since(self.at).0 as f64) / DEMAND_SMOOTHING.0 as f64).exp()
+        self.per_s * (-(now.since(self.at).0 as f64) / DEMAND_TIME_CONSTANT.0 as f64).exp()
     }
 }
 
-/// How many requests were admitted in the last [`RECENT_WINDOW`], counted in steps of [`RECENT_STEP`].
+/// Number of requests admitted within the last [`RECENT_WINDOW`], counted in steps of [`RECENT_RESOLUTION`].
 #[derive(Clone, Debug, Default)]
 struct RecentCount {
     steps: VecDeque<(Timestamp, u64)>,
@@ -57,107 +56,108 @@
 impl RecentCount {
     fn record(&mut self, now: Timestamp) {
         match self.steps.back_mut() {
-            Some((begun, count)) if now.since(*begun) < RECENT_STEP => *count += 1,
+            Some((begun, count)) if now.since(*begun) < RECENT_RESOLUTION => *count += 1,
             _ => self.steps.push_back((now, 1)),
         }
-        self.forget(now);
+        self.evict(now);
     }
 
-    fn forget(&mut self, now: Timestamp) {
+    fn evict(&mut self, now: Timestamp) {
         while self.steps.front().is_some_and(|(begun, _)| now.since(*begun) > RECENT_WINDOW) {
             self.steps.pop_front();
         }
     }
 
     fn total(&mut self, now: Timestamp) -> u64 {
-        self.forget(now);
+        self.evict(now);
         self.steps.iter().map(|(_, count)| count).sum()
     }
 }
 
-/// A gateway's part of a tenant's demand, as the leader answered it. Gateway and leader conclude the same from it.
+/// Demand at a gateway and in total, according to the leader's answer. Gateway and leader compute the same share from
+/// it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct DemandPart {
-    /// Requests a second that are asked for at the gateway.
-    pub(super) here: f64,
-    /// The same at all gateways.
+pub(super) struct DemandShare {
+    /// Requests per second at the gateway.
+    pub(super) local: f64,
+    /// Requests per second at all gateways.
     pub(super) total: f64,
 }
 
-impl DemandPart {
-    /// The share of the limit that is the gateway's while it is out of the leader's reach.
-    pub(super) fn share(self, limit: BucketLimit, size: FleetSize) -> f64 {
-        let even = size.even_share().unwrap_or(UNKNOWN_SHARE);
-        let spread = limit.per_s * EVEN_DEMAND;
-        let total = self.total + spread;
+impl DemandShare {
+    /// Returns the share of the limit that the gateway uses while it is disconnected from the leader.
+    pub(super) fn limit_share(self, limit: BucketLimit, size: FleetSize) -> f64 {
+        let even = size.even_share().unwrap_or(INITIAL_SHARE);
+        let even_demand = limit.per_s * EVEN_DEMAND_FRACTION;
+        let total = self.total + even_demand;
         if total <= 0.0 {
             return even;
         }
-        ((self.here + spread * even) / total).clamp(0.0, 1.0)
+        ((self.local + even_demand * even) / total).clamp(0.0, 1.0)
     }
 }
 
-/// What the leader answered for a tenant, and what stood in the report that it answered.
+/// Level of a tenant in the leader's answer, and the usage in the report that it answers.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaderLevel {
     level: f64,
-    demand_total: f64,
-    demand_here: f64,
-    admitted_here: u64,
-    /// The time that the level is counted from.
+    total_demand: f64,
+    local_demand: f64,
+    admitted_at_report: u64,
+    /// Time from which the level refills.
     at: Timestamp,
-    /// From which part of a request on one is admitted, drawn once: what is left for this gateway is seldom whole,
-    /// and must come out right in the mean however often callers try. `None` until the first of them does.
+    /// Fraction of a request that must be left to admit one, drawn once per level. What is left for this gateway is
+    /// rarely an integer, and the number admitted must be right on average however often callers retry. `None` until
+    /// the first request.
     threshold: Option<f64>,
 }
 
 impl LeaderLevel {
-    /// The level of an answer to a report with this usage.
+    /// Builds the level from an answer to a report with this usage.
     pub(super) fn new(answer: &TenantLevel, reported: &TenantUsage, at: Timestamp) -> Self {
         Self {
             level: answer.level.requests(),
-            demand_total: answer.asked_per_s.requests(),
-            demand_here: reported.asked_per_s.requests(),
-            admitted_here: reported.spent,
+            total_demand: answer.asked_per_s.requests(),
+            local_demand: reported.asked_per_s.requests(),
+            admitted_at_report: reported.spent,
             at,
             threshold: None,
         }
     }
 
-    /// How old it is.
     pub(super) fn age(&self, now: Timestamp) -> Millis {
         now.since(self.at)
     }
 
-    /// This gateway's share of the demand.
+    /// Returns this gateway's share of the demand.
     pub(super) fn share(&self) -> f64 {
-        if self.demand_total <= 0.0 {
-            return UNKNOWN_SHARE;
+        if self.total_demand <= 0.0 {
+            return INITIAL_SHARE;
         }
-        (self.demand_here / self.demand_total).clamp(0.0, 1.0)
+        (self.local_demand / self.total_demand).clamp(0.0, 1.0)
     }
 
-    /// This gateway's part of the limit while it is out of the leader's reach.
-    pub(super) fn part(&self, limit: BucketLimit, size: FleetSize) -> f64 {
-        let demand = DemandPart { here: self.demand_here, total: self.demand_total };
-        demand.share(limit, size)
+    /// Returns this gateway's share of the limit while it is disconnected from the leader.
+    pub(super) fn disconnected_share(&self, limit: BucketLimit, size: FleetSize) -> f64 {
+        let demand = DemandShare { local: self.local_demand, total: self.total_demand };
+        demand.limit_share(limit, size)
     }
 
-    /// What is left for this gateway if the others go on asking as they did.
+    /// Returns the number of requests left for this gateway if demand at the others continues unchanged.
     fn remaining(&self, limit: BucketLimit, admitted: u64, now: Timestamp) -> f64 {
         let age = self.age(now);
-        let admitted_since = admitted.saturating_sub(self.admitted_here) as f64;
-        let asked_elsewhere = (self.demand_total - self.demand_here).max(0.0) * age.0 as f64 / 1_000.0;
-        let filled = (self.level + limit.gained(age)).min(limit.capacity);
-        let pooled = filled - asked_elsewhere - admitted_since;
-        if pooled >= limit.capacity * POOLED_SHARE {
+        let admitted_since = admitted.saturating_sub(self.admitted_at_report) as f64;
+        let demand_elsewhere = (self.total_demand - self.local_demand).max(0.0) * age.0 as f64 / 1_000.0;
+        let filled = (self.level + limit.accrued(age)).min(limit.capacity);
+        let pooled = filled - demand_elsewhere - admitted_since;
+        if pooled >= limit.capacity * MIN_POOLED_FRACTION {
             return pooled;
         }
         filled * self.share() - admitted_since
     }
 }
 
-/// One tenant at one gateway.
+/// State of one tenant at one gateway.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TenantState {
     /// Requests admitted since the process started.
@@ -165,105 +165,104 @@
     recent: RecentCount,
     demand: Demand,
     level: Option<LeaderLevel>,
-    /// This gateway's part of the limit while the leader's level is missing or old.
-    own: Option<TokenBucket>,
+    /// Bucket with this gateway's share of the limit, used while the leader's level is missing or has expired.
+    local_bucket: Option<TokenBucket>,
     used_at: Timestamp,
 }
 
 impl TenantState {
-    /// A request came. One that has waited already is no further demand.
-    pub(super) fn request_came(&mut self, has_waited: bool, now: Timestamp) {
+    /// Records a request. One that has already waited does not count as demand again.
+    pub(super) fn record_request(&mut self, has_waited: bool, now: Timestamp) {
         self.used_at = now;
         if !has_waited {
             self.demand.record(now);
         }
     }
 
-    /// Whether the tenant asked for something within a span.
+    /// Returns whether the tenant has sent a request within a span.
     pub(super) fn used_within(&self, span: Millis, now: Timestamp) -> bool {
         now.since(self.used_at) < span
     }
 
-    /// The level in the leader's last answer.
+    /// Returns the level in the leader's last answer.
     pub(super) fn level(&self) -> Option<LeaderLevel> {
         self.level
     }
 
-    /// Whether that level is younger than `lifetime`.
+    /// Returns whether that level is younger than `lifetime`.
     pub(super) fn is_level_fresh(&self, lifetime: Millis, now: Timestamp) -> bool {
         self.level.is_some_and(|level| level.age(now) < lifetime)
     }
 
-    /// Takes the leader's answer.
     pub(super) fn set_level(&mut self, level: LeaderLevel) {
         self.level = Some(level);
     }
 
-    /// What is left for this gateway: by the leader's level while it is younger than `lifetime`, else by a bucket of
-    /// its own.
+    /// Returns the number of requests left for this gateway: from the leader's level while it is younger than
+    /// `lifetime`, otherwise from a local bucket.
     pub(super) fn remaining(&mut self, limit: BucketLimit, lifetime: Millis, size: FleetSize, now: Timestamp) -> f64 {
         if let Some(level) = self.level.filter(|level| level.age(now) < lifetime) {
-            self.own = None;
+            self.local_bucket = None;
             return level.remaining(limit, self.admitted, now);
         }
         let leased = self.leased(now);
-        let unknown = size.even_share().map_or(UNKNOWN_SHARE, |even| even * DISCONNECTED_PART);
-        let share = leased.map_or(unknown, |level| level.part(limit, size) * DISCONNECTED_PART);
-        let part = limit.part(share);
+        let unknown = size.even_share().map_or(INITIAL_SHARE, |even| even * DISCONNECTED_SHARE_FACTOR);
+        let share = leased.map_or(unknown, |level| level.disconnected_share(limit, size) * DISCONNECTED_SHARE_FACTOR);
+        let scaled = limit.scaled(share);
         let admitted = self.admitted;
-        let at_start =
-            leased.map_or(part.capacity, |level| level.remaining(limit, admitted, now).clamp(0.0, part.capacity));
-        let own = self.own.get_or_insert_with(|| TokenBucket::with_level(at_start, now));
-        own.refill(part, now);
-        own.level()
+        let initial_level =
+            leased.map_or(scaled.capacity, |level| level.remaining(limit, admitted, now).clamp(0.0, scaled.capacity));
+        let local_bucket = self.local_bucket.get_or_insert_with(|| TokenBucket::with_level(initial_level, now));
+        local_bucket.refill(scaled, now);
+        local_bucket.level()
     }
 
-    /// The leader's level, while this gateway may go on with its part of the limit.
+    /// Returns the leader's level while this gateway may continue with its share of the limit.
     fn leased(&self, now: Timestamp) -> Option<LeaderLevel> {
         self.level.filter(|level| level.age(now) < LEASE)
     }
 
-    /// What must be left for a request to be admitted.
-    pub(super) fn threshold(&mut self, drawn: f64) -> f64 {
+    /// Returns the number of requests that must be left to admit one.
+    pub(super) fn threshold(&mut self, random: f64) -> f64 {
         match &mut self.level {
-            Some(level) if self.own.is_none() => *level.threshold.get_or_insert(drawn),
+            Some(level) if self.local_bucket.is_none() => *level.threshold.get_or_insert(random),
             _ => 1.0,
         }
     }
 
-    /// A request was admitted.
     pub(super) fn admit(&mut self, now: Timestamp) {
         self.admitted += 1;
         self.recent.record(now);
-        if let Some(own) = &mut self.own {
-            own.spend(1.0, f64::NEG_INFINITY);
+        if let Some(local_bucket) = &mut self.local_bucket {
+            local_bucket.spend(1.0, f64::NEG_INFINITY);
         }
     }
 
-    /// Whether the leader should get a report before the usual time, after one at `last`: the level is missing, is
-    /// older than `lifetime` though the tenant asks, or a good part of this gateway's share is used up.
+    /// Returns whether a report is due before the regular interval after one at `last`: the level is missing, is
+    /// older than `lifetime` while the tenant sends requests, or a large part of this gateway's share is used up.
     pub(super) fn needs_early_report(&self, last: Timestamp, lifetime: Millis) -> bool {
         let Some(level) = self.level else { return true };
         if self.used_at > last && last.since(level.at) >= lifetime {
             return true;
         }
-        let admitted_since = self.admitted.saturating_sub(level.admitted_here) as f64;
-        admitted_since >= 1.0 && admitted_since >= level.level * level.share() * EARLY_REPORT_PART
+        let admitted_since = self.admitted.saturating_sub(level.admitted_at_report) as f64;
+        admitted_since >= 1.0 && admitted_since >= level.level * level.share() * EARLY_REPORT_FRACTION
     }
 
-    /// The tenant is not reported any more, so the leader counts on no part of this gateway's but an even one.
-    pub(super) fn forget_level(&mut self) {
+    /// Drops the level. Called when the tenant is no longer reported, since the leader then reserves only an even
+    /// share for this gateway.
+    pub(super) fn clear_level(&mut self) {
         self.level = None;
     }
 
-    /// What the leader is to know.
+    /// Returns the usage to report to the leader.
     pub(super) fn usage(&mut self, tenant: &TenantName, now: Timestamp) -> TenantUsage {
         TenantUsage {
             tenant: tenant.clone(),
             spent: self.admitted,
             latest: self.recent.total(now),
             asked_per_s: MilliRequests::of(self.demand.at_time(now)),
-            known_per_s: MilliRequests::of(self.leased(now).map_or(0.0, |level| level.demand_total)),
+            known_per_s: MilliRequests::of(self.leased(now).map_or(0.0, |level| level.total_demand)),
         }
     }
 }
