--- a/crates/core/src/serving/relay/bounds.rs
+++ b/crates/core/src/serving/relay/bounds.rs
@@ -1,118 +1,115 @@
-//! The times in which a node must learn of changes, and what follows from them: each wait, hold and age is a share of
-//! one of three bounds from the settings, so that all of them together keep the bound.
+//! Time bounds within which a node must see changes of the metadata store, and the intervals derived from them.
 //!
-//! Within the change bound (100%) a change reaches a follower through a relay's watch and pause (20% + 10%) and the
-//! relay's hold (15%); a relay's view is gone by up to an age of 60%, a node's own up to 75%, and the rest is for its
-//! own call of the store.
+//! Every wait, hold and maximum age is a fraction of one of three configured bounds, so that the sum of the steps on
+//! any path stays within the bound. Within the change bound (100%), a change reaches a follower through a relay's
+//! watch and pause (20% + 10%) and the relay's hold (15%). A relay's view is considered stale at an age of 60% and a
+//! node's own view at 75%; the rest is left for the node's own call to the store.
 
 use super::policy::WatchRole;
 use crate::time::Millis;
 
-/// How long a relay's watch of the store waits, in percent of the change bound: its view is confirmed as often as this,
-/// and each confirmation costs a call.
-const RELAY_WAIT_PERCENT: u64 = 20;
-/// The pause of a relay after a watch that brought changes, in percent of the change bound: saves calls, since further
-/// changes come together.
+/// Wait of a relay's watch on the store, as a percentage of the change bound. Each wait ends with a confirmation of
+/// the view and costs one call.
+const RELAY_WATCH_WAIT_PERCENT: u64 = 20;
+/// Pause of a relay after a watch that returned changes, as a percentage of the change bound. Batches changes that
+/// arrive close together into one call.
 const RELAY_PAUSE_PERCENT: u64 = 10;
-/// How long a relay may hold an answer back until there are changes, in percent of the change bound: saves messages.
-const HOLD_PERCENT: u64 = 15;
-/// A relay whose view is older than this has lost the store, in percent of the change bound: its followers leave it in
-/// time.
-const RELAY_STALE_PERCENT: u64 = 60;
-/// A node whose view is older than this asks the store itself, in percent of the change bound: the rest is for that
-/// call.
-const STALE_PERCENT: u64 = 75;
-/// The pause after a watch with changes where there is no relay, in percent of the change bound: saves calls.
-const ALONE_PAUSE_PERCENT: u64 = 40;
-/// How long a relay with an old view is avoided, in percent of the change bound: it may have the store again soon.
-const AVOID_STALE_PERCENT: u64 = 20;
-/// The longest wait of a relay, or of a node that knows none, after a failed call of the store, before its random part
-/// of up to a half is added, in percent of the contact bound. Others depend on a relay, so it tries more often than a
-/// follower.
-const RELAY_STORE_WAIT_PERCENT: u64 = 15;
-/// The same of a follower, in percent of the contact bound: its call that fails (1 s), this wait and a relay's silence
-/// (550 ms) together stay below the shortest contact bound in use, 3 s.
-const FOLLOWER_STORE_WAIT_PERCENT: u64 = 25;
-/// Records can lapse once the store was out of reach for this long, in percent of a heartbeat: workers whose records
-/// lapsed with the store serve on, and only those.
-const LEAST_LAPSE_PERCENT: u64 = 150;
-/// A watch of a node that takes no changes from relays waits this much longer than the contact bound, in milliseconds,
-/// since it may have begun before the silence.
-const ALONE_MARGIN: Millis = Millis(500);
+/// Maximum time for which a relay holds a request until there are changes, as a percentage of the change bound.
+/// Reduces the number of messages.
+const MAX_HOLD_PERCENT: u64 = 15;
+/// Age above which a relay's view is stale, as a percentage of the change bound. Followers then have time to switch
+/// to another relay or to the store.
+const MAX_RELAY_AGE_PERCENT: u64 = 60;
+/// Age of its view at which a follower calls the store itself, as a percentage of the change bound. The rest is left
+/// for that call.
+const MAX_AGE_PERCENT: u64 = 75;
+/// Pause of a node without relays after a watch that returned changes, as a percentage of the change bound.
+const STANDALONE_PAUSE_PERCENT: u64 = 40;
+/// Time for which a relay with a stale view is skipped, as a percentage of the change bound. Short, since the relay
+/// may reconnect to the store soon.
+const STALE_RELAY_COOLDOWN_PERCENT: u64 = 20;
+/// Maximum backoff of a relay, a forwarder or a standalone node after failed calls to the store, before jitter, as a
+/// percentage of the contact bound. Shorter than a follower's, since other nodes depend on a relay.
+const MAX_RELAY_BACKOFF_PERCENT: u64 = 15;
+/// Maximum backoff of a follower after failed calls to the store, before jitter, as a percentage of the contact
+/// bound. A timed-out call (1 s), this backoff and the timeout of a relay (550 ms) must fit into the shortest contact
+/// bound in use, 3 s.
+const MAX_FOLLOWER_BACKOFF_PERCENT: u64 = 25;
+/// Outage of the store after which records may have expired, as a percentage of the heartbeat interval. Workers whose
+/// records are missing after a shorter outage are treated as removed.
+const MIN_EXPIRY_OUTAGE_PERCENT: u64 = 150;
+/// Time by which the watch of a node without relays exceeds the contact bound, since the watch may have begun before
+/// the store stopped answering.
+const STANDALONE_WAIT_MARGIN: Millis = Millis(500);
 
-/// The times in which a node must learn of changes, from its settings.
+/// Configured time bounds within which a node must see changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchBounds {
-    /// A change must have its effect within this time.
+    /// Maximum time from a change in the store until it takes effect on a node that can reach the store.
     pub change: Millis,
-    /// A node that had no way to the store must be up to date this long after it has one again.
+    /// Time within which a node must be up to date after it regains access to the store.
     pub contact: Millis,
-    /// The time between two writes of a worker's record.
+    /// Interval at which a worker renews its record.
     pub heartbeat: Millis,
 }
 
 impl WatchBounds {
-    /// How long a relay's watch of the store waits.
-    pub(super) fn relay_wait(self) -> Millis {
-        percent(self.change, RELAY_WAIT_PERCENT)
+    pub(super) fn relay_watch_wait(self) -> Millis {
+        percent_of(self.change, RELAY_WATCH_WAIT_PERCENT)
     }
 
-    /// The pause of a relay after a watch that brought changes.
     pub(super) fn relay_pause(self) -> Millis {
-        percent(self.change, RELAY_PAUSE_PERCENT)
+        percent_of(self.change, RELAY_PAUSE_PERCENT)
     }
 
-    /// How long a relay may hold an answer back.
-    pub(super) fn hold(self) -> Millis {
-        percent(self.change, HOLD_PERCENT)
+    pub(super) fn max_hold(self) -> Millis {
+        percent_of(self.change, MAX_HOLD_PERCENT)
     }
 
-    /// A relay whose view is older than this has lost the store.
+    /// Age from which a relay's view is stale, so that the relay's followers must use another source.
     pub fn max_relay_age(self) -> Millis {
-        percent(self.change, RELAY_STALE_PERCENT)
+        percent_of(self.change, MAX_RELAY_AGE_PERCENT)
     }
 
-    /// A node whose view is older than this asks the store itself.
-    pub fn stale(self) -> Millis {
-        percent(self.change, STALE_PERCENT)
+    /// Age of its view from which a follower calls the store itself.
+    pub fn max_age(self) -> Millis {
+        percent_of(self.change, MAX_AGE_PERCENT)
     }
 
-    /// How long a watch waits where there is no relay. The store may have lost its answer, which shows only after
-    /// that.
-    pub(super) fn alone_wait(self) -> Millis {
-        self.contact + ALONE_MARGIN
+    /// Wait of a watch on the store by a node without relays. Longer than the contact bound, since an answer that the
+    /// store lost is only detected when the wait is over.
+    pub(super) fn standalone_wait(self) -> Millis {
+        self.contact + STANDALONE_WAIT_MARGIN
     }
 
-    /// The pause after a watch with changes where there is no relay.
-    pub(super) fn alone_pause(self) -> Millis {
-        percent(self.change, ALONE_PAUSE_PERCENT)
+    pub(super) fn standalone_pause(self) -> Millis {
+        percent_of(self.change, STANDALONE_PAUSE_PERCENT)
     }
 
-    /// A node that was asked within this time is a relay: one that nobody asks any more stops watching the store.
-    pub(super) fn relay_lifetime(self) -> Millis {
+    /// Time after the last request of another node for which a node remains a relay and watches the store.
+    pub(super) fn relay_idle_timeout(self) -> Millis {
         self.contact
     }
 
-    /// How long a relay with an old view is avoided.
-    pub(super) fn avoid_stale(self) -> Millis {
-        percent(self.change, AVOID_STALE_PERCENT)
+    pub(super) fn stale_relay_cooldown(self) -> Millis {
+        percent_of(self.change, STALE_RELAY_COOLDOWN_PERCENT)
     }
 
-    /// The longest wait after a failed call of the store, before its random part.
-    pub(super) fn longest_store_wait(self, role: WatchRole) -> Millis {
-        let share = match role {
-            WatchRole::Relay | WatchRole::Forwarder | WatchRole::Standalone => RELAY_STORE_WAIT_PERCENT,
-            WatchRole::Follower => FOLLOWER_STORE_WAIT_PERCENT,
+    /// Maximum backoff after failed calls to the store, before jitter.
+    pub(super) fn max_store_backoff(self, role: WatchRole) -> Millis {
+        let percent = match role {
+            WatchRole::Relay | WatchRole::Forwarder | WatchRole::Standalone => MAX_RELAY_BACKOFF_PERCENT,
+            WatchRole::Follower => MAX_FOLLOWER_BACKOFF_PERCENT,
         };
-        percent(self.contact, share)
+        percent_of(self.contact, percent)
     }
 
-    /// Records can lapse once the store was out of reach for this long.
-    pub(super) fn least_lapse(self) -> Millis {
-        percent(self.heartbeat, LEAST_LAPSE_PERCENT)
+    /// Minimum duration of an outage after which records may have expired.
+    pub(super) fn min_expiry_outage(self) -> Millis {
+        percent_of(self.heartbeat, MIN_EXPIRY_OUTAGE_PERCENT)
     }
 }
 
-fn percent(span: Millis, share: u64) -> Millis {
-    Millis(span.0 * share / 100)
+fn percent_of(span: Millis, percent: u64) -> Millis {
+    Millis(span.0 * percent / 100)
 }
--- a/crates/core/src/serving/relay/choice.rs
+++ b/crates/core/src/serving/relay/choice.rs
@@ -1,7 +1,7 @@
-//! Which relay a node asks.
+//! Selection of the relay that a node queries.
 //!
-//! Owns which relays are avoided, and for how long. Relies on the records of the storing nodes, which all nodes of a
-//! zone rank alike.
+//! Tracks which relays are skipped after failures, and until when. The candidates come from the records of the
+//! storage nodes, which all nodes of a zone rank alike.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,69 +12,69 @@
 use crate::serving::jobs::directory::StorageDirectory;
 use crate::time::{Millis, Timestamp};
 
-/// How many relays a node tries. One is enough while it lives; with a third of the machines cut off from the store,
-/// three in a row that are is one case in 27.
-const RELAYS_TRIED: usize = 3;
-/// The time for which a relay that gave no answer is avoided grows to at most this many times the first: one that lives
-/// again is tried again.
-const LONGEST_AVOIDED: u64 = 8;
+/// Maximum number of relays considered. With a third of the machines disconnected from the store, all three are
+/// unusable in one case of 27.
+const MAX_RELAYS_TRIED: usize = 3;
+/// Maximum factor by which the cooldown of an unresponsive relay grows, so that a recovered relay is retried.
+const MAX_COOLDOWN_FACTOR: u64 = 8;
 
 #[derive(Clone, Copy, Debug)]
-struct Avoided {
+struct Cooldown {
     until: Timestamp,
     failures: u32,
 }
 
-/// The relays that a node avoids for a while.
+/// Relays that are skipped for a while after failures or stale answers.
 #[derive(Clone, Debug, Default)]
 pub struct RelayChoice {
-    avoided: BTreeMap<NodeId, Avoided>,
+    cooldowns: BTreeMap<NodeId, Cooldown>,
 }
 
 impl RelayChoice {
-    /// The relay to ask, of those ranked by [`rank_relays`].
+    /// Returns the first relay to query, of those ranked by [`rank_relays`], that is not in its cooldown.
     pub fn usable(&self, now: Timestamp, relays: &[NodeId]) -> Option<NodeId> {
-        let is_avoided = |relay: &NodeId| self.avoided.get(relay).is_some_and(|avoided| now < avoided.until);
-        relays.iter().take(RELAYS_TRIED).find(|relay| !is_avoided(relay)).copied()
+        let is_cooling_down = |relay: &NodeId| self.cooldowns.get(relay).is_some_and(|cooldown| now < cooldown.until);
+        relays.iter().take(MAX_RELAYS_TRIED).find(|relay| !is_cooling_down(relay)).copied()
     }
 
-    /// The time until one of the relays may be asked again; `None` if none is avoided.
-    pub fn until_usable(&self, now: Timestamp, relays: &[NodeId]) -> Option<Millis> {
-        let avoided = relays.iter().take(RELAYS_TRIED).filter_map(|relay| self.avoided.get(relay));
-        avoided.map(|avoided| avoided.until.since(now)).min()
+    /// Returns the time until the first cooldown of these relays ends; `None` if none is in a cooldown.
+    pub fn time_until_usable(&self, now: Timestamp, relays: &[NodeId]) -> Option<Millis> {
+        let cooldowns = relays.iter().take(MAX_RELAYS_TRIED).filter_map(|relay| self.cooldowns.get(relay));
+        cooldowns.map(|cooldown| cooldown.until.since(now)).min()
     }
 
-    /// A relay answered as it should.
+    /// Records a usable answer of a relay, which ends its cooldown.
     pub fn answered(&mut self, relay: NodeId) {
-        self.avoided.remove(&relay);
+        self.cooldowns.remove(&relay);
     }
 
-    /// No relay is avoided any more.
-    pub fn forgive(&mut self) {
-        self.avoided.clear();
+    /// Ends all cooldowns.
+    pub fn clear(&mut self) {
+        self.cooldowns.clear();
     }
 
-    /// A relay gave no answer: it is avoided for `span`, longer with each failure in a row.
+    /// Records that a relay did not answer. Its cooldown starts at `span` and doubles with each consecutive failure.
     pub fn failed(&mut self, relay: NodeId, span: Millis, now: Timestamp) {
-        let failures = self.avoided.get(&relay).map_or(0, |avoided| avoided.failures);
-        let backoff = Backoff::new(span, Millis(span.0 * LONGEST_AVOIDED));
+        let failures = self.cooldowns.get(&relay).map_or(0, |cooldown| cooldown.failures);
+        let backoff = Backoff::new(span, Millis(span.0 * MAX_COOLDOWN_FACTOR));
         let until = now + backoff.wait(failures);
-        self.avoided.insert(relay, Avoided { until, failures: failures + 1 });
+        self.cooldowns.insert(relay, Cooldown { until, failures: failures + 1 });
     }
 
-    /// A relay's answer was of no use: it is avoided for `span`.
+    /// Records an answer that could not be used. The relay is skipped for `span`, independent of earlier failures.
     pub fn avoid(&mut self, relay: NodeId, span: Millis, now: Timestamp) {
-        self.avoided.insert(relay, Avoided { until: now + span, failures: 0 });
+        self.cooldowns.insert(relay, Cooldown { until: now + span, failures: 0 });
     }
 }
 
-/// The nodes that may be relays of a zone, the best first. All nodes of the zone see the same order, so few
-/// nodes of a zone are relays; those of the zone come first, since bytes between zones are paid for.
+/// Ranks the nodes that may serve as relays for a zone, best first. All nodes of a zone compute the same order, so
+/// only a few become relays. Nodes of the zone itself come first, since traffic between zones is billed.
 pub fn rank_relays(storage: &StorageDirectory, zone: &str, own: NodeId) -> Vec<NodeId> {
     rank_by(hash_bytes(zone.as_bytes()), storage, zone, own)
 }
 
-/// The same for aggregators of loads, in another order: no node has both duties where there are many.
+/// Ranks the nodes that may serve as aggregators of loads. Uses a different order than [`rank_relays`], so that in a
+/// large zone no node has both duties.
 pub fn rank_aggregators(storage: &StorageDirectory, zone: &str, own: NodeId) -> Vec<NodeId> {
     rank_by(hash_parts(&[b"loads", zone.as_bytes()]), storage, zone, own)
 }
--- a/crates/core/src/serving/relay/contents.rs
+++ b/crates/core/src/serving/relay/contents.rs
@@ -1,7 +1,7 @@
-//! All that a relay knows of the store, packed for nodes that have just started.
+//! Complete contents of the metadata store as a relay sends them to nodes that have just started.
 //!
-//! Records are alike, so packed they take a tenth of their bytes. What a relay packed once serves every node that asks in
-//! that moment.
+//! Records resemble each other and compress to about a tenth of their size. The compressed form is cached by the
+//! relay and shared by the nodes that request it at the same time.
 
 use std::io::{self, Read, Write};
 use std::sync::Arc;
@@ -16,47 +16,47 @@
 use super::message::{ChangeSet, ChangesAnswer};
 use crate::time::Millis;
 
-/// Most bytes of contents once they are unpacked: a damaged answer must not take a node's memory.
-const MOST_BYTES: u64 = 64 << 20;
+/// Maximum size of decompressed contents in bytes. Bounds the memory that a corrupt answer can take.
+const MAX_UNPACKED_BYTES: u64 = 64 << 20;
 
-/// What a relay knows of the store.
+/// Complete contents of a relay's view of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContentsAnswer {
-    /// The contents are complete up to here.
+    /// Revision up to which the contents are complete.
     pub at: Revision,
-    /// How old they were when the relay answered.
+    /// Age of the relay's view when it answered.
     pub age: Millis,
-    /// For how long the store has been out of the relay's reach.
+    /// Time for which the relay has been unable to reach the store; 0 while it can.
     pub away: Millis,
-    /// For how long the relay held the answer back.
+    /// Time for which the relay held the request.
     pub held: Millis,
-    /// The items, packed.
+    /// Serialized and compressed items.
     pub packed: Arc<[u8]>,
 }
 
-/// Why contents can't be read.
+/// Reason why contents cannot be decoded.
 #[derive(Debug, Snafu)]
 pub enum ContentsError {
-    /// They are not whole, or not packed as they should be.
-    #[snafu(display("contents that can't be unpacked: {source}"))]
+    /// The compressed data is truncated or corrupt.
+    #[snafu(display("cannot decompress contents: {source}"))]
     Damaged {
-        /// What was found.
+        /// Error of the decompressor.
         source: io::Error,
     },
-    /// They are more than a node takes.
-    #[snafu(display("contents of over {MOST_BYTES} bytes"))]
+    /// The decompressed data exceeds the size limit.
+    #[snafu(display("decompressed contents exceed {MAX_UNPACKED_BYTES} bytes"))]
     TooLarge,
-    /// They hold no items.
-    #[snafu(display("contents that hold no items: {source}"))]
+    /// The decompressed data is not a list of items.
+    #[snafu(display("cannot deserialize items: {source}"))]
     Malformed {
-        /// What was found.
+        /// Error of the deserializer.
         source: postcard::Error,
     },
 }
 
-/// Packs items.
+/// Serializes and compresses items.
 pub fn pack(items: &[MetadataItem]) -> Arc<[u8]> {
-    // Can't fail: the length of all that is encoded is known, and a vector takes any.
+    // Cannot fail: all lengths are known, and a vector accepts any amount of data.
     let plain = postcard::to_stdvec(items).unwrap_or_default();
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     let packed = encoder.write_all(&plain).and_then(|()| encoder.finish());
@@ -64,16 +64,16 @@
 }
 
 impl ContentsAnswer {
-    /// The contents as changes from nothing.
+    /// Decodes the contents as a change set that replaces the whole view.
     ///
     /// # Errors
     ///
-    /// [`ContentsError`]: nothing of them is believed.
+    /// [`ContentsError`] if the contents cannot be decoded. Nothing is decoded partially.
     pub fn unpack(&self) -> Result<ChangesAnswer, ContentsError> {
         let mut plain = Vec::new();
-        let mut decoder = DeflateDecoder::new(&*self.packed).take(MOST_BYTES + 1);
+        let mut decoder = DeflateDecoder::new(&*self.packed).take(MAX_UNPACKED_BYTES + 1);
         decoder.read_to_end(&mut plain).context(DamagedSnafu)?;
-        if plain.len() as u64 > MOST_BYTES {
+        if plain.len() as u64 > MAX_UNPACKED_BYTES {
             return TooLargeSnafu.fail();
         }
         let items: Vec<MetadataItem> = postcard::from_bytes(&plain).context(MalformedSnafu)?;
--- a/crates/core/src/serving/relay/first_view.rs
+++ b/crates/core/src/serving/relay/first_view.rs
@@ -1,76 +1,76 @@
-//! How a node that has just started comes by its first view of the store.
+//! Acquisition of the first view of the store by a node that has just started.
 //!
-//! Where hundreds of nodes start at once, reading all that the store holds would keep its link busy for longer than a
-//! recovery may take. So a node reads only which storing nodes there are, and asks a relay for the rest. The nodes that
-//! watch the store for their zone read it themselves, and so does a node that finds no relay in time.
+//! When hundreds of nodes start at once, listing the whole store from each of them would saturate the store's link. A
+//! node therefore reads only the records of the storage nodes and requests the rest from a relay. The root relays of
+//! a zone list the store themselves, and so does a node that finds no relay in time.
 
 use super::policy::{ViewState, WatchStep};
 use super::tiers::RelayTier;
 use crate::identity::NodeId;
 use crate::time::{Millis, Timestamp};
 
-/// The time between two looks for storing nodes, in milliseconds: in a fleet that starts for the first time they are
-/// about to file their records.
-const SEEK_INTERVAL: Millis = Millis(125);
-/// A node that has found no storing node for this long, in milliseconds, reads the store itself: it may be the only node.
-const SEEK_FOR: Millis = Millis(500);
-/// A relay that gave no first view is asked again after this long, in milliseconds: it may be starting too.
-pub(super) const RELAY_RETRY: Millis = Millis(150);
-/// How long a relay's answer is awaited, in milliseconds: all that the store holds, over a thin link.
+/// Interval at which a node looks for storage nodes. In a new fleet they are about to write their records.
+const LOOKUP_INTERVAL: Millis = Millis(125);
+/// Time after which a node that has found no storage node lists the store itself, since it may be the only node.
+const LOOKUP_TIMEOUT: Millis = Millis(500);
+/// Time after which a relay that returned no first view is retried, since it may be starting too.
+pub(super) const RELAY_RETRY_DELAY: Millis = Millis(150);
+/// Timeout for a relay's answer. Allows for the complete contents of the store over a slow link.
 const CONTENTS_TIMEOUT: Millis = Millis(2_000);
 
-/// What a node without a view has done so far.
+/// Progress of a node that has no view yet.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FirstView {
-    /// When it looked for storing nodes first and last.
-    sought: Option<Sought>,
+    /// First and last lookup of the storage nodes.
+    lookups: Option<Lookups>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sought {
+struct Lookups {
     first: Timestamp,
     last: Timestamp,
 }
 
 impl FirstView {
-    /// The node has looked for storing nodes.
-    pub(super) fn sought(&mut self, now: Timestamp) {
-        let first = self.sought.map_or(now, |sought| sought.first);
-        self.sought = Some(Sought { first, last: now });
+    /// Records a lookup of the storage nodes.
+    pub(super) fn record_lookup(&mut self, now: Timestamp) {
+        let first = self.lookups.map_or(now, |lookups| lookups.first);
+        self.lookups = Some(Lookups { first, last: now });
     }
 
-    /// The next step. `usable` is the relay to ask of those that are known, `patience` for how long relays are asked.
+    /// Returns the next step. `usable` is the relay to query, if one is available; after `relay_timeout` without an
+    /// answer of a relay, the node lists the store itself.
     pub(super) fn next(
         &self,
         view: ViewState,
         tier: RelayTier,
         relays: &[NodeId],
         usable: Option<NodeId>,
-        patience: Millis,
+        relay_timeout: Millis,
     ) -> WatchStep {
-        let Some(sought) = self.sought else { return WatchStep::DiscoverRelays };
-        let waited = view.now.since(sought.first);
+        let Some(lookups) = self.lookups else { return WatchStep::DiscoverRelays };
+        let waited = view.now.since(lookups.first);
         if tier == RelayTier::Root {
             return WatchStep::ListStore;
         }
         if relays.is_empty() {
-            return Self::seek_again(view.now, sought, waited);
+            return Self::look_up_again(view.now, lookups, waited);
         }
         match usable {
-            _ if waited >= patience => WatchStep::ListStore,
+            _ if waited >= relay_timeout => WatchStep::ListStore,
             Some(relay) => WatchStep::AskRelay { relay, hold: Millis(0), timeout: CONTENTS_TIMEOUT },
-            None => WatchStep::Wait(RELAY_RETRY),
+            None => WatchStep::Wait(RELAY_RETRY_DELAY),
         }
     }
 
-    fn seek_again(now: Timestamp, sought: Sought, waited: Millis) -> WatchStep {
-        let rested = now.since(sought.last);
-        if waited >= SEEK_FOR {
+    fn look_up_again(now: Timestamp, lookups: Lookups, waited: Millis) -> WatchStep {
+        let elapsed = now.since(lookups.last);
+        if waited >= LOOKUP_TIMEOUT {
             WatchStep::ListStore
-        } else if rested >= SEEK_INTERVAL {
+        } else if elapsed >= LOOKUP_INTERVAL {
             WatchStep::DiscoverRelays
         } else {
-            WatchStep::Wait(Millis(SEEK_INTERVAL.0 - rested.0))
+            WatchStep::Wait(Millis(LOOKUP_INTERVAL.0 - elapsed.0))
         }
     }
 }
--- a/crates/core/src/serving/relay/item.rs
+++ b/crates/core/src/serving/relay/item.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A revision of the metadata store: one counter that rises with each change of any key.
+/// Revision of the metadata store: a counter that increases with each change of any key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Revision(pub u64);
 
@@ -25,30 +25,31 @@
     }
 }
 
-/// What is under a key.
+/// State of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyState {
-    /// A value.
+    /// The key has this value.
     Present(Arc<[u8]>),
-    /// Nothing: the key was removed, or never was.
+    /// The key was removed or has never existed.
     Removed,
-    /// Nothing: the key was missing when a node reached the store again after an outage. Its owner may write it again.
+    /// The key was missing when a node reconnected to the store after an outage, in which its record may have
+    /// expired. Its owner may write it again.
     Lapsed,
 }
 
-/// A key at a revision.
+/// A key with its state and the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MetadataItem {
-    /// The key.
+    /// Full key in the store.
     pub key: Arc<str>,
-    /// What is under it.
+    /// State at `revision`.
     pub state: KeyState,
-    /// The revision of its last change; 0 if it never was.
+    /// Revision of the last change; 0 if the key has never existed.
     pub revision: Revision,
 }
 
 impl MetadataItem {
-    /// The value, if there is one.
+    /// Returns the value if the key is present.
     pub fn value(&self) -> Option<&[u8]> {
         match &self.state {
             KeyState::Present(value) => Some(value),
--- a/crates/core/src/serving/relay/message.rs
+++ b/crates/core/src/serving/relay/message.rs
@@ -1,47 +1,47 @@
-//! What a node asks a relay, and the answer.
+//! Requests to a relay for changes of the store, and the relay's answers.
 
 use serde::{Deserialize, Serialize};
 
 use super::item::{MetadataItem, Revision};
 use crate::time::{Millis, Timestamp};
 
-/// Asks for what changed in the store.
+/// Requests the changes since a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesRequest {
-    /// The asker's view is complete up to here.
+    /// Revision up to which the requester's view is complete.
     pub since: Revision,
-    /// How long the answer may be held back until there is a change.
+    /// Maximum time for which the relay may hold the request until there is a change.
     pub hold: Millis,
 }
 
-/// What changed in the store, as far as the relay knows.
+/// Changes of the store known to the relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesAnswer {
-    /// The items.
+    /// Changes since the requested revision, or the complete contents.
     pub changes: ChangeSet,
-    /// How long ago, at the time of the answer, the relay's view is known to have been complete.
+    /// Time since the relay's view was last confirmed to be complete, as of the answer.
     pub age: Millis,
-    /// For how long the store has been out of the relay's reach; 0 if it is not.
+    /// Time for which the relay has been unable to reach the store; 0 while it can.
     pub away: Millis,
-    /// How long the answer was held back.
+    /// Time for which the relay held the request.
     pub held: Millis,
 }
 
 impl ChangesAnswer {
-    /// Whether the answer can be believed by a node that asked for what changed since a revision: it follows on just
-    /// that, or is all that the store holds and no older. A key is never empty.
+    /// Returns whether a node that requested changes since `since` can apply the answer: the changes must start at
+    /// exactly that revision, or be the complete contents at the same or a later one, and no key may be empty.
     pub fn is_valid_for(&self, since: Revision) -> bool {
-        let is_keyed = self.changes.items.iter().all(|item| !item.key.is_empty());
-        let follows = match self.changes.base {
+        let has_keys = self.changes.items.iter().all(|item| !item.key.is_empty());
+        let is_continuous = match self.changes.base {
             Some(base) => base == since,
             None => self.changes.at >= since,
         };
-        is_keyed && follows
+        has_keys && is_continuous
     }
 
-    /// When the relay's view is known to have been complete, by the clock of the node that asked at `asked_at`. Only
-    /// the time for which the answer was held back is counted in, so an answer that was held up elsewhere makes a view
-    /// older, never younger.
+    /// Returns when the relay's view was last confirmed, by the clock of the node that sent the request at
+    /// `asked_at`. Only the time for which the relay held the request is taken into account, so that any other delay
+    /// makes the view appear older, never younger.
     pub fn confirmed_at(&self, asked_at: Timestamp) -> Timestamp {
         asked_at + self.held - self.age
     }
@@ -50,10 +50,10 @@
 /// Items that bring a view up to a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeSet {
-    /// The items follow on a view that is complete up to here; `None` if they are all that the store holds.
+    /// Revision that the items follow; `None` if they are the complete contents of the store.
     pub base: Option<Revision>,
-    /// A view with these items is complete up to here.
+    /// Revision up to which a view is complete once the items are applied.
     pub at: Revision,
-    /// The items. Some may be newer than `at`.
+    /// Changed items. Some may be newer than `at`.
     pub items: Vec<MetadataItem>,
 }
--- a/crates/core/src/serving/relay/mirror.rs
+++ b/crates/core/src/serving/relay/mirror.rs
@@ -1,6 +1,7 @@
-//! The metadata store's contents as one node knows them.
+//! One node's copy of the metadata store.
 //!
-//! Owns the items, the removals that are still remembered, and when all of it was last known to be complete.
+//! Holds the items, the tombstones of recently removed keys, and the time at which the copy was last confirmed to be
+//! complete.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,16 +10,16 @@
 use super::message::ChangeSet;
 use crate::time::{Millis, Timestamp};
 
-/// The least number of keys of which it is remembered that nothing is under them, while there are fewer items: followers
-/// that are further behind get all items.
-const LEAST_TOMBSTONES: usize = 1_024;
+/// Minimum number of tombstones retained when there are fewer items. Followers that are further behind receive all
+/// items.
+const MIN_TOMBSTONES: usize = 1_024;
 
-/// What became of keys that are missing from a list of all that the store holds.
+/// How to treat known keys that a list of the complete store lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MissingKeys {
     /// They were removed.
     Removed,
-    /// They may have lapsed in an outage, and can be written again.
+    /// They may have expired during an outage and be written again by their owners.
     MayHaveExpired,
 }
 
@@ -44,77 +45,78 @@
     key: Arc<str>,
 }
 
-/// The store's contents as one node knows them.
+/// One node's copy of the metadata store.
 ///
-/// Invariants: the revision up to which the view is complete never goes down; a key never goes back to an older
-/// revision; a removal after `removals_from` is remembered.
+/// Invariants: the revision up to which the view is complete never decreases; no key returns to an older revision;
+/// each removal after `removals_known_after` has a tombstone.
 #[derive(Clone, Debug, Default)]
 pub struct Mirror {
     items: BTreeMap<Arc<str>, StoredState>,
-    /// All keys by revision, so that what changed is found without a look at the rest.
+    /// Index of all keys by revision, to find changes without a scan.
     by_revision: BTreeSet<KeyAt>,
-    /// The keys without a value, by revision.
+    /// Keys without a value, by revision.
     tombstones: BTreeSet<KeyAt>,
-    /// The view is complete up to here; `None` before the first list.
+    /// Revision up to which the view is complete; `None` before the first list.
     at: Option<Revision>,
-    /// Which keys were removed up to here is not known.
-    removals_from: Revision,
-    /// The view is known to have been complete at this time.
+    /// Tombstones of removals up to this revision may have been dropped.
+    removals_known_after: Revision,
+    /// Time at which the view was last confirmed to be complete.
     confirmed_at: Timestamp,
 }
 
 impl Mirror {
-    /// The revision up to which the view is complete.
+    /// Returns the revision up to which the view is complete; `None` before the first list.
     pub fn at(&self) -> Option<Revision> {
         self.at
     }
 
-    /// How long ago the view is known to have been complete; `None` before the first list.
+    /// Returns the time since the view was last confirmed to be complete; `None` before the first list.
     pub fn age(&self, now: Timestamp) -> Option<Millis> {
         self.at.map(|_| now.since(self.confirmed_at))
     }
 
-    /// The view was complete at a time.
+    /// Records that the view was complete at a time. Earlier times than the last one recorded are ignored.
     pub fn confirm(&mut self, at: Timestamp) {
         self.confirmed_at = self.confirmed_at.max(at);
     }
 
-    /// Takes all that the store holds, read at a revision. Returns what is new to this view. A list that is older than
-    /// the view is not taken: what it holds may have been removed since.
+    /// Applies a list of the complete store, read at revision `at`, and returns the items that changed. A list older
+    /// than the view is ignored, since its items may have been removed since.
     pub fn replace(&mut self, listed: Vec<MetadataItem>, at: Revision, missing: MissingKeys) -> Vec<MetadataItem> {
         if Some(at) < self.at {
             return Vec::new();
         }
         let present: BTreeSet<Arc<str>> =
             listed.iter().filter(|item| item.value().is_some()).map(|item| item.key.clone()).collect();
-        let mut changed = self.take(listed);
-        // Items may be newer than the revision up to which they are complete.
+        let mut changed = self.store_newer(listed);
+        // Items of the view may be newer than the list and then are not missing.
         let is_missing = |key: &Arc<str>, stored: &StoredState| {
             matches!(stored.state, KeyState::Present(_)) && stored.revision <= at && !present.contains(key)
         };
-        let gone: Vec<MetadataItem> = self
+        let absent: Vec<MetadataItem> = self
             .items
             .iter()
             .filter(|(key, stored)| is_missing(key, stored))
             .map(|(key, _)| MetadataItem { key: key.clone(), state: missing.state(), revision: at })
             .collect();
-        for item in gone {
+        for item in absent {
             self.insert(&item);
             changed.push(item);
         }
-        self.removals_from = self.removals_from.max(at);
-        self.reach(at);
+        self.removals_known_after = self.removals_known_after.max(at);
+        self.advance_to(at);
         changed
     }
 
-    /// Takes changes that follow on what this view holds. Returns what is new to it.
+    /// Applies changes that follow this view and returns the items that changed.
     pub fn advance(&mut self, changes: Vec<MetadataItem>, at: Revision) -> Vec<MetadataItem> {
-        let changed = self.take(changes);
-        self.reach(at);
+        let changed = self.store_newer(changes);
+        self.advance_to(at);
         changed
     }
 
-    /// What brings a view that is complete up to `since` up to this one; `None` before the first list.
+    /// Returns the changes that bring a view that is complete up to `since` up to this one, or all items where the
+    /// history does not reach back that far; `None` before the first list.
     pub fn changes_since(&self, since: Revision) -> Option<ChangeSet> {
         let at = self.at?;
         if !self.knows_changes_since(since) {
@@ -126,19 +128,19 @@
         Some(ChangeSet { base: Some(since), at, items })
     }
 
-    /// All items, for a view that can't be told what changed alone; `None` before the first list.
+    /// Returns all items, for a view that cannot be updated incrementally; `None` before the first list.
     pub fn all_items(&self) -> Option<ChangeSet> {
         let items = self.items.iter().filter(|(_, stored)| stored.state != KeyState::Removed);
         let items = items.map(|(key, stored)| item_of(key, stored)).collect();
         Some(ChangeSet { base: None, at: self.at?, items })
     }
 
-    /// Whether a node whose view is complete up to `since` can be told what changed since then alone.
+    /// Returns whether a view that is complete up to `since` can be updated incrementally.
     pub fn knows_changes_since(&self, since: Revision) -> bool {
-        since >= self.removals_from
+        since >= self.removals_known_after
     }
 
-    /// All keys that have a value.
+    /// Iterates over all keys that have a value.
     pub fn present(&self) -> impl Iterator<Item = (&Arc<str>, &[u8])> {
         self.items.iter().filter_map(|(key, stored)| match &stored.state {
             KeyState::Present(value) => Some((key, &**value)),
@@ -146,8 +148,8 @@
         })
     }
 
-    /// Keeps the items that are newer than what is stored, and returns those.
-    fn take(&mut self, items: Vec<MetadataItem>) -> Vec<MetadataItem> {
+    /// Stores the items that are newer than the stored ones and returns those.
+    fn store_newer(&mut self, items: Vec<MetadataItem>) -> Vec<MetadataItem> {
         let is_new =
             |item: &MetadataItem| self.items.get(&item.key).is_none_or(|stored| stored.revision < item.revision);
         let changed: Vec<MetadataItem> = items.into_iter().filter(is_new).collect();
@@ -159,29 +161,30 @@
 
     fn insert(&mut self, item: &MetadataItem) {
         let stored = StoredState { state: item.state.clone(), revision: item.revision };
-        if let Some(former) = self.items.insert(item.key.clone(), stored) {
-            let former = KeyAt { revision: former.revision, key: item.key.clone() };
-            self.by_revision.remove(&former);
-            self.tombstones.remove(&former);
+        if let Some(previous) = self.items.insert(item.key.clone(), stored) {
+            let previous = KeyAt { revision: previous.revision, key: item.key.clone() };
+            self.by_revision.remove(&previous);
+            self.tombstones.remove(&previous);
         }
-        let place = KeyAt { revision: item.revision, key: item.key.clone() };
+        let entry = KeyAt { revision: item.revision, key: item.key.clone() };
         if !matches!(item.state, KeyState::Present(_)) {
-            self.tombstones.insert(place.clone());
+            self.tombstones.insert(entry.clone());
         }
-        self.by_revision.insert(place);
+        self.by_revision.insert(entry);
     }
 
-    fn reach(&mut self, at: Revision) {
+    fn advance_to(&mut self, at: Revision) {
         self.at = self.at.max(Some(at));
         self.trim_tombstones();
     }
 
-    /// Forgets the oldest removals where there are more than items: to tell all items is then no more than to tell them.
+    /// Drops the oldest tombstones while they outnumber the items: sending all items is then cheaper than sending the
+    /// removals.
     fn trim_tombstones(&mut self) {
         let present = self.items.len() - self.tombstones.len();
-        while self.tombstones.len() > present.max(LEAST_TOMBSTONES) {
+        while self.tombstones.len() > present.max(MIN_TOMBSTONES) {
             let Some(oldest) = self.tombstones.pop_first() else { return };
-            self.removals_from = self.removals_from.max(oldest.revision);
+            self.removals_known_after = self.removals_known_after.max(oldest.revision);
             self.items.remove(&oldest.key);
             self.by_revision.remove(&oldest);
         }
--- a/crates/core/src/serving/relay/mod.rs
+++ b/crates/core/src/serving/relay/mod.rs
@@ -1,26 +1,27 @@
 //! Relaying the metadata store's changes between nodes.
 //!
-//! Each call of the store is paid for, and a watch of the store by every node makes their number grow with
-//! nodes times changes. So most nodes ask another node, a relay, which watches the store for them.
+//! Each call to the store is billed, and if every node watched the store, the number of calls would grow with the
+//! number of nodes times the number of changes. Most nodes therefore query another node, a relay, which watches the
+//! store on their behalf.
 //!
-//! A relay is never trusted to be up to date. Each answer says how old the relay's view is, and a node whose
-//! own view grows too old, for whatever reason, asks the store itself in time.
+//! A relay is not trusted to be up to date. Each answer states the age of the relay's view, and a node whose own view
+//! grows too old, for any reason, calls the store itself within the bound.
 //!
-//! Relies on the records of the storing nodes ([`super::jobs::directory`]). The calls, their clock and the randomness
-//! are the driver's (the gateway crate's `fleet`).
+//! Depends on the records of the storage nodes ([`super::jobs::directory`]). The caller (the gateway crate's `fleet`)
+//! performs the calls and provides the clock and the randomness.
 //!
 //! | module | owns |
 //! |---|---|
 //! | [`item`] | revisions, and items at a revision |
-//! | [`mirror`] | the store's contents as one node knows them, and what changed since a revision |
-//! | [`message`] | what a node asks a relay, and the answer |
-//! | [`choice`] | which relay a node asks |
-//! | [`tiers`] | which storing nodes pass changes on, and to whom |
-//! | `first_view` | how a node that has just started comes by its first view |
-//! | [`contents`] | all that a relay knows, packed |
-//! | [`bounds`] | the times in which a node must know of changes |
-//! | [`outage`] | outages as one node meets them, and what that says of missing records |
-//! | [`policy`] | where a node takes the next changes from, and how long it waits |
+//! | [`mirror`] | one node's copy of the store, and the changes since a revision |
+//! | [`message`] | requests to a relay, and the answers |
+//! | [`choice`] | which relay a node queries |
+//! | [`tiers`] | which storage nodes relay changes, and to which nodes |
+//! | `first_view` | how a node that has just started obtains its first view |
+//! | [`contents`] | the complete contents of a relay's view, compressed |
+//! | [`bounds`] | time bounds within which a node must see changes |
+//! | [`outage`] | outages observed by a node, and how to treat records that are missing afterwards |
+//! | [`policy`] | where a node obtains the next changes, and how long it waits |
 
 pub mod bounds;
 pub mod choice;
--- a/crates/core/src/serving/relay/outage.rs
+++ b/crates/core/src/serving/relay/outage.rs
@@ -1,87 +1,88 @@
-//! Outages of the store as one node meets them, and how far records that are missing after one can be judged.
+//! Outages of the store as observed by one node, and how to treat records that are missing afterwards.
 //!
-//! A node that was cut off alone can't tell that from an absence of the store, in which records lapse. So what it
-//! allows itself ends while it would be excused in either case.
+//! A node cannot tell whether it alone was disconnected or the store was down and records expired. The grace that it
+//! grants to workers without a record therefore ends within the bounds that hold in either case.
 
 use super::bounds::WatchBounds;
 use super::mirror::MissingKeys;
 use super::policy::ViewState;
 use crate::time::{Millis, Timestamp};
 
-/// Workers that live write a record that lapsed again within this time of the store's return, in milliseconds.
-const RETURN_TIME: Millis = Millis(2_000);
-/// A worker whose record was removed may be used for this long where there is nobody else, in milliseconds: a service
-/// whose only worker's record went.
-const LAST_RESORT: Millis = Millis(1_000);
-/// A request that is sent to a worker reaches it within this time, in milliseconds: one that is sent at the last moment
-/// keeps the bound.
-const IN_FLIGHT: Millis = Millis(250);
+/// Time within which running workers rewrite expired records once the store is back.
+const RECORD_REWRITE_TIME: Millis = Millis(2_000);
+/// Maximum time for which a worker whose record was removed may be used if its service has no other worker.
+const MAX_LAST_RESORT: Millis = Millis(1_000);
+/// Maximum time for which a request is in flight to a worker. Deducted so that a request sent at the last moment
+/// still arrives within the bound.
+const MAX_IN_FLIGHT: Millis = Millis(250);
 
-/// A call of the store that failed.
+/// A failed call to the store.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedCall {
-    /// When it began.
+    /// Start of the call.
     pub begun: Timestamp,
-    /// When it failed.
+    /// Time of the failure.
     pub ended: Timestamp,
-    /// It got no answer in time; else it was refused, or its connection broke.
+    /// Whether the call timed out; otherwise it was refused or its connection broke.
     pub timed_out: bool,
 }
 
 impl FailedCall {
-    /// The way to the store was broken then, or later: a silent call may have met the silence from its first moment on.
-    pub(super) fn broken_at(self) -> Timestamp {
+    /// Returns the earliest time at which the store may have become unreachable for this call: a call that timed out
+    /// may have been lost right after its start.
+    pub(super) fn unreachable_since(self) -> Timestamp {
         if self.timed_out { self.begun } else { self.ended }
     }
 }
 
-/// A span in which the store was out of this node's reach. It says nothing of whether others reached it.
+/// A period in which this node could not reach the store. Other nodes may have reached it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Outage {
-    /// It may have begun then.
+    /// Earliest possible start.
     since: Timestamp,
-    /// It was not over before then: the last failed call was.
-    lasted_to: Timestamp,
+    /// Earliest possible end, given by the last failed call.
+    not_over_before: Timestamp,
 }
 
 impl Outage {
-    /// The outage so far, after a further call that failed. `since` is when one that begins with it may have begun.
+    /// Extends an outage by another failed call. `since` is the earliest possible start of an outage that begins with
+    /// this call.
     pub(super) fn extended(earlier: Option<Self>, since: Timestamp, call: FailedCall) -> Self {
-        Self { since: earlier.map_or(since, |outage| outage.since), lasted_to: call.broken_at() }
+        Self { since: earlier.map_or(since, |outage| outage.since), not_over_before: call.unreachable_since() }
     }
 
-    /// For how long it has lasted.
-    pub(super) fn lasts(self, now: Timestamp) -> Millis {
+    pub(super) fn duration(self, now: Timestamp) -> Millis {
         now.since(self.since)
     }
 }
 
-/// Until when workers may still be used whose records a node finds missing.
+/// Deadlines until which workers may still be used whose records a node finds missing.
 ///
-/// Invariant: both lie within the bounds that a node with a way to the store must keep, counted from what is known of
-/// the record and of that way, never from when this node comes to read the store again.
+/// Invariant: both lie within the bounds for a node that can reach the store, counted from the state of the view and
+/// the last failed call, never from when this node reads the store again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordGrace {
-    /// Where nobody else serves, and the record was removed.
+    /// Deadline for a worker whose record was removed, if no other worker serves.
     pub removed_usable_until: Timestamp,
-    /// Where the record may have lapsed with the store, and be written again.
+    /// Deadline for a worker whose record may have expired in an outage and be written again; `None` if no record can
+    /// have expired.
     pub expired_usable_until: Option<Timestamp>,
 }
 
 impl RecordGrace {
-    /// What a node with a view as it was before may allow itself after an outage.
+    /// Returns the grace after an outage, given the view before the store's answer is applied.
     pub(super) fn after(outage: Option<Outage>, view: ViewState, bounds: WatchBounds) -> Self {
-        let known_until = view.confirmed_at() + bounds.change - IN_FLIGHT;
-        let removed_usable_until = known_until.min(view.now + LAST_RESORT);
-        let long_enough = outage.filter(|outage| outage.lasts(view.now) >= bounds.least_lapse());
-        let expired_usable_until = long_enough.map(|outage| {
-            let excused_until = outage.lasted_to + bounds.contact - IN_FLIGHT;
-            excused_until.min(view.now + RETURN_TIME)
+        let change_deadline = view.confirmed_at() + bounds.change - MAX_IN_FLIGHT;
+        let removed_usable_until = change_deadline.min(view.now + MAX_LAST_RESORT);
+        let expiring_outage = outage.filter(|outage| outage.duration(view.now) >= bounds.min_expiry_outage());
+        let expired_usable_until = expiring_outage.map(|outage| {
+            let contact_deadline = outage.not_over_before + bounds.contact - MAX_IN_FLIGHT;
+            contact_deadline.min(view.now + RECORD_REWRITE_TIME)
         });
         Self { removed_usable_until, expired_usable_until: expired_usable_until.filter(|until| *until > view.now) }
     }
 
-    /// What became of records that a list of the store lacks.
+    /// Returns how to treat records that a list of the store lacks.
     pub fn missing_keys(&self) -> MissingKeys {
         match self.expired_usable_until {
             Some(_) => MissingKeys::MayHaveExpired,
--- a/crates/core/tests/fleet_growth.rs
+++ b/crates/core/tests/fleet_growth.rs
@@ -1,5 +1,5 @@
-//! What one node does, counted in fleets of two sizes: it must not grow with the fleet, or grow as the page on capacity
-//! says.
+//! Work of a single node, counted in fleets of two sizes. It must not grow with the fleet, or only as stated on the
+//! capacity page.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -41,135 +41,136 @@
     Timestamp::from_millis(1_000_000 + millis)
 }
 
-fn zone(place: usize) -> Arc<str> {
-    Arc::from(format!("zone-{}", place % ZONES))
+fn zone(index: usize) -> Arc<str> {
+    Arc::from(format!("zone-{}", index % ZONES))
 }
 
-fn storage_id(place: usize) -> NodeId {
-    NodeId(1_000 + place as u64)
+fn storage_id(index: usize) -> NodeId {
+    NodeId(1_000 + index as u64)
 }
 
-fn gateway_id(place: usize) -> NodeId {
-    NodeId(1_000_000 + 7_919 * place as u64)
+fn gateway_id(index: usize) -> NodeId {
+    NodeId(1_000_000 + 7_919 * index as u64)
 }
 
 fn directory(size: Size) -> StorageDirectory {
     let mut directory = StorageDirectory::default();
-    for place in 0..size.storage {
+    for index in 0..size.storage {
         directory.upsert(StorageRecord {
-            name: Arc::from(format!("storage-{place}")),
-            node: storage_id(place),
-            address: SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8], 7100)),
-            zone: zone(place),
+            name: Arc::from(format!("storage-{index}")),
+            node: storage_id(index),
+            address: SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7100)),
+            zone: zone(index),
         });
     }
     directory
 }
 
-/// How many nodes ask each storing node for changes, where all that are asked answer.
-fn askers(size: Size) -> BTreeMap<NodeId, usize> {
+/// Returns the number of nodes that query each storage node for changes while all relays answer.
+fn requesters_per_relay(size: Size) -> BTreeMap<NodeId, usize> {
     let directory = directory(size);
-    let gateways = (0..size.gateways).map(|place| (gateway_id(place), zone(place)));
-    let storage = (0..size.storage).map(|place| (storage_id(place), zone(place)));
-    let mut askers: BTreeMap<NodeId, usize> = BTreeMap::new();
+    let gateways = (0..size.gateways).map(|index| (gateway_id(index), zone(index)));
+    let storage = (0..size.storage).map(|index| (storage_id(index), zone(index)));
+    let mut requesters_per_relay: BTreeMap<NodeId, usize> = BTreeMap::new();
     for (node, zone) in gateways.chain(storage) {
         let plan = plan_relays(&directory, &zone, node);
         // Roots watch the store.
         if plan.tier != RelayTier::Root {
-            *askers.entry(plan.relays[0]).or_default() += 1;
+            *requesters_per_relay.entry(plan.relays[0]).or_default() += 1;
         }
     }
-    askers
+    requesters_per_relay
 }
 
 #[test]
-fn nobody_is_asked_for_changes_by_more_nodes_in_a_larger_fleet() {
-    let most = |size| askers(size).into_values().max().unwrap_or(0);
-    let (small, large) = (most(SMALL), most(LARGE));
-    // Two forwarders of eight storing nodes serve 48 nodes of a zone; spread by hash, one has some more than the other.
+fn the_number_of_nodes_that_query_a_relay_does_not_grow_with_the_fleet() {
+    let max_requesters = |size| requesters_per_relay(size).into_values().max().unwrap_or(0);
+    let (small, large) = (max_requesters(SMALL), max_requesters(LARGE));
+    // Two forwarders of eight storage nodes serve the 48 nodes of a zone; the hash does not distribute them exactly
+    // evenly.
     assert!(small <= 45, "{small}");
-    assert!(large <= small * 3 / 2, "{small} and {large}: four times the fleet");
+    assert!(large <= small * 3 / 2, "{small} and {large}: the fleet is four times as large");
 }
 
 #[test]
-fn those_who_watch_the_store_are_as_many_in_a_larger_fleet() {
-    let watching = |size: Size| {
+fn the_number_of_nodes_that_watch_the_store_does_not_grow_with_the_fleet() {
+    let watching_nodes = |size: Size| {
         let directory = directory(size);
-        let tier = |place: usize| plan_relays(&directory, &zone(place), storage_id(place)).tier;
-        (0..size.storage).filter(|place| tier(*place) == RelayTier::Root).count()
+        let tier = |index: usize| plan_relays(&directory, &zone(index), storage_id(index)).tier;
+        (0..size.storage).filter(|index| tier(*index) == RelayTier::Root).count()
     };
-    assert_eq!((watching(SMALL), watching(LARGE)), (15, 15), "three a zone");
+    assert_eq!((watching_nodes(SMALL), watching_nodes(LARGE)), (15, 15), "three per zone");
 }
 
 #[test]
-fn the_nodes_of_a_zone_do_not_all_fall_upon_one_relay_when_theirs_is_gone() {
+fn the_nodes_of_a_failed_relay_are_distributed_over_the_other_relays() {
     let directory = directory(LARGE);
     let mut second: BTreeMap<NodeId, usize> = BTreeMap::new();
     let mut first: BTreeMap<NodeId, usize> = BTreeMap::new();
-    for place in (0..LARGE.gateways).filter(|place| place % ZONES == 0) {
-        let plan = plan_relays(&directory, &zone(place), gateway_id(place));
+    for index in (0..LARGE.gateways).filter(|index| index % ZONES == 0) {
+        let plan = plan_relays(&directory, &zone(index), gateway_id(index));
         assert_eq!(plan.tier, RelayTier::Leaf);
         *first.entry(plan.relays[0]).or_default() += 1;
         *second.entry(plan.relays[1]).or_default() += 1;
-        let elsewhere = directory.of_node(plan.relays[2]).expect("it is known");
-        assert_ne!(elsewhere.zone, zone(place), "the third is of another zone, which may be all that is left");
+        let third = directory.of_node(plan.relays[2]).expect("the directory has it");
+        assert_ne!(third.zone, zone(index), "the third is in another zone, in case this zone fails");
     }
     for counts in [first, second] {
-        assert_eq!(counts.len(), 8, "a forwarder for four storing nodes");
+        assert_eq!(counts.len(), 8, "one forwarder per four storage nodes");
         assert!(counts.values().all(|count| *count <= 40), "{counts:?}: 160 gateways");
     }
 }
 
 #[test]
-fn small_fleets_have_one_tier() {
+fn small_fleets_have_one_tier_of_relays() {
     let small = Size { gateways: 50, storage: 35, workers: 50 };
     let directory = directory(small);
-    for place in 0..small.gateways {
-        let plan = plan_relays(&directory, &zone(place), gateway_id(place));
-        let first = directory.of_node(plan.relays[0]).expect("it is known");
-        assert_eq!(first.zone, zone(place));
-        let expected = plan_relays(&directory, &zone(place), gateway_id(place + ZONES));
-        assert_eq!(plan.relays[0], expected.relays[0], "all nodes of a zone ask the same one");
+    for index in 0..small.gateways {
+        let plan = plan_relays(&directory, &zone(index), gateway_id(index));
+        let first = directory.of_node(plan.relays[0]).expect("the directory has it");
+        assert_eq!(first.zone, zone(index));
+        let expected = plan_relays(&directory, &zone(index), gateway_id(index + ZONES));
+        assert_eq!(plan.relays[0], expected.relays[0], "all nodes of a zone query the same relay");
     }
 }
 
 #[test]
-fn aggregators_are_not_the_relays() {
+fn aggregators_are_not_relays() {
     let directory = directory(LARGE);
-    for place in 0..ZONES {
-        let relay = plan_relays(&directory, &zone(place), gateway_id(place)).relays[0];
-        assert_ne!(rank_aggregators(&directory, &zone(place), gateway_id(place))[0], relay);
+    for index in 0..ZONES {
+        let relay = plan_relays(&directory, &zone(index), gateway_id(index)).relays[0];
+        assert_ne!(rank_aggregators(&directory, &zone(index), gateway_id(index))[0], relay);
     }
 }
 
-/// Join requests a second of all spares together.
+/// Returns the join requests per second of all spares together.
 fn joins_per_s(size: Size) -> usize {
     let directory = directory(size);
-    let joins = |place: usize| {
-        let rank = spare_rank(&directory, &zone(place), storage_id(place));
+    let joins = |index: usize| {
+        let rank = spare_rank(&directory, &zone(index), storage_id(index));
         let persisted = PersistedReplica::default();
-        let replica = Replica::new(GroupId(0), storage_id(place), ReplicaSettings::default(), persisted, at(0), 1);
+        let replica = Replica::new(GroupId(0), storage_id(index), ReplicaSettings::default(), persisted, at(0), 1);
         assert_eq!(replica.log().last_index(), LogIndex(0));
-        let mut members = MembershipPlanner::new(storage_id(place), 2, at(0));
+        let mut members = MembershipPlanner::new(storage_id(index), 2, at(0));
         (0..20_000).step_by(40).filter(|millis| members.poll_join(&replica, rank, at(*millis))).count()
     };
-    // Each of them is one question and one message to the leader.
+    // Each join request is one query and one message to the leader.
     (0..size.storage).map(joins).sum::<usize>() / 20
 }
 
 #[test]
-fn join_requests_grow_slower_than_the_storing_nodes_and_not_with_their_square() {
+fn join_requests_grow_more_slowly_than_the_number_of_storage_nodes() {
     let (small, large) = (joins_per_s(SMALL), joins_per_s(LARGE));
-    assert!(large <= small * 2, "{small} and {large}: four times the storing nodes");
+    assert!(large <= small * 2, "{small} and {large}: there are four times as many storage nodes");
     assert!(large <= 100, "{large}");
 }
 
-fn worker(place: usize) -> WorkerRecord {
+fn worker(index: usize) -> WorkerRecord {
     WorkerRecord {
-        id: WorkerId(Arc::from(format!("i-{place:010x}"))),
+        id: WorkerId(Arc::from(format!("i-{index:010x}"))),
         service: Arc::from("service"),
-        address: SocketAddr::from(([10, 1, (place / 250) as u8, (place % 250) as u8], 80)),
-        zone: zone(place),
+        address: SocketAddr::from(([10, 1, (index / 250) as u8, (index % 250) as u8], 80)),
+        zone: zone(index),
         slots: 8,
         draining: false,
         started_at: None,
@@ -177,50 +178,50 @@
     }
 }
 
-fn item(place: usize, revision: u64) -> MetadataItem {
-    let WorkerRecord { id, address, zone, .. } = worker(place);
+fn item(index: usize, revision: u64) -> MetadataItem {
+    let WorkerRecord { id, address, zone, .. } = worker(index);
     let value = format!(
-        r#"{{"Service":"jefi35a","Address":"{address}","Zone":"{zone}","Version":"v1","Slots":8,"State":"ready","ColdLeftMs":0,"Phase":"dual","Models":[{{"Name":"m","Version":1,"Adapters":[]}}],"Sequence":{revision},"born":17680000{place:05}}}"#
+        r#"{{"Service":"jefi35a","Address":"{address}","Zone":"{zone}","Version":"v1","Slots":8,"State":"ready","ColdLeftMs":0,"Phase":"dual","Models":[{{"Name":"m","Version":1,"Adapters":[]}}],"Sequence":{revision},"born":17680000{index:05}}}"#
     );
     let state = KeyState::Present(Arc::from(value.into_bytes()));
     MetadataItem { key: Arc::from(format!("servers/{id}")), state, revision: Revision(revision) }
 }
 
-/// The mirror of a node that has read all workers' records.
+/// Returns the mirror of a node that has read all workers' records.
 fn mirror(size: Size) -> Mirror {
     let mut mirror = Mirror::default();
-    let items: Vec<MetadataItem> = (0..size.workers).map(|place| item(place, place as u64 + 1)).collect();
+    let items: Vec<MetadataItem> = (0..size.workers).map(|index| item(index, index as u64 + 1)).collect();
     mirror.replace(items, Revision(size.workers as u64), MissingKeys::Removed);
     mirror
 }
 
 #[test]
-fn a_release_of_half_the_workers_is_told_as_changes_and_not_as_everything() {
+fn a_release_of_half_the_workers_is_sent_as_changes_and_not_as_all_items() {
     for size in [SMALL, LARGE] {
         let mut mirror = mirror(size);
-        let before = mirror.at().expect("it has read the store");
+        let before = mirror.at().expect("the mirror has a view");
         let mut revision = before.0;
-        for place in 0..size.workers / 2 {
-            let removed = MetadataItem { state: KeyState::Removed, revision: Revision(revision + 1), ..item(place, 1) };
-            let added = item(size.workers + place, revision + 2);
+        for index in 0..size.workers / 2 {
+            let removed = MetadataItem { state: KeyState::Removed, revision: Revision(revision + 1), ..item(index, 1) };
+            let added = item(size.workers + index, revision + 2);
             revision += 2;
             mirror.advance(vec![removed, added], Revision(revision));
         }
-        let changes = mirror.changes_since(before).expect("it has read the store");
+        let changes = mirror.changes_since(before).expect("the mirror has a view");
         assert_eq!(changes.base, Some(before), "{size:?}");
         assert_eq!(changes.items.len(), size.workers);
-        let latest = mirror.changes_since(Revision(revision - 2)).expect("it has read the store");
-        assert_eq!(latest.items.len(), 2, "who is up to date but for one step gets that step");
+        let latest = mirror.changes_since(Revision(revision - 2)).expect("the mirror has a view");
+        assert_eq!(latest.items.len(), 2, "a node that is one update behind receives only that update");
     }
 }
 
 #[test]
-fn removals_take_no_more_memory_than_the_items() {
+fn tombstones_take_no_more_memory_than_the_items() {
     let mut mirror = mirror(SMALL);
-    let mut revision = mirror.at().expect("it has read the store").0;
+    let mut revision = mirror.at().expect("the mirror has a view").0;
     for round in 0..10 {
-        for place in 0..SMALL.workers {
-            let key = round * SMALL.workers + place;
+        for index in 0..SMALL.workers {
+            let key = round * SMALL.workers + index;
             revision += 2;
             let removed = MetadataItem { state: KeyState::Removed, revision: Revision(revision - 1), ..item(key, 1) };
             mirror.advance(vec![removed, item(key + SMALL.workers, revision)], Revision(revision));
@@ -228,25 +229,27 @@
     }
     assert_eq!(mirror.present().count(), SMALL.workers);
     let oldest = (0..revision).find(|since| mirror.knows_changes_since(Revision(*since)));
-    let told = mirror.changes_since(Revision(oldest.expect("the latest changes are known"))).expect("it has a view");
-    assert!(told.items.len() <= 2 * SMALL.workers + 1, "{}", told.items.len());
+    let changes = mirror
+        .changes_since(Revision(oldest.expect("the latest changes are retained")))
+        .expect("the mirror has a view");
+    assert!(changes.items.len() <= 2 * SMALL.workers + 1, "{}", changes.items.len());
 }
 
 #[test]
-fn all_items_are_packed_into_a_tenth() {
-    let items = mirror(SMALL).all_items().expect("it has read the store").items;
+fn all_items_compress_to_an_eighth_of_their_size() {
+    let items = mirror(SMALL).all_items().expect("the mirror has a view").items;
     let plain: usize = items.iter().map(|item| item.key.len() + item.value().map_or(0, <[u8]>::len)).sum();
     let packed = pack(&items);
     assert!(packed.len() * 8 <= plain, "{} of {plain} bytes", packed.len());
     let answer = ContentsAnswer { at: Revision(7), age: Millis(3), away: Millis(0), held: Millis(0), packed };
-    let read = answer.unpack().expect("it is whole");
+    let read = answer.unpack().expect("the contents are valid");
     assert_eq!(read.changes.items, items);
     assert_eq!((read.changes.base, read.changes.at, read.age), (None, Revision(7), Millis(3)));
 }
 
 #[test]
-fn contents_that_are_cut_short_or_no_contents_are_not_believed() {
-    let packed = pack(&mirror(SMALL).all_items().expect("it has read the store").items);
+fn truncated_or_invalid_contents_are_rejected() {
+    let packed = pack(&mirror(SMALL).all_items().expect("the mirror has a view").items);
     let answer = |packed: &[u8]| {
         let packed = Arc::from(packed);
         ContentsAnswer { at: Revision(7), age: Millis(3), away: Millis(0), held: Millis(0), packed }
@@ -257,13 +260,13 @@
     assert!(answer(b"no contents").unpack().is_err());
 }
 
-/// Counts how much randomness is taken.
-struct CountedDraws {
+/// Random number generator that counts the draws.
+struct CountingRng {
     source: Xoshiro256PlusPlus,
     draws: u64,
 }
 
-impl RngCore for CountedDraws {
+impl RngCore for CountingRng {
     fn next_u32(&mut self) -> u32 {
         self.draws += 1;
         self.source.next_u32()
@@ -280,19 +283,20 @@
     }
 }
 
-/// What nodes that start at once do first, where the storing nodes' records are in the store.
+/// Guards against all nodes of a starting fleet listing the complete store. The storage nodes' records are already in
+/// the store.
 #[test]
-fn of_a_fleet_that_starts_at_once_only_a_few_nodes_read_all_that_the_store_holds() {
+fn only_the_roots_of_a_starting_fleet_list_the_complete_store() {
     let bounds = WatchBounds { change: Millis(5_000), contact: Millis(6_000), heartbeat: Millis(5_000) };
     for size in [SMALL, LARGE] {
         let directory = directory(size);
-        let gateways = (0..size.gateways).map(|place| (gateway_id(place), zone(place)));
-        let storage = (0..size.storage).map(|place| (storage_id(place), zone(place)));
+        let gateways = (0..size.gateways).map(|index| (gateway_id(index), zone(index)));
+        let storage = (0..size.storage).map(|index| (storage_id(index), zone(index)));
         let mut lists = 0;
         for (node, zone) in gateways.chain(storage) {
             let mut policy = WatchPolicy::new(bounds);
             let view = ViewState { now: at(0), at: None, age: None, asked_at: None };
-            assert_eq!(policy.next(view, &[]), WatchStep::DiscoverRelays, "first it looks who can tell");
+            assert_eq!(policy.next(view, &[]), WatchStep::DiscoverRelays, "the storage nodes are looked up first");
             policy.relays_discovered(at(0));
             let plan = plan_relays(&directory, &zone, node);
             policy.set_tier(plan.tier);
@@ -301,7 +305,8 @@
                 WatchStep::AskRelay { relay, .. } => assert_eq!(relay, plan.relays[0]),
                 step => panic!("{step:?}"),
             }
-            // Its relay is starting too: it is asked again soon, and the store only when all of it takes too long.
+            // Its relay is starting too: the relay is retried soon, and the store is listed only after the contact
+            // bound.
             if plan.tier != RelayTier::Root {
                 plan.relays.iter().take(3).for_each(|relay| policy.first_view_failed(*relay, at(10)));
                 let view = ViewState { now: at(10), ..view };
@@ -312,12 +317,12 @@
                 assert_eq!(policy.next(view, &plan.relays), WatchStep::ListStore);
             }
         }
-        assert_eq!(lists, 15, "{size:?}: three a zone");
+        assert_eq!(lists, 15, "{size:?}: three per zone");
     }
 }
 
 #[test]
-fn a_node_that_finds_no_storing_nodes_looks_again_and_then_reads_the_store() {
+fn a_node_that_finds_no_storage_nodes_retries_and_then_lists_the_store() {
     let bounds = WatchBounds { change: Millis(2_000), contact: Millis(3_000), heartbeat: Millis(1_200) };
     let mut policy = WatchPolicy::new(bounds);
     let view = |millis| ViewState { now: at(millis), at: None, age: None, asked_at: None };
@@ -329,22 +334,22 @@
     assert_eq!(policy.next(view(500), &[]), WatchStep::ListStore);
 }
 
-/// Takes reports for a while on a node that uses some of the workers, of which its peers use others. Returns how many
-/// workers it looked at for the last of them.
-fn looked_at_for_a_report(size: Size, in_use: usize) -> usize {
+/// Takes several load reports on a node that uses some of the workers while its peers use others. Returns the number
+/// of workers considered for the last report.
+fn workers_considered_for_a_report(size: Size, in_use: usize) -> usize {
     let mut table = WorkerTable::default();
-    for place in 0..size.workers {
-        table.upsert(worker(place));
+    for index in 0..size.workers {
+        table.upsert(worker(index));
     }
-    for place in 0..in_use {
-        let incarnation = worker(place).incarnation();
+    for index in 0..in_use {
+        let incarnation = worker(index).incarnation();
         table.started(&incarnation, &[], 0, at(0));
         table.reported(&incarnation, WorkerLoad { running: 1, waiting: 0, slowdown: Slowdown::default() }, at(0));
     }
-    let elsewhere = (0..in_use).map(|place| WorkerCount { worker: worker(in_use + place).id, requests: 2 });
-    let elsewhere: Vec<_> = elsewhere.collect();
+    let peer_loads = (0..in_use).map(|index| WorkerCount { worker: worker(in_use + index).id, requests: 2 });
+    let peer_loads: Vec<_> = peer_loads.collect();
     for millis in [40, 80, 120] {
-        table.set_shared_loads(&elsewhere, at(millis));
+        table.set_shared_loads(&peer_loads, at(millis));
         assert_eq!(table.local_loads().len(), in_use);
         assert_eq!(table.local_report(at(millis)).len(), in_use);
     }
@@ -352,18 +357,18 @@
 }
 
 #[test]
-fn a_report_of_loads_costs_by_the_workers_in_use_and_not_by_all() {
-    assert_eq!(looked_at_for_a_report(SMALL, 60), 120);
-    assert_eq!(looked_at_for_a_report(LARGE, 60), 120);
+fn the_cost_of_a_load_report_depends_on_the_workers_in_use() {
+    assert_eq!(workers_considered_for_a_report(SMALL, 60), 120);
+    assert_eq!(workers_considered_for_a_report(LARGE, 60), 120);
 }
 
 #[test]
-fn workers_without_requests_are_not_looked_at_for_long() {
+fn workers_without_requests_soon_drop_out_of_load_reports() {
     let mut table = WorkerTable::default();
-    for place in 0..SMALL.workers {
-        table.upsert(worker(place));
-        table.started(&worker(place).incarnation(), &[], 0, at(0));
-        table.ended(&worker(place).incarnation());
+    for index in 0..SMALL.workers {
+        table.upsert(worker(index));
+        table.started(&worker(index).incarnation(), &[], 0, at(0));
+        table.ended(&worker(index).incarnation());
     }
     table.set_shared_loads(&[WorkerCount { worker: worker(7).id, requests: 1 }], at(100));
     assert_eq!(table.active_count(), 1);
@@ -373,20 +378,20 @@
 }
 
 #[test]
-fn a_choice_draws_no_more_often_in_a_larger_fleet_and_finds_free_workers() {
+fn the_draws_for_a_choice_do_not_grow_with_the_fleet_and_find_idle_workers() {
     let mut draws = Vec::new();
     for size in [SMALL, LARGE] {
         let mut table = WorkerTable::default();
-        for place in 0..size.workers {
-            table.upsert(worker(place));
+        for index in 0..size.workers {
+            table.upsert(worker(index));
         }
         // Nine in ten workers of the zone are full.
         let full: Vec<_> = (0..size.workers)
-            .filter(|place| place % ZONES == 0 && place % (10 * ZONES) != 0)
-            .map(|place| WorkerCount { worker: worker(place).id, requests: 12 })
+            .filter(|index| index % ZONES == 0 && index % (10 * ZONES) != 0)
+            .map(|index| WorkerCount { worker: worker(index).id, requests: 12 })
             .collect();
         table.set_shared_loads(&full, at(0));
-        let mut random = CountedDraws { source: Xoshiro256PlusPlus::seed_from_u64(3), draws: 0 };
+        let mut random = CountingRng { source: Xoshiro256PlusPlus::seed_from_u64(3), draws: 0 };
         let ask = WorkerQuery {
             service: "service",
             zone: "zone-0",
@@ -398,10 +403,10 @@
         };
         for _ in 0..200 {
             let choice = table.choose(&ask, at(1), &mut random).expect("there are workers");
-            assert_eq!((choice.load, choice.candidates), (0, size.workers), "a free one is found");
+            assert_eq!((choice.load, choice.candidates), (0, size.workers), "an idle worker is found");
         }
         draws.push(random.draws);
     }
-    // A draw for each worker that is considered, and some for which those are.
-    assert!(draws[1] <= draws[0] * 11 / 10, "{draws:?}: four times the workers");
+    // One draw per candidate considered, and a few to select the candidates.
+    assert!(draws[1] <= draws[0] * 11 / 10, "{draws:?}: there are four times as many workers");
 }
--- a/crates/core/tests/record_grace.rs
+++ b/crates/core/tests/record_grace.rs
@@ -1,5 +1,5 @@
-//! Until when workers may be used whose records a node finds missing: what counts is what is known of the record and of
-//! the way to the store, never when the node comes to read the store again.
+//! Deadlines for using workers whose records are missing. They must follow from the state of the view and the last
+//! failed call, never from when the node reads the store again.
 
 use proptest::prelude::*;
 use stallmoor_core::identity::NodeId;
@@ -18,16 +18,16 @@
     Timestamp::from_millis(1_000_000 + millis)
 }
 
-/// A view at a time that was last known to be complete at another.
+/// Returns a view at time `now` that was last confirmed at `confirmed`.
 fn view(now: u64, confirmed: u64) -> ViewState {
     ViewState { now: at(now), at: Some(Revision(3)), age: Some(Millis(now - confirmed)), asked_at: None }
 }
 
-fn silent(begun: u64, ended: u64) -> FailedCall {
+fn timed_out_call(begun: u64, ended: u64) -> FailedCall {
     FailedCall { begun: at(begun), ended: at(ended), timed_out: true }
 }
 
-fn refused(ended: u64) -> FailedCall {
+fn refused_call(ended: u64) -> FailedCall {
     FailedCall { begun: at(ended - 1), ended: at(ended), timed_out: false }
 }
 
@@ -37,43 +37,43 @@
 }
 
 #[test]
-fn without_an_outage_a_missing_record_was_removed() {
+fn a_record_missing_without_an_outage_was_removed() {
     let grace = WatchPolicy::new(BOUNDS).record_grace(view(1_000, 900));
     assert_eq!(grace.expired_usable_until, None);
     assert_eq!(grace.missing_keys(), MissingKeys::Removed);
 }
 
 #[test]
-fn in_a_short_outage_no_record_lapses() {
+fn no_record_expires_in_a_short_outage() {
     let mut policy = WatchPolicy::new(BOUNDS);
-    policy.store_failed(WatchRole::Relay, view(1_000, 900), refused(1_000), 0.0);
+    policy.store_failed(WatchRole::Relay, view(1_000, 900), refused_call(1_000), 0.0);
     assert_eq!(policy.record_grace(view(2_799, 900)).expired_usable_until, None);
     assert!(policy.record_grace(view(2_800, 900)).expired_usable_until.is_some());
 }
 
 #[test]
-fn after_an_outage_a_missing_record_has_until_the_contact_bound_after_the_last_failed_call() {
+fn the_grace_after_an_outage_ends_a_contact_bound_after_the_last_failed_call() {
     let mut policy = WatchPolicy::new(BOUNDS);
-    policy.store_failed(WatchRole::Relay, view(1_000, 900), refused(1_000), 0.0);
-    policy.store_failed(WatchRole::Relay, view(5_000, 900), silent(4_000, 5_000), 0.0);
-    // 4,000 + 3,000 less 250 that a request may be under way.
+    policy.store_failed(WatchRole::Relay, view(1_000, 900), refused_call(1_000), 0.0);
+    policy.store_failed(WatchRole::Relay, view(5_000, 900), timed_out_call(4_000, 5_000), 0.0);
+    // 4,000 + 3,000, less 250 during which a request may be in flight.
     assert_eq!(policy.record_grace(view(5_200, 900)).expired_usable_until, Some(at(6_750)));
-    assert_eq!(policy.record_grace(view(6_750, 900)).expired_usable_until, None, "it is over");
-    policy.store_failed(WatchRole::Relay, view(6_800, 900), refused(6_800), 0.0);
-    // No longer than the two seconds in which records come back.
+    assert_eq!(policy.record_grace(view(6_750, 900)).expired_usable_until, None, "the deadline has passed");
+    policy.store_failed(WatchRole::Relay, view(6_800, 900), refused_call(6_800), 0.0);
+    // At most the two seconds in which expired records are rewritten.
     assert_eq!(policy.record_grace(view(6_810, 900)).expired_usable_until, Some(at(8_810)));
 }
 
 #[test]
-fn an_outage_that_is_over_gives_no_grace_later() {
+fn an_outage_that_has_ended_grants_no_grace() {
     let mut policy = WatchPolicy::new(BOUNDS);
-    policy.store_failed(WatchRole::Relay, view(1_000, 900), refused(1_000), 0.0);
+    policy.store_failed(WatchRole::Relay, view(1_000, 900), refused_call(1_000), 0.0);
     assert_eq!(policy.store_answered(at(4_000)), Millis(3_000));
     assert_eq!(policy.record_grace(view(4_100, 4_000)).expired_usable_until, None);
 }
 
 #[test]
-fn a_relay_that_lost_the_store_says_nothing_of_the_store() {
+fn an_answer_of_a_disconnected_relay_is_no_sign_of_an_outage() {
     let mut policy = WatchPolicy::new(BOUNDS);
     assert!(!policy.relay_answered(RELAY, &answer(5_000, 5_000), at(6_000)));
     assert_eq!(policy.record_grace(view(6_000, 1_000)).expired_usable_until, None);
@@ -81,55 +81,55 @@
 }
 
 #[test]
-fn a_follower_counts_an_outage_from_when_its_view_was_confirmed() {
+fn an_outage_of_a_follower_starts_when_its_view_was_last_confirmed() {
     let mut policy = WatchPolicy::new(BOUNDS);
-    policy.store_failed(WatchRole::Follower, view(2_600, 1_000), refused(2_600), 0.0);
+    policy.store_failed(WatchRole::Follower, view(2_600, 1_000), refused_call(2_600), 0.0);
     assert!(policy.record_grace(view(2_800, 1_000)).expired_usable_until.is_some());
 }
 
 #[test]
-fn a_removed_worker_is_a_last_resort_within_the_change_bound_of_the_view_before() {
+fn a_removed_worker_is_a_last_resort_within_the_change_bound() {
     let policy = WatchPolicy::new(BOUNDS);
-    assert_eq!(policy.record_grace(view(1_000, 900)).removed_usable_until, at(2_000), "a second");
-    assert_eq!(policy.record_grace(view(2_000, 900)).removed_usable_until, at(2_650), "what is left of the bound");
-    assert_eq!(policy.record_grace(view(9_000, 900)).removed_usable_until, at(2_650), "nothing");
+    assert_eq!(policy.record_grace(view(1_000, 900)).removed_usable_until, at(2_000), "one second");
+    assert_eq!(policy.record_grace(view(2_000, 900)).removed_usable_until, at(2_650), "the rest of the change bound");
+    assert_eq!(policy.record_grace(view(9_000, 900)).removed_usable_until, at(2_650), "the bound has passed");
 }
 
 #[test]
-fn relays_that_were_silent_in_an_outage_are_asked_again_after_it() {
+fn relays_that_failed_in_an_outage_are_queried_again_after_it() {
     let mut policy = WatchPolicy::new(BOUNDS);
     policy.store_answered(at(0));
     for failure in 0..4 {
         policy.relay_failed(RELAY, at(failure * 500));
     }
-    let asks_relay =
+    let queries_relay =
         |policy: &WatchPolicy| matches!(policy.next(view(9_000, 8_950), &[RELAY]), WatchStep::AskRelay { .. });
-    assert!(!asks_relay(&policy), "it failed four times");
-    policy.store_failed(WatchRole::Follower, view(8_000, 900), refused(8_000), 0.0);
+    assert!(!queries_relay(&policy), "its cooldown has not ended");
+    policy.store_failed(WatchRole::Follower, view(8_000, 900), refused_call(8_000), 0.0);
     policy.store_answered(at(8_950));
-    assert!(asks_relay(&policy));
+    assert!(queries_relay(&policy));
 }
 
 proptest! {
-    /// Whatever calls failed, and however late the node reads the store: the grace ends before a node is held to the
-    /// bounds again, counted from any moment at which the outage may have ended.
+    /// Whatever calls failed, and however late the node reads the store, the grace ends before the bounds apply
+    /// again, counted from the earliest possible end of the outage.
     #[test]
-    fn the_grace_ends_with_the_excuse(
+    fn the_grace_ends_before_the_bounds_apply_again(
         calls in proptest::collection::vec((1u64..2_000, 1u64..1_500, any::<bool>()), 1..20),
-        rest in 0u64..4_000,
+        delay in 0u64..4_000,
     ) {
         let mut policy = WatchPolicy::new(BOUNDS);
-        let (mut now, mut broken) = (1_000, 0);
+        let (mut now, mut unreachable_since) = (1_000, 0);
         for (pause, took, timed_out) in calls {
             let (begun, ended) = (now + pause, now + pause + took);
-            (now, broken) = (ended, if timed_out { begun } else { ended });
+            (now, unreachable_since) = (ended, if timed_out { begun } else { ended });
             let call = FailedCall { begun: at(begun), ended: at(ended), timed_out };
             policy.store_failed(WatchRole::Follower, view(now, 900), call, 0.5);
         }
-        let read = now + rest;
+        let read = now + delay;
         let grace = policy.record_grace(view(read, 900));
-        let excused = at(broken) + BOUNDS.contact;
-        prop_assert!(grace.expired_usable_until.is_none_or(|until| until < excused && until > at(read)));
+        let deadline = at(unreachable_since) + BOUNDS.contact;
+        prop_assert!(grace.expired_usable_until.is_none_or(|until| until < deadline && until > at(read)));
         prop_assert!(grace.removed_usable_until < at(900) + BOUNDS.change);
     }
 }
--- a/crates/core/tests/relay_answers.rs
+++ b/crates/core/tests/relay_answers.rs
@@ -1,4 +1,4 @@
-//! Whether a relay's answer is believed, and how old it makes the asker's view.
+//! Validation of a relay's answer, the age that it gives to the requester's view, and the backoff after failures.
 
 use std::sync::Arc;
 
@@ -30,55 +30,56 @@
 }
 
 #[test]
-fn changes_are_believed_only_if_they_follow_on_the_revision_that_was_asked_for() {
+fn changes_are_valid_only_if_they_start_at_the_requested_revision() {
     assert!(answer(Some(40), 45, &["a"]).is_valid_for(SINCE));
     assert!(answer(Some(40), 40, &[]).is_valid_for(SINCE));
     assert!(!answer(Some(39), 45, &["a"]).is_valid_for(SINCE));
-    assert!(!answer(Some(41), 45, &["a"]).is_valid_for(SINCE), "what changed in between is missing");
+    assert!(!answer(Some(41), 45, &["a"]).is_valid_for(SINCE), "the changes in between are missing");
 }
 
 #[test]
-fn a_whole_list_is_believed_unless_it_is_older_than_the_view() {
+fn a_complete_list_is_valid_unless_it_is_older_than_the_view() {
     assert!(answer(None, 40, &["a"]).is_valid_for(SINCE));
     assert!(!answer(None, 39, &["a"]).is_valid_for(SINCE));
 }
 
 #[test]
-fn an_item_without_a_key_makes_an_answer_unsound() {
+fn an_item_without_a_key_makes_an_answer_invalid() {
     assert!(!answer(Some(40), 45, &["a", ""]).is_valid_for(SINCE));
     assert!(!answer(None, 45, &[""]).is_valid_for(SINCE));
 }
 
 #[test]
-fn a_delay_on_the_way_makes_a_view_older_and_never_younger() {
-    // Asked at 1,000, held back for 300, and the relay's view was 120 old then, whenever the answer arrives.
+fn a_network_delay_makes_a_view_older_and_never_younger() {
+    // Requested at 1,000, held for 300, and the relay's view was 120 old then: independent of when the answer
+    // arrives.
     assert_eq!(answer(Some(40), 45, &[]).confirmed_at(at(1_000)), at(1_180));
     let old = ChangesAnswer { age: Millis(5_000_000), ..answer(Some(40), 45, &[]) };
-    assert_eq!(old.confirmed_at(at(1_000)), Timestamp::from_millis(0), "older than the clock");
+    assert_eq!(old.confirmed_at(at(1_000)), Timestamp::from_millis(0), "the age exceeds the clock");
 }
 
 #[test]
-fn a_watch_without_changes_confirms_the_view_only_once_it_has_waited() {
+fn a_watch_without_changes_confirms_the_view_only_after_its_wait() {
     let confirmed = |has_changes, now| WatchPolicy::watch_confirmed_at(at(0), Millis(400), has_changes, at(now));
     assert_eq!(confirmed(false, 405), at(400));
-    assert_eq!(confirmed(false, 399), at(0), "answered before the wait was over");
-    assert_eq!(confirmed(true, 405), at(0), "the changes may be from the first moment");
+    assert_eq!(confirmed(false, 399), at(0), "the answer arrived before the end of the wait");
+    assert_eq!(confirmed(true, 405), at(0), "the changes may date from the start of the watch");
 }
 
 #[test]
-fn a_silent_relay_is_avoided_twice_as_long_with_each_failure_up_to_eight_times() {
+fn the_cooldown_of_a_failed_relay_doubles_up_to_eight_times_the_first() {
     let mut relays = RelayChoice::default();
     let mut now = at(0);
     for expected in [3_000, 6_000, 12_000, 24_000, 24_000] {
         relays.failed(RELAY, Millis(3_000), now);
-        assert_eq!(relays.until_usable(now, &[RELAY]), Some(Millis(expected)));
+        assert_eq!(relays.time_until_usable(now, &[RELAY]), Some(Millis(expected)));
         now = now + Millis(expected);
         assert_eq!(relays.usable(now, &[RELAY]), Some(RELAY));
     }
 }
 
 #[test]
-fn waits_after_failed_calls_double_up_to_the_share_of_the_contact_bound_that_the_role_has() {
+fn backoff_doubles_up_to_the_fraction_of_the_contact_bound_for_the_role() {
     let waits = |role: WatchRole, contact: u64, failures: usize| {
         let bounds = WatchBounds { change: Millis(2_000), contact: Millis(contact), heartbeat: Millis(1_200) };
         let mut policy = WatchPolicy::new(bounds);
@@ -87,7 +88,7 @@
         for _ in 0..failures {
             let view = ViewState { now, at: None, age: None, asked_at: None };
             policy.store_failed(role, view, FailedCall { begun: now, ended: now, timed_out: false }, 0.5);
-            let WatchStep::Wait(wait) = policy.next(view, &[]) else { panic!("the store is asked without a rest") };
+            let WatchStep::Wait(wait) = policy.next(view, &[]) else { panic!("the store is called without a backoff") };
             waits.push(wait.0);
             now = now + wait;
         }
--- a/crates/core/tests/relay_mirror.rs
+++ b/crates/core/tests/relay_mirror.rs
@@ -1,4 +1,5 @@
-//! Views of the metadata store that learn from it and from each other, against a store with its whole history.
+//! Mirrors of the metadata store that are updated from the store and from each other, checked against a model of the
+//! store with its complete history.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,13 +14,13 @@
 const KEYS: u8 = 6;
 const VIEWS: usize = 4;
 
-/// The store and all that it ever held.
+/// Model of the store.
 #[derive(Default)]
 struct Store {
     revision: u64,
     items: BTreeMap<Arc<str>, (Arc<[u8]>, u64)>,
     history: Vec<MetadataItem>,
-    /// What it held at each revision.
+    /// Revision of each key at each revision of the store.
     past: Vec<BTreeMap<Arc<str>, u64>>,
 }
 
@@ -69,24 +70,24 @@
 enum Step {
     Put(u8),
     Remove(u8),
-    /// A view reads all that the store holds.
+    /// A view lists the complete store.
     List {
         view: usize,
         missing: MissingKeys,
     },
-    /// A list that was read now and is taken at a later step: a page that was under way.
-    ListLater {
+    /// A list is read now and applied by a later step, as if its response were delayed.
+    ListDelayed {
         view: usize,
     },
-    TakeLater {
+    ApplyDelayed {
         view: usize,
     },
-    /// A view watches the store from where it is.
+    /// A view watches the store from its revision.
     Watch {
         view: usize,
     },
-    /// A view asks another.
-    Ask {
+    /// A view queries another one.
+    Query {
         view: usize,
         relay: usize,
     },
@@ -99,67 +100,70 @@
         3 => (0..KEYS).prop_map(Step::Remove),
         1 => (view(), prop_oneof![Just(MissingKeys::Removed), Just(MissingKeys::MayHaveExpired)])
             .prop_map(|(view, missing)| Step::List { view, missing }),
-        1 => view().prop_map(|view| Step::ListLater { view }),
-        1 => view().prop_map(|view| Step::TakeLater { view }),
+        1 => view().prop_map(|view| Step::ListDelayed { view }),
+        1 => view().prop_map(|view| Step::ApplyDelayed { view }),
         2 => view().prop_map(|view| Step::Watch { view }),
-        5 => (view(), view()).prop_map(|(view, relay)| Step::Ask { view, relay }),
+        5 => (view(), view()).prop_map(|(view, relay)| Step::Query { view, relay }),
     ]
 }
 
-/// A view, and what it told whoever relies on it.
+/// A mirror, and the state of a consumer that applies the changes it returns.
 #[derive(Default)]
 struct View {
     mirror: Mirror,
-    told: BTreeMap<Arc<str>, u64>,
-    under_way: Option<(Vec<MetadataItem>, Revision)>,
+    applied: BTreeMap<Arc<str>, u64>,
+    delayed_list: Option<(Vec<MetadataItem>, Revision)>,
 }
 
 impl View {
-    fn tell(&mut self, news: Vec<MetadataItem>) {
-        for item in news {
+    fn apply(&mut self, changed: Vec<MetadataItem>) {
+        for item in changed {
             match item.state {
-                KeyState::Present(_) => self.told.insert(item.key, item.revision.0),
-                KeyState::Removed | KeyState::Lapsed => self.told.remove(&item.key),
+                KeyState::Present(_) => self.applied.insert(item.key, item.revision.0),
+                KeyState::Removed | KeyState::Lapsed => self.applied.remove(&item.key),
             };
         }
     }
 
     fn replace(&mut self, listed: Vec<MetadataItem>, at: Revision, missing: MissingKeys) {
-        let news = self.mirror.replace(listed, at, missing);
-        self.tell(news);
+        let changed = self.mirror.replace(listed, at, missing);
+        self.apply(changed);
     }
 
-    /// Whether it tells for each key what the store held at its revision, or something newer that the store held.
+    /// Asserts that the consumer has, for each key, the state in the store at the mirror's revision or a later state.
     fn agrees_with(&self, store: &Store) {
         let Some(at) = self.mirror.at() else { return };
         let past = &store.past[at.0 as usize];
         for number in 0..KEYS {
             let key = key(number);
-            let (told, held) = (self.told.get(&key), past.get(&key));
+            let (applied, stored) = (self.applied.get(&key), past.get(&key));
             let is_newer = store.history.iter().any(|item| {
-                let state_agrees = match (&item.state, told) {
-                    (KeyState::Present(_), Some(told)) => *told == item.revision.0,
+                let state_agrees = match (&item.state, applied) {
+                    (KeyState::Present(_), Some(applied)) => *applied == item.revision.0,
                     (KeyState::Removed, None) => true,
                     _ => false,
                 };
                 item.key == key && item.revision > at && state_agrees
             });
-            assert!(told == held || is_newer, "{key} at {at}: told {told:?}, the store held {held:?}");
+            assert!(
+                applied == stored || is_newer,
+                "{key} at {at}: the consumer has {applied:?}, the store had {stored:?}"
+            );
         }
     }
 }
 
-fn ask(views: &mut [View], asker: usize, relay: usize) {
-    let Some(since) = views[asker].mirror.at() else { return };
+fn query(views: &mut [View], requester: usize, relay: usize) {
+    let Some(since) = views[requester].mirror.at() else { return };
     let Some(changes) = views[relay].mirror.changes_since(since) else { return };
     match changes.base {
         Some(base) => {
             assert_eq!(base, since);
-            let news = views[asker].mirror.advance(changes.items, changes.at);
-            views[asker].tell(news);
+            let changed = views[requester].mirror.advance(changes.items, changes.at);
+            views[requester].apply(changed);
         }
-        // A view does not take an older one as all that there is.
-        None if changes.at >= since => views[asker].replace(changes.items, changes.at, MissingKeys::Removed),
+        // A view does not accept an older one as a complete list.
+        None if changes.at >= since => views[requester].replace(changes.items, changes.at, MissingKeys::Removed),
         None => {}
     }
 }
@@ -173,22 +177,22 @@
             Step::Put(number) => store.put(number),
             Step::Remove(number) => store.remove(number),
             Step::List { view, missing } => views[view].replace(store.list(), Revision(store.revision), missing),
-            Step::ListLater { view } => views[view].under_way = Some((store.list(), Revision(store.revision))),
-            Step::TakeLater { view } => {
-                if let Some((listed, at)) = views[view].under_way.take() {
+            Step::ListDelayed { view } => views[view].delayed_list = Some((store.list(), Revision(store.revision))),
+            Step::ApplyDelayed { view } => {
+                if let Some((listed, at)) = views[view].delayed_list.take() {
                     views[view].replace(listed, at, MissingKeys::Removed);
                 }
             }
             Step::Watch { view } => {
                 if let Some(since) = views[view].mirror.at() {
-                    let news = views[view].mirror.advance(store.changes(since), Revision(store.revision));
-                    views[view].tell(news);
+                    let changed = views[view].mirror.advance(store.changes(since), Revision(store.revision));
+                    views[view].apply(changed);
                 }
             }
-            Step::Ask { view, relay } => ask(&mut views, view, relay),
+            Step::Query { view, relay } => query(&mut views, view, relay),
         }
         for (view, before) in views.iter().zip(before) {
-            assert!(view.mirror.at() >= before, "a view went back");
+            assert!(view.mirror.at() >= before, "the revision of a view decreased");
             view.agrees_with(&store);
         }
     }
@@ -198,7 +202,7 @@
     #![proptest_config(support::fuzz_config())]
 
     #[test]
-    fn views_that_learn_from_each_other_agree_with_the_store(steps in prop::collection::vec(step(), 1..120)) {
+    fn views_that_query_each_other_agree_with_the_store(steps in prop::collection::vec(step(), 1..120)) {
         run(steps);
     }
 }
@@ -207,46 +211,50 @@
     MetadataItem { key: key(number), state: KeyState::Present(Arc::from([1])), revision: Revision(revision) }
 }
 
-fn states(news: &[MetadataItem]) -> Vec<KeyState> {
-    news.iter().map(|item| item.state.clone()).collect()
+fn states(changed: &[MetadataItem]) -> Vec<KeyState> {
+    changed.iter().map(|item| item.state.clone()).collect()
 }
 
 #[test]
-fn a_key_that_is_missing_without_an_outage_is_removed() {
+fn a_key_missing_without_an_outage_is_removed() {
     let mut mirror = Mirror::default();
     mirror.replace(vec![present(1, 1), present(2, 2)], Revision(2), MissingKeys::Removed);
-    let news = mirror.replace(vec![present(1, 1)], Revision(5), MissingKeys::Removed);
-    assert_eq!(states(&news), [KeyState::Removed]);
+    let changed = mirror.replace(vec![present(1, 1)], Revision(5), MissingKeys::Removed);
+    assert_eq!(states(&changed), [KeyState::Removed]);
 }
 
 #[test]
-fn a_key_that_is_missing_after_an_absence_has_lapsed_and_those_who_ask_hear_that() {
+fn a_key_missing_after_an_outage_has_expired_and_is_reported_as_such_to_other_views() {
     let mut mirror = Mirror::default();
     mirror.replace(vec![present(1, 1), present(2, 2)], Revision(2), MissingKeys::Removed);
-    let news = mirror.replace(vec![present(1, 1)], Revision(5), MissingKeys::MayHaveExpired);
-    assert_eq!(states(&news), [KeyState::Lapsed]);
-    assert_eq!(mirror.replace(vec![present(1, 1)], Revision(6), MissingKeys::MayHaveExpired), [], "it is told once");
-    let mut asker = Mirror::default();
-    asker.replace(vec![present(1, 1), present(2, 2)], Revision(2), MissingKeys::Removed);
+    let changed = mirror.replace(vec![present(1, 1)], Revision(5), MissingKeys::MayHaveExpired);
+    assert_eq!(states(&changed), [KeyState::Lapsed]);
+    assert_eq!(
+        mirror.replace(vec![present(1, 1)], Revision(6), MissingKeys::MayHaveExpired),
+        [],
+        "it is reported only once"
+    );
+    let mut requester = Mirror::default();
+    requester.replace(vec![present(1, 1), present(2, 2)], Revision(2), MissingKeys::Removed);
     let changes = mirror.changes_since(Revision(2)).expect("it was listed");
-    assert_eq!(changes.base, None, "removals before the last list are not all known");
-    let news = asker.replace(changes.items, changes.at, MissingKeys::Removed);
-    assert_eq!(states(&news), [KeyState::Lapsed]);
+    assert_eq!(changes.base, None, "removals before the last list are not all recorded");
+    let changed = requester.replace(changes.items, changes.at, MissingKeys::Removed);
+    assert_eq!(states(&changed), [KeyState::Lapsed]);
 }
 
 #[test]
-fn a_view_that_is_never_confirmed_ages() {
+fn the_age_of_a_view_counts_from_its_latest_confirmation() {
     let at = Timestamp::from_millis;
     let mut mirror = Mirror::default();
     assert_eq!(mirror.age(at(10)), None);
     mirror.replace(Vec::new(), Revision(1), MissingKeys::Removed);
     mirror.confirm(at(100));
     mirror.confirm(at(50));
-    assert_eq!(mirror.age(at(130)), Some(Millis(30)), "an older confirmation takes nothing back");
+    assert_eq!(mirror.age(at(130)), Some(Millis(30)), "an older confirmation has no effect");
 }
 
 #[test]
-fn many_removals_are_forgotten_and_askers_from_before_get_everything() {
+fn old_tombstones_are_dropped_and_views_behind_them_receive_all_items() {
     let mut mirror = Mirror::default();
     mirror.replace(Vec::new(), Revision(0), MissingKeys::Removed);
     let removed = |number: u64| MetadataItem {
