--- a/crates/core/tests/fleet_growth.rs
+++ b/crates/core/tests/fleet_growth.rs
@@ -392,7 +392,7 @@
             .collect();
         table.set_shared_loads(&full, at(0));
         let mut random = CountingRng { source: Xoshiro256PlusPlus::seed_from_u64(3), draws: 0 };
-        let ask = WorkerQuery {
+        let query = WorkerQuery {
             service: "service",
             zone: "zone-0",
             prefix: &[],
@@ -402,7 +402,7 @@
             regions: &AllowedRegions::Any,
         };
         for _ in 0..200 {
-            let choice = table.choose(&ask, at(1), &mut random).expect("there are workers");
+            let choice = table.choose(&query, at(1), &mut random).expect("there are workers");
             assert_eq!((choice.load, choice.candidates), (0, size.workers), "an idle worker is found");
         }
         draws.push(random.draws);
--- a/crates/core/tests/quota_simulation.rs
+++ b/crates/core/tests/quota_simulation.rs
@@ -22,14 +22,14 @@
 /// One-way delay between a gateway and the leader.
 const DELAY_MS: u64 = 3;
 /// Time for which a request waits for the leader's first answer for its tenant.
-const FIRST_ANSWER_WAIT_MS: u64 = 60;
+const FIRST_ANSWER_TIMEOUT_MS: u64 = 60;
 const REPORT_TIMEOUT_MS: u64 = 250;
-/// Allowed excess over the limit: a tenth, plus [`MARGIN`] requests.
-const EXCESS: f64 = 0.1;
+/// Allowed excess over the limit: a tenth, plus [`EXCESS_MARGIN`] requests.
+const EXCESS_FRACTION: f64 = 0.1;
 /// Time after a start within which a gateway learns the number of gateways. A partition before that may admit more
 /// than the allowed excess; docs/design/shifted-work.md states the amount.
 const SETTLING_MS: u64 = 3_000;
-const MARGIN: f64 = 20.0;
+const EXCESS_MARGIN: f64 = 20.0;
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(1_000_000 + millis)
@@ -162,7 +162,7 @@
         }
         leader.tick(at(now));
         while messages.front().is_some_and(|(due, _)| *due <= now) {
-            match messages.pop_front().expect("there is one").1 {
+            match messages.pop_front().expect("the queue is not empty").1 {
                 Message::Report { gateway, report, sent_at } if !is_disconnected(gateway) => {
                     let levels = leader.report(ids[gateway], &report, |_| Some(limit), at(now));
                     messages.push_back((now + DELAY_MS, Message::Levels { gateway, report, levels, sent_at }));
@@ -206,7 +206,7 @@
             }
         }
         waiting.retain(|(since, gateway)| {
-            if answered_at[*gateway] <= *since && now < since + FIRST_ANSWER_WAIT_MS {
+            if answered_at[*gateway] <= *since && now < since + FIRST_ANSWER_TIMEOUT_MS {
                 return true;
             }
             let request = AdmissionRequest { tenant: &name, limit, has_waited: true };
@@ -225,7 +225,7 @@
         let bound = BucketLimit::of(binding).accrued(Millis(WINDOW_MS)) + binding.burst.0 as f64 / 1e3;
         let excess = admitted_at.len() as f64 - bound;
         outcome.worst_excess = outcome.worst_excess.max(excess);
-        outcome.worst_excess_ratio = outcome.worst_excess_ratio.max(excess / (bound * EXCESS + MARGIN));
+        outcome.worst_excess_ratio = outcome.worst_excess_ratio.max(excess / (bound * EXCESS_FRACTION + EXCESS_MARGIN));
     }
     outcome
 }
@@ -369,10 +369,10 @@
     let faults = (0usize..20, 200u64..6_000, 1_000u64..9_000, prop::option::of(2_000u64..14_000), any::<u64>());
     let changes = (prop::option::of(2_000u64..14_000), prop::option::of((2_000u64..9_000, 0.1f64..0.9)));
     (tenants, faults, changes).prop_map(|(tenants, faults, changes)| {
-        let (gateways, serving_gateways, per_s, burst, factor) = tenants;
+        let (gateways, serving_fraction, per_s, burst, factor) = tenants;
         let (disconnected, disconnected_from, disconnected_for, new_leader_at, seed) = faults;
         let (kill_at, lowered_limit) = changes;
-        let serving_gateways = ((gateways as f64 * serving_gateways) as usize).clamp(1, gateways);
+        let serving_gateways = ((gateways as f64 * serving_fraction) as usize).clamp(1, gateways);
         let disconnected_span = Span { from: disconnected_from, to: disconnected_from + disconnected_for };
         let settled = Span { from: disconnected_from.saturating_sub(SETTLING_MS), to: disconnected_span.to };
         let apart = |time: Option<u64>| time.filter(|time| disconnected == 0 || !settled.contains(*time));
--- a/crates/core/tests/relay_mirror.rs
+++ b/crates/core/tests/relay_mirror.rs
@@ -236,7 +236,7 @@
     );
     let mut requester = Mirror::default();
     requester.replace(vec![present(1, 1), present(2, 2)], Revision(2), MissingKeys::Removed);
-    let changes = mirror.changes_since(Revision(2)).expect("it was listed");
+    let changes = mirror.changes_since(Revision(2)).expect("the mirror has a list");
     assert_eq!(changes.base, None, "removals before the last list are not all recorded");
     let changed = requester.replace(changes.items, changes.at, MissingKeys::Removed);
     assert_eq!(states(&changed), [KeyState::Lapsed]);
@@ -264,6 +264,6 @@
     };
     mirror.advance((1..=2_000).map(removed).collect(), Revision(2_000));
     assert_eq!(mirror.changes_since(Revision(10)).and_then(|changes| changes.base), None);
-    let recent = mirror.changes_since(Revision(1_990)).expect("it was listed");
+    let recent = mirror.changes_since(Revision(1_990)).expect("the mirror has a list");
     assert_eq!((recent.base, recent.items.len()), (Some(Revision(1_990)), 10));
 }
--- a/crates/core/tests/relay_simulation/faults.rs
+++ b/crates/core/tests/relay_simulation/faults.rs
@@ -16,7 +16,7 @@
 const FLEET_NODES: u64 = 1_000;
 /// Maximum number of calls per second by the whole fleet during an outage of the store: a tenth of the capacity of a
 /// store for a fleet of this size.
-const STORE_CALLS_PER_S: u64 = 1_600;
+const MAX_STORE_CALLS_PER_S: u64 = 1_600;
 const SEEDS: u64 = 4;
 
 fn world(seed: u64) -> World {
@@ -82,7 +82,7 @@
             |world: &mut World, until| world.nodes.iter_mut().for_each(|node| node.faults.refused_until = until);
         let calls = store_calls(seed, unresponsive).max(store_calls(seed, refusing));
         let followers = (NODES - ROOTS - FORWARDERS) as u64;
-        let in_outage = followers * STORE_CALLS_PER_S * FAULT_DURATION / FLEET_NODES / 1_000;
+        let in_outage = followers * MAX_STORE_CALLS_PER_S * FAULT_DURATION / FLEET_NODES / 1_000;
         // Each follower may also list the store once after the outage.
         assert!(calls <= in_outage + followers, "{calls} calls to the store, seed {seed}");
     }
--- a/crates/core/tests/relay_simulation/world.rs
+++ b/crates/core/tests/relay_simulation/world.rs
@@ -390,7 +390,7 @@
         let (workers, random) = (&self.nodes[node].workers, &mut self.random);
         let is_checked = |departed_at: u64| (BOUNDS.change.0 + 1..WORKER_CHECK_WINDOW).contains(&(now - departed_at));
         for (worker, departed_at) in self.departed.iter().filter(|(_, departed_at)| is_checked(*departed_at)) {
-            let ask = WorkerQuery {
+            let query = WorkerQuery {
                 service: worker,
                 zone: "zone",
                 prefix: &[],
@@ -399,7 +399,7 @@
                 tried: &[],
                 regions: &AllowedRegions::Any,
             };
-            let chosen = workers.choose(&ask, at(now), random).map(|choice| choice.availability);
+            let chosen = workers.choose(&query, at(now), random).map(|choice| choice.availability);
             assert_eq!(
                 chosen,
                 None,
