--- a/crates/core/src/backoff.rs
+++ b/crates/core/src/backoff.rs
@@ -1,26 +1,26 @@
-//! Exponential back-off: waits that double with each failure in a row.
+//! Exponential backoff: delays that double with each consecutive failure.
 //!
-//! Whoever retries owns the count of failures, resets it at a success, and adds jitter of its own where many nodes
-//! would otherwise retry at the same moment.
+//! The caller counts the failures, resets the count on success, and adds jitter where many nodes could otherwise retry
+//! at the same time.
 
 use crate::time::Millis;
 
-/// The waits after failures in a row.
+/// An exponential backoff policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    first: Millis,
-    longest: Millis,
+    initial: Millis,
+    max: Millis,
 }
 
 impl Backoff {
-    /// Waits from `first` on, none longer than `longest`.
-    pub const fn new(first: Millis, longest: Millis) -> Self {
-        Self { first, longest }
+    /// Creates a policy whose delays start at `initial` and never exceed `max`.
+    pub const fn new(initial: Millis, max: Millis) -> Self {
+        Self { initial, max }
     }
 
-    /// The wait after a failure that `earlier` failures in a row came before.
-    pub fn wait(self, earlier: u32) -> Millis {
-        let doubled = self.first.0.saturating_mul(1_u64.checked_shl(earlier).unwrap_or(u64::MAX));
-        Millis(doubled).min(self.longest)
+    /// Returns the delay after a failure that follows `previous_failures` consecutive failures.
+    pub fn wait(self, previous_failures: u32) -> Millis {
+        let doubled = self.initial.0.saturating_mul(1_u64.checked_shl(previous_failures).unwrap_or(u64::MAX));
+        Millis(doubled).min(self.max)
     }
 }
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,24 +1,24 @@
-//! The closed list of refusals, and the one table from kind to answer.
+//! The kinds of errors with which requests are refused, and the answer for each kind.
 //!
-//! Every refusal that a caller or operator sees carries one of these kinds. `docs/ERRORS.md` is
-//! tested against the table.
+//! Every error that a caller or operator receives has one of these kinds. A test checks that
+//! `docs/ERRORS.md` matches the table.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether the refused request ran on an engine.
+/// Whether a refused request was executed by an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// Certainly not: nothing was sent to an engine, or the engine refused before running.
+    /// Not executed: the request was not sent to an engine, or the engine refused it before running.
     NotRun,
-    /// It may have run.
+    /// Possibly executed.
     Unknown,
-    /// It ran.
+    /// Executed, at least in part.
     Ran,
 }
 
 impl Ran {
-    /// The word used in answers.
+    /// Returns the value used in answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -28,37 +28,37 @@
     }
 }
 
-/// One row of the table from kind to answer.
+/// The default answer for an error kind.
 #[derive(Clone, Copy, Debug)]
 pub struct ErrorAnswer {
     /// HTTP status code.
     pub status: u16,
-    /// Whether the request ran, where the kind alone decides it.
+    /// Whether the request was executed, as far as the kind alone determines it.
     pub ran: Ran,
-    /// When to come back, in milliseconds. `None` means that a resend can't help.
+    /// The time after which the caller may retry, in milliseconds. `None` if a retry cannot succeed.
     pub retry_after_ms: Option<u64>,
-    /// What happened, in one sentence.
+    /// A one-sentence description of the error.
     pub meaning: &'static str,
 }
 
 macro_rules! error_kinds {
     ($($(#[$doc:meta])* $name:ident = $code:literal, $status:literal, $ran:ident, $retry:expr, $meaning:literal;)*) => {
-        /// The closed list of refusals.
+        /// The kind of an error with which a request is refused.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
         pub enum ErrorKind {
             $(#[doc = $meaning] $(#[$doc])* $name,)*
         }
 
         impl ErrorKind {
-            /// Every kind, in the order of the table.
+            /// All kinds, in the order of the table.
             pub const ALL: &'static [ErrorKind] = &[$(ErrorKind::$name,)*];
 
-            /// The stable code in answers and documents.
+            /// Returns the stable code used in answers and documentation.
             pub fn code(self) -> &'static str {
                 match self { $(Self::$name => $code,)* }
             }
 
-            /// The row of the table for this kind.
+            /// Returns the default answer for this kind.
             pub fn answer(self) -> ErrorAnswer {
                 match self {
                     $(Self::$name => ErrorAnswer {
@@ -79,19 +79,19 @@
     UnknownPath = "unknown_path", 404, NotRun, None, "There is nothing at this path.";
     UnknownModel = "unknown_model", 404, NotRun, None, "No service offers this model.";
     UnknownAdapter = "unknown_adapter", 404, NotRun, None, "The model has no such adapter.";
-    UnknownKey = "unknown_key", 401, NotRun, None, "The caller shows no key of a tenant.";
+    UnknownKey = "unknown_key", 401, NotRun, None, "The request carries no API key of a known tenant.";
     UnknownTenant = "unknown_tenant", 403, NotRun, None, "The configuration names no such tenant.";
     UnknownJob = "unknown_job", 404, NotRun, None, "There is no such job.";
     UnknownExplanation = "unknown_explanation", 404, NotRun, None, "This node holds no explanation under this id.";
-    RateExceeded = "rate_exceeded", 429, NotRun, Some(1_000), "The tenant has used up its rate of requests.";
+    RateExceeded = "rate_exceeded", 429, NotRun, Some(1_000), "The tenant has exceeded its request rate limit.";
     KeyConflict = "key_conflict", 409, NotRun, None, "The idempotency key was used before with other content.";
     JobCancelled = "job_cancelled", 409, NotRun, None, "The job was cancelled.";
     TenantLimit = "tenant_limit", 429, NotRun, Some(1_000), "The tenant has reached its limit of requests in flight.";
     Overloaded = "overloaded", 503, NotRun, Some(1_000), "No engine has room for the request.";
     NoEngine = "no_engine", 503, NotRun, Some(2_000), "No live engine carries the model.";
     NotConfigured = "not_configured", 503, NotRun, Some(2_000), "The node has no configuration yet.";
-    RequestQuarantined = "request_quarantined", 503, NotRun, Some(300_000), "Workers died one after the other while they ran this request; it is kept from all others for a while.";
-    RegionUnavailable = "region_unavailable", 503, NotRun, Some(60_000), "The regions that the route and the tenant allow can't hold the request.";
+    RequestQuarantined = "request_quarantined", 503, NotRun, Some(300_000), "Several workers crashed in a row while running this request; it is quarantined for a limited time.";
+    RegionUnavailable = "region_unavailable", 503, NotRun, Some(60_000), "The request cannot be served within the regions that the route and the tenant allow.";
     Stopping = "stopping", 503, NotRun, Some(500), "The node is stopping; another node takes the request.";
     StateUnavailable = "state_unavailable", 503, NotRun, Some(1_000), "The replicated state could not be reached in time.";
     EngineRefused = "engine_refused", 503, NotRun, Some(1_000), "The engine refused before running.";
@@ -108,33 +108,33 @@
     Internal = "internal", 500, Unknown, Some(1_000), "A fault in stallmoor itself.";
 }
 
-/// A refusal, ready to be answered.
+/// An error answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The kind, which gives the status.
+    /// The kind, which determines the status code.
     pub kind: ErrorKind,
-    /// Whether the request ran. Starts as the kind's own word and is only changed by what is known.
+    /// Whether the request was executed. Defaults to the kind's value, which is overridden if more is known.
     pub ran: Ran,
-    /// When to come back, in milliseconds.
+    /// The time after which the caller may retry, in milliseconds. `None` if a retry cannot succeed.
     pub retry_after_ms: Option<u64>,
-    /// What exactly was wrong.
+    /// The specific cause.
     pub detail: String,
 }
 
 impl Refusal {
-    /// A refusal with the table's answer for `kind`.
+    /// Creates a refusal with the default answer for `kind`.
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Self {
         let answer = kind.answer();
         Self { kind, ran: answer.ran, retry_after_ms: answer.retry_after_ms, detail: detail.into() }
     }
 
-    /// The same refusal with another word on whether the request ran.
+    /// Sets whether the request was executed.
     pub fn with_ran(mut self, ran: Ran) -> Self {
         self.ran = ran;
         self
     }
 
-    /// The same refusal with another time to come back.
+    /// Sets the time after which the caller may retry, in milliseconds.
     pub fn with_retry_after(mut self, millis: u64) -> Self {
         self.retry_after_ms = Some(millis);
         self
--- a/crates/core/src/identity.rs
+++ b/crates/core/src/identity.rs
@@ -1,42 +1,42 @@
-//! Names of the things that take part: nodes, replica groups, engines, jobs, attempts.
+//! Identifiers of nodes, replica groups, engines, jobs and attempts.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// A node's identity.
+/// The identity of a node.
 ///
-/// A storing node takes its identity from its disk, where it was written when the disk was formatted.
-/// A disk that comes back blank is therefore a new node: it can never vote as the one it replaces.
-/// A node without a disk draws a new identity at each start.
+/// A storage node reads its identity from its disk, where it was written when the disk was formatted. A node whose disk
+/// was replaced by a blank one thus gets a new identity and can never vote under the previous one. A node without a
+/// disk generates a new identity at each start.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u64);
 
-/// One replica group, which is one partition of the replicated state.
+/// The number of a replica group. Each group stores one partition of the replicated state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GroupId(pub u32);
 
-/// The name of an engine, as the operators' files give it.
+/// The name of an engine as given in the configuration files.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EngineName(pub Arc<str>);
 
-/// One try to run a request or item on an engine. Unique over all nodes and restarts.
+/// Identifies one attempt to run a request or batch item on an engine. Unique across nodes and restarts.
 ///
-/// Every piece an engine sends back carries it; a piece with another attempt is dropped and counted.
+/// Every chunk that an engine sends back carries this identifier. Chunks of other attempts are dropped and counted.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId(pub u128);
 
-/// A batch job: the group that holds it, and a hash of its tenant and idempotency key.
+/// Identifies a batch job by its replica group and a hash of its tenant and idempotency key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId {
-    /// The replica group that holds the job.
+    /// The replica group that stores the job.
     pub group: GroupId,
-    /// Hash of tenant and idempotency key.
+    /// The hash of the tenant and the idempotency key.
     pub hash: u64,
 }
 
-/// A caller's connection to this node, as numbered by the driver.
+/// The number that the I/O layer assigns to a caller's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerId(pub u64);
 
@@ -59,7 +59,7 @@
 }
 
 impl EngineName {
-    /// Builds a name from text.
+    /// Creates an engine name.
     pub fn new(name: &str) -> Self {
         Self(Arc::from(name))
     }
@@ -90,7 +90,7 @@
 }
 
 impl AttemptId {
-    /// Reads the form that `Display` writes.
+    /// Parses the format that `Display` produces.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix("attempt-")?;
         u128::from_str_radix(digits, 16).ok().map(Self)
@@ -110,7 +110,7 @@
 }
 
 impl JobId {
-    /// Reads the form that `Display` writes.
+    /// Parses the format that `Display` produces.
     pub fn parse(text: &str) -> Option<Self> {
         let (group, hash) = text.strip_prefix("job-")?.split_once('-')?;
         let group = GroupId(group.parse().ok()?);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,22 +1,22 @@
-//! Decisions of stallmoor, and nothing else.
+//! The decision logic of stallmoor, free of I/O.
 //!
-//! Every module here is a state machine: an event and the current time go in, effects come out.
-//! There are no sockets, clocks, threads or hidden randomness in this crate, so that the simulation
-//! and the running node drive exactly the same code, and a run is a function of its seed.
+//! Modules are written as state machines that take an event and the current time and return effects. The crate uses no
+//! sockets, clocks, threads or unseeded randomness, so that simulations run the same code as a live node and every
+//! simulation run is determined by its seed.
 //!
-//! Two products share the crate. `stallmoor gateway` and `stallmoor storage` run before workers on the users'
-//! platform; `stallmoor node` is the product's own fleet.
+//! Two products share the crate: `stallmoor gateway` and `stallmoor storage`, which serve requests to workers on a
+//! user's platform, and `stallmoor node`, which forms a self-contained fleet.
 //!
-//! | module | serves | owns |
+//! | module | used by | contents |
 //! |---|---|---|
-//! | [`serving`] | gateways and storing nodes | requests and batch jobs that pass through unchanged |
-//! | [`node`] | `stallmoor node` | the operators' files, engines, partitions, and one node composed of them |
-//! | [`replication`] | both | the replicated log of one group, after Raft, and the repair of its membership |
+//! | [`serving`] | gateways and storage nodes | online requests and batch jobs that are forwarded unchanged |
+//! | [`node`] | `stallmoor node` | configuration files, engines, partitions, and the node composed of them |
+//! | [`replication`] | both | the replicated log of a group (Raft) and the repair of its membership |
 //! | [`peer_message`] | both | messages between nodes |
-//! | [`backoff`], [`retry_budget`] | both | waits between retries, and how many there may be |
-//! | [`moving_mean`] | both | what a figure usually is, by its latest samples |
-//! | [`identity`], [`time`], [`hashing`] | both | identities, points in time and spans, hashes |
-//! | [`error`], [`log_event`] | both | the closed list of refusals, the numbered log events |
+//! | [`backoff`], [`retry_budget`] | both | delays between retries and limits on their number |
+//! | [`moving_mean`] | both | moving averages |
+//! | [`identity`], [`time`], [`hashing`] | both | identifiers, timestamps and durations, stable hashes |
+//! | [`error`], [`log_event`] | both | error kinds and numbered log events |
 
 pub mod backoff;
 pub mod error;
--- a/crates/core/src/log_event.rs
+++ b/crates/core/src/log_event.rs
@@ -1,39 +1,39 @@
-//! The numbered log events. `docs/EVENTS.md` is tested against this list.
+//! The numbered log events. A test checks that `docs/EVENTS.md` matches this list.
 
-/// How loud an event is.
+/// The severity of a log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// An ordinary step that an operator may want to see.
+    /// Normal operation.
     Information,
-    /// Something failed and was handled.
+    /// A failure that was handled.
     Warning,
-    /// Something failed and needs an operator.
+    /// A failure that requires an operator.
     Error,
 }
 
 macro_rules! log_events {
     ($($name:ident = $number:literal, $severity:ident, $meaning:literal;)*) => {
-        /// The closed list of log events.
+        /// A numbered log event.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum LogEvent {
             $(#[doc = $meaning] $name,)*
         }
 
         impl LogEvent {
-            /// Every event, in the order of the catalogue.
+            /// All events, in ascending order of their numbers.
             pub const ALL: &'static [LogEvent] = &[$(LogEvent::$name,)*];
 
-            /// The event's number, never reused.
+            /// Returns the event's number. Numbers are never reused.
             pub fn number(self) -> u16 {
                 match self { $(Self::$name => $number,)* }
             }
 
-            /// How loud the event is.
+            /// Returns the event's severity.
             pub fn severity(self) -> Severity {
                 match self { $(Self::$name => Severity::$severity,)* }
             }
 
-            /// What happened, in one sentence.
+            /// Returns a one-sentence description of the event.
             pub fn meaning(self) -> &'static str {
                 match self { $(Self::$name => $meaning,)* }
             }
@@ -42,68 +42,68 @@
 }
 
 log_events! {
-    NodeStarted = 100, Information, "The node is up and listens.";
-    NodeReady = 101, Information, "The node has a configuration and takes requests.";
-    NodeStopping = 102, Information, "A planned stop began.";
-    NodeStopped = 103, Information, "The planned stop is complete.";
-    SettingsReloaded = 104, Information, "The settings file was read again.";
-    StoreFormatted = 110, Information, "A blank data folder was formatted with a new identity.";
-    StoreCorrupted = 111, Error, "The data folder failed its checksum; it was set aside and a new identity made.";
-    StoreWriteFailed = 112, Error, "A write to the data folder failed; the node stops rather than acknowledge it.";
-    MemberJoined = 200, Information, "A node joined or came back.";
-    MemberSuspected = 201, Warning, "A node missed its probes.";
-    MemberDead = 202, Warning, "A node is held to be dead.";
-    MemberLeft = 203, Information, "A node left by a planned stop.";
-    GroupFounded = 300, Information, "A replica group was founded.";
-    LeaderElected = 301, Information, "This replica leads its group.";
-    LeaderStoodDown = 302, Information, "This replica leads its group no longer.";
+    NodeStarted = 100, Information, "The node has started and accepts connections.";
+    NodeReady = 101, Information, "The node has a configuration and accepts requests.";
+    NodeStopping = 102, Information, "A graceful shutdown has started.";
+    NodeStopped = 103, Information, "The graceful shutdown is complete.";
+    SettingsReloaded = 104, Information, "The settings file was reloaded.";
+    StoreFormatted = 110, Information, "An empty data folder was formatted with a new identity.";
+    StoreCorrupted = 111, Error, "The data folder failed its checksum; it was set aside and a new identity was created.";
+    StoreWriteFailed = 112, Error, "A write to the data folder failed; the node stops instead of acknowledging it.";
+    MemberJoined = 200, Information, "A node joined or rejoined the fleet.";
+    MemberSuspected = 201, Warning, "A node did not answer probes and is suspected to have failed.";
+    MemberDead = 202, Warning, "A node was declared dead.";
+    MemberLeft = 203, Information, "A node left after a graceful shutdown.";
+    GroupFounded = 300, Information, "A replica group was bootstrapped.";
+    LeaderElected = 301, Information, "This replica became the leader of its group.";
+    LeaderStoodDown = 302, Information, "This replica is no longer the leader of its group.";
     ReplicaAdded = 303, Information, "A replica was added to a group.";
     ReplicaRemoved = 304, Information, "A replica was removed from a group.";
-    SnapshotInstalled = 305, Information, "A replica was rebuilt from a snapshot.";
-    MembershipChanging = 306, Information, "The leader proposes a change of its group's members.";
-    PairRecorded = 307, Information, "The record of a group of two is written.";
-    WentOnAlone = 308, Warning, "This replica goes on as the only voter of a group of two.";
-    FoundingWritten = 309, Information, "The founding record of a replica group was proposed to the store.";
-    MessageRefused = 310, Warning, "A message from a peer was refused.";
-    ConfigurationInForce = 400, Information, "A configuration revision came into force on this node.";
-    ConfigurationAccepted = 401, Information, "An operator's change was accepted.";
-    ConfigurationRefused = 402, Warning, "An operator's change was refused.";
+    SnapshotInstalled = 305, Information, "A replica was restored from a snapshot.";
+    MembershipChanging = 306, Information, "The leader proposed a membership change of its group.";
+    PairRecorded = 307, Information, "The record of a group with two voters is being written.";
+    WentOnAlone = 308, Warning, "This replica became the only voter of a group that had two.";
+    FoundingWritten = 309, Information, "The founding record of a replica group was submitted to the metadata store.";
+    MessageRefused = 310, Warning, "A message from a peer was rejected.";
+    ConfigurationInForce = 400, Information, "A configuration revision took effect on this node.";
+    ConfigurationAccepted = 401, Information, "A configuration change by an operator was accepted.";
+    ConfigurationRefused = 402, Warning, "A configuration change by an operator was rejected.";
     PlatformUnavailable = 410, Warning, "The key-value service did not answer.";
     PlatformRecovered = 411, Information, "The key-value service answers again.";
-    RelayFollowed = 412, Information, "This node takes the store's changes from another node.";
-    RelayLeft = 413, Warning, "A node that passed the store's changes on is silent or behind; another one or the store is asked.";
-    RelayServing = 414, Information, "Other nodes take the store's changes from this one.";
-    RecordUnreadable = 415, Warning, "A record of the store can't be read; it is passed over.";
-    ControlTaken = 420, Information, "This node holds the control lease.";
-    ControlLost = 421, Information, "This node holds the control lease no longer.";
-    OrderGiven = 422, Information, "An order was given to an engine.";
-    OrderFenced = 423, Warning, "An engine refused an order because it has seen a later epoch.";
-    EngineLeaving = 500, Information, "An engine is leaving and gets no new work.";
-    EngineEjected = 501, Warning, "An engine failed repeatedly and is passed over for a while.";
-    EngineReturned = 502, Information, "An engine takes work again.";
-    PieceDropped = 503, Warning, "A late or crossed piece of an answer was dropped.";
-    RequestMoved = 504, Information, "A request moved to another engine.";
+    RelayFollowed = 412, Information, "This node receives changes of the metadata store from a relay.";
+    RelayLeft = 413, Warning, "The relay that this node used is unresponsive or behind; another relay or the metadata store is queried instead.";
+    RelayServing = 414, Information, "This node relays changes of the metadata store to other nodes.";
+    RecordUnreadable = 415, Warning, "A record in the metadata store cannot be read and is skipped.";
+    ControlTaken = 420, Information, "This node acquired the control lease.";
+    ControlLost = 421, Information, "This node lost the control lease.";
+    OrderGiven = 422, Information, "A command was sent to an engine.";
+    OrderFenced = 423, Warning, "An engine rejected a command because it has seen a later epoch.";
+    EngineLeaving = 500, Information, "An engine is shutting down and receives no new work.";
+    EngineEjected = 501, Warning, "An engine failed repeatedly and is temporarily excluded.";
+    EngineReturned = 502, Information, "An engine receives work again.";
+    PieceDropped = 503, Warning, "A response chunk that was late or belonged to another attempt was dropped.";
+    RequestMoved = 504, Information, "A request was moved to another engine.";
     RequestRefused = 505, Information, "A request was refused.";
-    RetryBudgetSpent = 506, Warning, "A retry was given up because the retry budget is spent.";
-    WorkerSeen = 510, Information, "A worker was seen and takes requests.";
-    WorkerDraining = 511, Information, "A worker states that it leaves and gets no new requests.";
-    WorkerGone = 512, Information, "A worker's record was removed; it gets no new requests.";
-    WorkerMissing = 513, Warning, "A worker's record may have lapsed while the store was out of reach; it serves on for a moment, in which the record may come back.";
-    WorkerCrashed = 514, Warning, "A worker could not be reached right after a request that ran there broke off or was taken away: it may have died of that request.";
-    RequestQuarantined = 515, Warning, "Workers died one after the other while they ran a request; it is kept from all workers for a while.";
-    ZoneEvacuated = 516, Information, "The operator evacuates a zone: its workers get no new requests.";
-    ZoneReturned = 517, Information, "The operator took the evacuation of a zone back: its workers get requests again, at first as if they had just started.";
-    CrashesCleared = 518, Information, "A request ran to its end; the crashes of workers that were held against it before are so no longer.";
-    AttemptEnded = 520, Warning, "An attempt at a worker ended without a whole answer.";
+    RetryBudgetSpent = 506, Warning, "A retry was abandoned because the retry budget is exhausted.";
+    WorkerSeen = 510, Information, "A worker was discovered and receives requests.";
+    WorkerDraining = 511, Information, "A worker reported that it is draining and receives no new requests.";
+    WorkerGone = 512, Information, "A worker's record was removed; it receives no new requests.";
+    WorkerMissing = 513, Warning, "A worker's record is missing and may have expired while the metadata store was unreachable; the worker remains in use for a grace period in which the record may reappear.";
+    WorkerCrashed = 514, Warning, "A worker was unreachable right after a request on it failed or was moved away; the request may have crashed it.";
+    RequestQuarantined = 515, Warning, "Several workers crashed in a row while running a request; it is quarantined for a limited time.";
+    ZoneEvacuated = 516, Information, "The operator is evacuating a zone; its workers receive no new requests.";
+    ZoneReturned = 517, Information, "The operator ended the evacuation of a zone; its workers receive requests again and are initially treated as newly started.";
+    CrashesCleared = 518, Information, "A request ran to completion; the worker crashes previously attributed to it were cleared.";
+    AttemptEnded = 520, Warning, "An attempt at a worker ended without a complete response.";
     RequestEnded = 521, Information, "A request that passes through has ended.";
-    StorageNodeSeen = 530, Information, "A storing node's record was read.";
+    StorageNodeSeen = 530, Information, "The record of a storage node was read.";
     ItemRunEnded = 540, Information, "A run of a batch item ended.";
-    ItemListed = 541, Information, "A batch item's result is listed.";
-    ItemRunStarted = 542, Information, "A run of a batch item began.";
-    EmptyingReported = 550, Information, "The emptying of a machine was reported.";
+    ItemListed = 541, Information, "The result of a batch item was committed.";
+    ItemRunStarted = 542, Information, "A run of a batch item started.";
+    EmptyingReported = 550, Information, "The drain state of a machine was reported.";
     JobAccepted = 600, Information, "A batch job was accepted.";
-    JobCompleted = 601, Information, "Every item of a batch job has its result.";
+    JobCompleted = 601, Information, "All items of a batch job have results.";
     JobCancelled = 602, Information, "A batch job was cancelled.";
-    BatchYielded = 610, Information, "Batch work stepped aside for online requests.";
-    ResultDropped = 611, Information, "A second result of an item was dropped.";
+    BatchYielded = 610, Information, "Batch work was preempted by online requests.";
+    ResultDropped = 611, Information, "A duplicate result of a batch item was dropped.";
 }
--- a/crates/core/src/moving_mean.rs
+++ b/crates/core/src/moving_mean.rs
@@ -1,7 +1,7 @@
-//! Moving means: what a figure usually is, by its latest samples.
+//! Exponentially weighted moving averages.
 
-/// A mean that starts from an assumed value. Each sample has the same weight, so that the mean goes by about
-/// `1 / weight` of the latest.
+/// An exponentially weighted moving average with an assumed initial value. It mostly reflects the latest `1 / weight`
+/// samples.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MovingMean {
     value: f64,
@@ -9,45 +9,45 @@
 }
 
 impl MovingMean {
-    /// A mean that is `value` until there are samples, each of which has a weight between 0 and 1.
+    /// Creates an average that is `value` until the first sample. `weight` is the weight of each sample, from 0 to 1.
     pub const fn starting_at(value: f64, weight: f64) -> Self {
         Self { value, weight }
     }
 
-    /// Takes a sample.
+    /// Adds a sample.
     pub fn record(&mut self, sample: f64) {
         self.value = self.value * (1.0 - self.weight) + sample * self.weight;
     }
 
-    /// The mean.
+    /// Returns the current average.
     pub fn value(&self) -> f64 {
         self.value
     }
 }
 
-/// A mean that is not known until there is a sample. The first samples count alike; from `1 / least_weight` samples on
-/// it goes by about as many of the latest.
+/// An average without an initial value. It is the arithmetic mean of the first `1 / min_weight` samples and an
+/// exponentially weighted moving average after that.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunningMean {
     value: f64,
     samples: u32,
-    least_weight: f64,
+    min_weight: f64,
 }
 
 impl RunningMean {
-    /// A mean without samples, each of which will have a weight of at least `least_weight`, between 0 and 1.
-    pub const fn empty(least_weight: f64) -> Self {
-        Self { value: 0.0, samples: 0, least_weight }
+    /// Creates an average without samples. `min_weight` is the minimum weight of a sample, from 0 to 1.
+    pub const fn empty(min_weight: f64) -> Self {
+        Self { value: 0.0, samples: 0, min_weight }
     }
 
-    /// Takes a sample.
+    /// Adds a sample.
     pub fn record(&mut self, sample: f64) {
         self.samples = self.samples.saturating_add(1);
-        let weight = (1.0 / f64::from(self.samples)).max(self.least_weight);
+        let weight = (1.0 / f64::from(self.samples)).max(self.min_weight);
         self.value += (sample - self.value) * weight;
     }
 
-    /// The mean; `None` without a sample.
+    /// Returns the current average, or `None` if there are no samples.
     pub fn value(&self) -> Option<f64> {
         (self.samples > 0).then_some(self.value)
     }
--- a/crates/core/src/peer_message.rs
+++ b/crates/core/src/peer_message.rs
@@ -17,53 +17,53 @@
 use crate::serving::relay::message::{ChangesAnswer, ChangesRequest};
 use crate::time::Millis;
 
-/// A message between nodes. Any of them may be lost, doubled or late.
+/// A message between nodes. Messages may be lost, duplicated or delayed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerMessage {
-    /// Membership.
+    /// Failure detection and membership of the fleet.
     Membership(MembershipMessage),
-    /// Replication within a group.
+    /// Log replication within a group.
     Replication(ReplicationMessage),
     /// A command or query for a group's leader.
     GroupRequest(GroupRequest),
-    /// Its answer.
+    /// The answer to a [`GroupRequest`].
     GroupAnswer(GroupAnswer),
-    /// Spreading of configuration.
+    /// Distribution of the configuration.
     Configuration(ConfigurationMessage),
-    /// Sharing of engines between online and batch.
+    /// Allocation of engine capacity between online requests and batch work.
     Credit(CreditMessage),
-    /// Engines that are leaving.
+    /// Engines that are shutting down.
     EnginesLeaving(Vec<LeavingFact>),
-    /// Where are the groups?
+    /// Requests the receiver's directory of replica groups.
     DirectoryRequest {
-        /// Who asks.
+        /// The requesting node.
         from: NodeId,
     },
-    /// Where the groups are.
+    /// The answer to a directory request.
     DirectoryAnswer {
-        /// How many groups there are.
+        /// The total number of replica groups.
         group_count: u32,
-        /// Those known.
+        /// The entries for the groups known to the sender.
         entries: Vec<DirectoryEntry>,
     },
-    /// How are you?
+    /// Requests the receiver's status.
     StatusRequest {
-        /// Who asks.
+        /// The requesting node.
         from: NodeId,
-        /// Comes back with the answer.
+        /// The request identifier, echoed in the answer.
         id: u64,
     },
-    /// How I am.
+    /// The answer to a status request.
     StatusAnswer {
-        /// From the request.
+        /// The identifier of the answered request.
         id: u64,
-        /// The status.
+        /// The sender's status.
         status: NodeStatus,
     },
 }
 
 impl PeerMessage {
-    /// A short name of what it is about, for figures.
+    /// Returns the name under which the message is counted in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Membership(_) => "membership",
@@ -83,28 +83,28 @@
 /// A command or query for a group's leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupRequest {
-    /// Comes back with the answer; unique at the sender.
+    /// The request identifier, unique per sender and echoed in the answer.
     pub id: u64,
-    /// Who asks.
+    /// The requesting node.
     pub from: NodeId,
-    /// The group.
+    /// The group that is to handle the request.
     pub group: GroupId,
-    /// What is asked.
+    /// The content of the request.
     pub body: GroupRequestBody,
 }
 
-/// What is asked of a group.
+/// The content of a group request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupRequestBody {
-    /// A change.
+    /// A command that changes the partition.
     Command(Command),
-    /// A read.
+    /// A query that reads the partition.
     Query(Query),
-    /// Something of the table of pass-through jobs.
+    /// A request to the job table of gateways and storage nodes.
     Jobs(JobsRequest),
-    /// What changed in the metadata store.
+    /// A request for changes of the metadata store.
     Changes(ChangesRequest),
-    /// The same, where the answer may be all that the metadata store holds, packed.
+    /// A request for changes of the metadata store that also accepts its entire contents, compressed, as the answer.
     Follow(ChangesRequest),
 }
 
@@ -122,26 +122,26 @@
 /// The answer to a group request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupAnswer {
-    /// From the request.
+    /// The identifier of the answered request.
     pub id: u64,
-    /// The group.
+    /// The group that answered.
     pub group: GroupId,
-    /// The answer, or why there is none.
+    /// The result of the request.
     pub result: Result<GroupAnswerBody, GroupRefusal>,
 }
 
-/// What a group answers.
+/// The content of a successful answer to a group request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupAnswerBody {
-    /// What the command did.
+    /// The outcome of a command.
     Outcome(CommandOutcome),
-    /// The answer to the query.
+    /// The answer to a query.
     Answer(QueryAnswer),
-    /// The answer of the table of pass-through jobs.
+    /// An answer from the job table of gateways and storage nodes.
     Jobs(JobsAnswer),
-    /// What changed in the metadata store.
+    /// Changes of the metadata store.
     Changes(ChangesAnswer),
-    /// All that the metadata store holds, packed.
+    /// The entire contents of the metadata store, compressed.
     Contents(ContentsAnswer),
 }
 
@@ -157,87 +157,87 @@
     }
 }
 
-/// Why a group request was not served. The command may have taken effect all the same if the leader
-/// changed meanwhile; all commands bear repeating.
+/// The reason why a group request was refused. If the leader changed in the meantime, the command may still have taken
+/// effect. All commands are idempotent, so they can be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupRefusal {
-    /// This node does not lead the group.
+    /// The receiver is not the leader of the group.
     NotLeader {
-        /// The term in which this is so.
+        /// The receiver's current term.
         term: Term,
-        /// Who leads, if known.
+        /// The leader of that term, if known.
         leader: Option<NodeId>,
     },
-    /// The leader is not established yet, or has too much in hand.
+    /// The leader has not committed an entry of its term yet, or is overloaded.
     Busy,
 }
 
-/// Spreading of configuration.
+/// Messages that distribute the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigurationMessage {
-    /// A revision is in force at the sender.
+    /// Announces the revision that is in effect at the sender.
     Offer {
-        /// Who offers.
+        /// The announcing node.
         from: NodeId,
-        /// The revision.
+        /// The revision in effect.
         revision: u64,
     },
-    /// Send me your manifest.
+    /// Requests the receiver's manifest.
     ManifestRequest {
-        /// Who asks.
+        /// The requesting node.
         from: NodeId,
     },
-    /// The manifest in force at the sender.
+    /// The manifest in effect at the sender.
     ManifestAnswer {
-        /// Who answers.
+        /// The answering node.
         from: NodeId,
-        /// The manifest.
+        /// The manifest in effect.
         manifest: Manifest,
     },
-    /// Send me these parts.
+    /// Requests configuration parts by their digests.
     PartsRequest {
-        /// Who asks.
+        /// The requesting node.
         from: NodeId,
-        /// The parts.
+        /// The digests of the requested parts.
         digests: Vec<PartDigest>,
     },
-    /// A part.
+    /// A single configuration part.
     PartAnswer {
-        /// Its digest.
+        /// The digest of the content.
         digest: PartDigest,
-        /// Its content.
+        /// The content of the part.
         content: Arc<str>,
     },
 }
 
-/// Sharing of engines between online and batch.
+/// Messages that allocate engine capacity between online requests and batch work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CreditMessage {
-    /// The sender has this many online requests at the engine.
+    /// Reports the number of online requests that the sender has in flight at an engine.
     OnlineNotice {
-        /// The engine.
+        /// The engine that serves the requests.
         engine: EngineName,
-        /// The sender.
+        /// The reporting node.
         from: NodeId,
-        /// Online requests in flight.
+        /// The number of online requests in flight.
         in_flight: u32,
     },
-    /// The sender would like to have this many batch streams at the engine in all.
+    /// Requests a total number of batch streams at an engine.
     Ask {
-        /// The engine.
+        /// The engine on which to run the streams.
         engine: EngineName,
-        /// The sender.
+        /// The requesting node.
         from: NodeId,
-        /// How many streams.
+        /// The requested number of streams.
         want: u32,
     },
-    /// The receiver may have this many batch streams at the engine.
+    /// Grants the receiver a number of batch streams at an engine.
     Grant {
-        /// The engine.
+        /// The engine on which to run the streams.
         engine: EngineName,
-        /// How many streams.
+        /// The maximum number of streams.
         limit: u32,
-        /// For how long.
+        /// The time for which the grant is valid.
         lifetime: Millis,
     },
 }
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -1,4 +1,4 @@
-//! Elections: asking for votes and giving them.
+//! Elections: requesting and granting votes, and changing roles.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -65,9 +65,10 @@
     }
 
     pub(super) fn on_vote(&mut self, from: NodeId, last_index: LogIndex, last_term: Term, now: Timestamp) {
-        let free = self.hard_state.voted_for.is_none_or(|node| node == from);
-        let granted =
-            free && matches!(self.role, Role::Follower { leader: None }) && self.is_up_to_date(last_index, last_term);
+        let may_vote = self.hard_state.voted_for.is_none_or(|node| node == from);
+        let granted = may_vote
+            && matches!(self.role, Role::Follower { leader: None })
+            && self.is_up_to_date(last_index, last_term);
         if granted {
             self.hard_state.voted_for = Some(from);
             self.write.hard_state = Some(self.hard_state);
@@ -85,12 +86,14 @@
         }
     }
 
-    /// A log is up to date if its last entry has a later term, or the same term and no lower index.
+    /// Returns whether a candidate's log is at least as up to date as this one: its last entry has a later term, or the
+    /// same term and no lower index (Raft, section 5.4.1).
     pub(super) fn is_up_to_date(&self, last_index: LogIndex, last_term: Term) -> bool {
         (last_term, last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
-    /// A node that heard its leader a short while ago doesn't help to depose it.
+    /// Returns whether this replica leads or heard from its leader within the election timeout. Votes are then refused,
+    /// so that a disconnected replica that rejoins cannot depose a working leader.
     pub(super) fn leader_lease_holds(&self, now: Timestamp) -> bool {
         if self.is_leader() {
             return true;
--- a/crates/core/src/replication/following.rs
+++ b/crates/core/src/replication/following.rs
@@ -1,4 +1,4 @@
-//! Following: taking the leader's entries and snapshots.
+//! Follower behavior: accepts the leader's entries and snapshots.
 
 use super::log::{Entry, LogIndex, Snapshot, Term};
 use super::message::MessageKind;
@@ -6,7 +6,8 @@
 use crate::identity::NodeId;
 
 impl Replica {
-    /// Takes entries. Returns whether they fit, and the place to answer with.
+    /// Handles entries from the leader. Returns whether they were accepted, and the index to answer with: the last
+    /// matching index if accepted, otherwise the index at which the leader is to probe next.
     pub(super) fn on_append(
         &mut self,
         previous_index: LogIndex,
@@ -15,7 +16,7 @@
         entries: Vec<Entry>,
     ) -> (bool, LogIndex) {
         if previous_index < self.log.snapshot().index {
-            // All up to the snapshot is committed, so it matches.
+            // Entries up to the snapshot are committed and therefore match the leader's.
             return (true, self.log.snapshot().index);
         }
         if self.log.term_at(previous_index) != Some(previous_term) {
@@ -40,7 +41,7 @@
     }
 
     pub(super) fn truncate_from(&mut self, index: LogIndex) {
-        debug_assert!(index > self.commit, "a committed entry must never be dropped");
+        debug_assert!(index > self.commit, "a committed entry must never be truncated");
         self.log.truncate_from(index);
         self.write.entries.retain(|entry| entry.index < index);
         let lowest = self.write.truncate_from.map_or(index, |earlier| earlier.min(index));
@@ -50,8 +51,8 @@
     pub(super) fn on_snapshot(&mut self, from: NodeId, snapshot: Snapshot) {
         let index = snapshot.index;
         if self.log.term_at(index) == Some(snapshot.term) {
-            // The log holds the snapshot's last entry, so all up to it matches, and what follows may
-            // have been acknowledged: it must stay (Raft, section 7).
+            // The log contains the snapshot's last entry, so it matches up to there. The entries after it may already
+            // be acknowledged and must be retained (Raft, section 7).
             self.commit = self.commit.max(index);
         } else if index > self.commit {
             self.write.truncate_from = Some(LogIndex(0));
--- a/crates/core/src/replication/leading.rs
+++ b/crates/core/src/replication/leading.rs
@@ -1,4 +1,4 @@
-//! Leading: sending the log, and committing what a majority holds.
+//! Leader behavior: replicates the log to followers and advances the commit index.
 
 use std::collections::BTreeSet;
 
@@ -10,18 +10,18 @@
 use crate::identity::NodeId;
 use crate::time::{Millis, Timestamp};
 
-/// Entries count as lost, and are sent again, after this many heartbeats without an answer. A slow disk isn't sent the
-/// same entries twice.
-const RESEND_HEARTBEATS: u64 = 3;
-/// A snapshot counts as lost after this many times as long as lost entries do, so that one that is on its way isn't
-/// sent again.
+/// Number of heartbeat intervals without an answer after which entries are resent. High enough that a follower with a
+/// slow disk does not receive the same entries twice.
+const RESEND_AFTER_HEARTBEATS: u64 = 3;
+/// Factor by which the resend timeout of a snapshot exceeds that of entries, so that a snapshot in transit is not sent
+/// twice.
 const SNAPSHOT_RESEND_FACTOR: u64 = 4;
-/// The slowest link that a snapshot is expected to cross, in bytes a millisecond; it isn't sent again before it could
-/// have arrived over one.
-const SNAPSHOT_BYTES_PER_MS: u64 = 1_000;
-/// A follower that owes an answer for this many heartbeats is silent and gets no entries until it answers. Saves the
-/// bytes to one that is gone.
-const SILENT_HEARTBEATS: u64 = 4;
+/// Minimum expected bandwidth for snapshot transfers, in bytes per millisecond. Extends the resend timeout of large
+/// snapshots.
+const MIN_SNAPSHOT_BYTES_PER_MS: u64 = 1_000;
+/// Number of heartbeat intervals without an answer after which a follower is sent only empty heartbeats, so that no
+/// bandwidth is spent on an unreachable node.
+const UNRESPONSIVE_AFTER_HEARTBEATS: u64 = 4;
 
 impl Replica {
     pub(super) fn check_proposal(&self) -> Result<(), ProposalError> {
@@ -63,27 +63,28 @@
         let heartbeat = self.settings.heartbeat_interval;
         let Role::Leader(state) = &mut self.role else { return };
         if state.transfer.is_some_and(|transfer| now >= transfer.deadline) {
-            // The target may still act on it at any time, so this leader can't go on as if nothing was.
+            // The target may still start an election at any time, so this leader must not resume normal operation.
             self.become_follower(self.hard_state.term, None, now);
             return;
         }
         if now.since(state.last_heartbeat) >= heartbeat {
             state.last_heartbeat = now;
-            self.resend_lost(now);
+            self.rewind_unacknowledged(now);
             self.broadcast_appends(now);
             self.send_timeout_now_if_ready();
         }
     }
 
-    /// A follower that has not answered for this long is not sent entries.
-    fn silence_limit(&self) -> Millis {
-        Millis(self.settings.heartbeat_interval.0 * SILENT_HEARTBEATS)
+    /// Returns the time without an answer after which a follower is sent no entries.
+    fn unresponsive_timeout(&self) -> Millis {
+        Millis(self.settings.heartbeat_interval.0 * UNRESPONSIVE_AFTER_HEARTBEATS)
     }
 
-    /// Entries sent a while ago and not yet answered count as lost.
-    pub(super) fn resend_lost(&mut self, now: Timestamp) {
-        let wait = Millis(self.settings.heartbeat_interval.0 * RESEND_HEARTBEATS);
-        let sending = Millis(self.log.snapshot().state.len() as u64 / SNAPSHOT_BYTES_PER_MS);
+    /// Rewinds the progress of followers that did not acknowledge entries or a snapshot in time, so that these are sent
+    /// again.
+    pub(super) fn rewind_unacknowledged(&mut self, now: Timestamp) {
+        let wait = Millis(self.settings.heartbeat_interval.0 * RESEND_AFTER_HEARTBEATS);
+        let transfer_time = Millis(self.log.snapshot().state.len() as u64 / MIN_SNAPSHOT_BYTES_PER_MS);
         if let Role::Leader(state) = &mut self.role {
             for progress in state.progress.values_mut() {
                 let idle = now.since(progress.last_sent);
@@ -92,14 +93,15 @@
                     progress.next = progress.matched.next().max(LogIndex(1));
                     progress.probing = true;
                 }
-                if idle >= Millis(wait.0 * SNAPSHOT_RESEND_FACTOR) + sending {
+                if idle >= Millis(wait.0 * SNAPSHOT_RESEND_FACTOR) + transfer_time {
                     progress.pending_snapshot = None;
                 }
             }
         }
     }
 
-    /// A leader that a majority no longer answers stands down, so that callers are not held by it.
+    /// Returns whether a majority of voters answered recently (check-quorum). A leader without a quorum steps down, so
+    /// that callers do not wait on it.
     pub(super) fn has_quorum_contact(&self, now: Timestamp) -> bool {
         let Role::Leader(state) = &self.role else { return false };
         let window = self.settings.election_timeout;
@@ -118,17 +120,17 @@
         answering.count() >= membership.majority()
     }
 
-    /// Sends new entries to those followers that wait for them.
+    /// Sends new entries to all followers that are neither being probed nor receiving a snapshot.
     pub(super) fn replicate(&mut self, now: Timestamp) {
         let last = self.log.last_index();
         let Role::Leader(state) = &self.role else { return };
-        let waiting: Vec<NodeId> = state
+        let ready: Vec<NodeId> = state
             .progress
             .iter()
             .filter(|(_, progress)| progress.next <= last && !progress.probing && progress.pending_snapshot.is_none())
             .map(|(node, _)| *node)
             .collect();
-        for node in waiting {
+        for node in ready {
             self.send_append(node, now);
         }
         self.advance_commit();
@@ -149,9 +151,9 @@
             self.send_snapshot(to, now);
             return;
         };
-        // A follower that does not answer gets heartbeats only; entries would be sent in vain.
-        let is_silent = progress.last_answer.is_none_or(|at| now.since(at) >= self.silence_limit());
-        let entries = if is_silent || progress.probing {
+        // Unresponsive followers are sent only heartbeats.
+        let is_unresponsive = progress.last_answer.is_none_or(|at| now.since(at) >= self.unresponsive_timeout());
+        let entries = if is_unresponsive || progress.probing {
             Vec::new()
         } else {
             self.log.entries_from(progress.next, self.settings.max_append_bytes)
@@ -192,7 +194,7 @@
         let last = self.log.last_index();
         let Role::Leader(state) = &mut self.role else { return };
         let Some(progress) = state.progress.get_mut(&from) else { return };
-        progress.follows_since = progress.follows_since.max(echo);
+        progress.last_acked_send = progress.last_acked_send.max(echo);
         if accepted {
             progress.accepted(index.min(last), now);
         } else {
@@ -206,12 +208,12 @@
         self.send_timeout_now_if_ready();
     }
 
-    /// Commits what a majority of voters holds, but only through an entry of the leader's own term
-    /// (Raft, section 5.4.2).
+    /// Advances the commit index to the highest index stored on a majority of voters, but only if that entry is of the
+    /// current term (Raft, section 5.4.2).
     pub(super) fn advance_commit(&mut self) {
         let Role::Leader(state) = &self.role else { return };
         let membership = self.log.membership();
-        let mut held: Vec<LogIndex> = membership
+        let mut match_indexes: Vec<LogIndex> = membership
             .voters
             .iter()
             .map(|voter| {
@@ -222,16 +224,16 @@
                 }
             })
             .collect();
-        held.sort_unstable_by(|left, right| right.cmp(left));
-        let Some(majority) = held.get(membership.majority().saturating_sub(1)).copied() else { return };
+        match_indexes.sort_unstable_by(|left, right| right.cmp(left));
+        let Some(majority) = match_indexes.get(membership.majority().saturating_sub(1)).copied() else { return };
         if majority > self.commit && self.log.term_at(majority) == Some(self.hard_state.term) {
             self.commit = majority;
-            self.stand_down_if_removed();
+            self.step_down_if_removed();
         }
     }
 
-    /// A leader that has committed its own removal leads no longer.
-    pub(super) fn stand_down_if_removed(&mut self) {
+    /// Steps down if this leader has committed its own removal.
+    pub(super) fn step_down_if_removed(&mut self) {
         let removed = !self.log.membership().voters.contains(&self.id);
         if removed && self.commit >= self.log.membership_index() {
             self.role = Role::Follower { leader: None };
--- a/crates/core/src/replication/log.rs
+++ b/crates/core/src/replication/log.rs
@@ -1,4 +1,4 @@
-//! The log of one replica in memory: a snapshot and the entries that follow it.
+//! The in-memory log of one replica: a snapshot and the entries that follow it.
 
 use std::sync::Arc;
 
@@ -7,104 +7,103 @@
 use super::membership::GroupMembership;
 use crate::identity::NodeId;
 
-/// The number of a leader's reign. Grows; at most one leader per term.
+/// A Raft term. Increases monotonically; each term has at most one leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
-/// A place in the log. The first entry has index 1.
+/// A position in the log. The first entry has index 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogIndex(pub u64);
 
 impl LogIndex {
-    /// The place after this one.
+    /// Returns the following index.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// The place before this one; the first place has none before it and stays.
+    /// Returns the preceding index, saturating at 0.
     pub fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 }
 
-/// What an entry carries.
+/// The payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// Nothing: a new leader's first entry.
+    /// No payload. A new leader appends such an entry to commit the entries of earlier terms.
     Empty,
-    /// A command of the partition's state machine, encoded.
+    /// An encoded command for the state machine.
     Command(Arc<[u8]>),
-    /// The group's membership from this entry on.
+    /// The group's membership, in effect from this entry on.
     Membership(GroupMembership),
 }
 
-/// One entry of the log.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The leader's term when the entry was made.
+    /// The term of the leader that created the entry.
     pub term: Term,
-    /// The entry's place.
+    /// The entry's position in the log.
     pub index: LogIndex,
-    /// What it carries.
+    /// The entry's content.
     pub payload: EntryPayload,
 }
 
-/// The state machine at one place in the log; stands in for all entries up to it.
+/// The state machine at one log index. Replaces all entries up to that index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that the snapshot covers.
+    /// The index of the last entry that the snapshot includes.
     pub index: LogIndex,
-    /// That entry's term.
+    /// The term of that entry.
     pub term: Term,
-    /// The membership at that entry.
+    /// The membership in effect at that entry.
     pub membership: GroupMembership,
     /// The encoded state machine.
     pub state: Arc<[u8]>,
 }
 
-/// What a replica must never forget between votes.
+/// The Raft state that must be durable before a replica sends any message that depends on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The latest term seen.
     pub term: Term,
-    /// Who got this replica's vote in that term.
+    /// The candidate that received this replica's vote in that term.
     pub voted_for: Option<NodeId>,
 }
 
-/// One atomic write to the disk.
+/// A set of changes that is written to disk atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogWrite {
     /// The new term and vote, if changed.
     pub hard_state: Option<HardState>,
-    /// The new snapshot, if any: entries up to its index may be dropped.
+    /// The new snapshot, if any. Entries up to its index may be deleted.
     pub snapshot: Option<Snapshot>,
-    /// Entries from this index on are dropped before `entries` are written.
+    /// Entries at and after this index are deleted before `entries` are appended.
     pub truncate_from: Option<LogIndex>,
-    /// Entries to write, in order.
+    /// Entries to append, in order.
     pub entries: Vec<Entry>,
 }
 
 impl LogWrite {
-    /// Whether there is nothing to write.
+    /// Returns whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
         self.hard_state.is_none() && self.snapshot.is_none() && self.truncate_from.is_none() && self.entries.is_empty()
     }
 }
 
-/// What a disk holds of one replica.
+/// The persistent state of one replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistedReplica {
-    /// Term and vote.
+    /// The current term and vote.
     pub hard_state: HardState,
     /// The latest snapshot.
     pub snapshot: Snapshot,
-    /// Entries after the snapshot, in order and without gaps.
+    /// The entries after the snapshot, in order and without gaps.
     pub entries: Vec<Entry>,
 }
 
 impl PersistedReplica {
-    /// Carries out a write. The simulation's disks and the tests use this; it is also the
-    /// specification for the store on a real disk.
+    /// Applies a write. Simulated disks and tests use this; on-disk stores must behave the same.
     pub fn write(&mut self, write: &LogWrite) {
         if let Some(hard_state) = write.hard_state {
             self.hard_state = hard_state;
@@ -120,7 +119,7 @@
     }
 }
 
-/// The log of one replica.
+/// The log of one replica: its latest snapshot and the entries after it.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicatedLog {
     snapshot: Snapshot,
@@ -129,53 +128,53 @@
 }
 
 impl ReplicatedLog {
-    /// Rebuilds the log from what the disk held.
+    /// Creates a log from persisted state.
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
         let bytes = entries.iter().map(entry_bytes).sum();
         Self { snapshot, entries, bytes }
     }
 
-    /// The latest snapshot.
+    /// Returns the latest snapshot.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// The last place in the log.
+    /// Returns the index of the last entry.
     pub fn last_index(&self) -> LogIndex {
         self.entries.last().map_or(self.snapshot.index, |entry| entry.index)
     }
 
-    /// The term of the last entry.
+    /// Returns the term of the last entry.
     pub fn last_term(&self) -> Term {
         self.entries.last().map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// Bytes of commands kept since the snapshot.
+    /// Returns the approximate size in bytes of the entries after the snapshot.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Whether commands of at least that many bytes follow `index`.
+    /// Returns whether the entries after `index` take up at least `bytes`.
     pub fn has_bytes_after(&self, index: LogIndex, bytes: usize) -> bool {
-        let mut found = 0;
+        let mut total = 0;
         let after = self.entries.iter().rev().take_while(|entry| entry.index > index);
-        after.map(entry_bytes).any(|more| {
-            found += more;
-            found >= bytes
+        after.map(entry_bytes).any(|size| {
+            total += size;
+            total >= bytes
         })
     }
 
-    /// Entries kept since the snapshot.
+    /// Returns the number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no entry follows the snapshot.
+    /// Returns whether no entry follows the snapshot.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The term at `index`, or `None` if the log doesn't hold that place.
+    /// Returns the term at `index`, or `None` if the index is compacted or past the end of the log.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -183,13 +182,13 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// The entry at `index`.
+    /// Returns the entry at `index`, or `None` if it is compacted or past the end of the log.
     pub fn entry(&self, index: LogIndex) -> Option<&Entry> {
         let offset = index.0.checked_sub(self.snapshot.index.0 + 1)?;
         self.entries.get(offset as usize)
     }
 
-    /// Entries from `from` on, up to `max_bytes` but at least one if there is any.
+    /// Returns entries starting at `from`, up to `max_bytes` but at least one if any exists.
     pub fn entries_from(&self, from: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let Some(offset) = from.0.checked_sub(self.snapshot.index.0 + 1) else {
             return Vec::new();
@@ -206,14 +205,14 @@
         taken
     }
 
-    /// Appends an entry, whose index must be the next.
+    /// Appends an entry, whose index must directly follow the last one.
     pub fn append(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last_index().next());
         self.bytes += entry_bytes(&entry);
         self.entries.push(entry);
     }
 
-    /// Drops all entries from `from` on.
+    /// Removes all entries at and after `from`.
     pub fn truncate_from(&mut self, from: LogIndex) {
         while self.entries.last().is_some_and(|entry| entry.index >= from) {
             if let Some(entry) = self.entries.pop() {
@@ -222,31 +221,32 @@
         }
     }
 
-    /// Replaces the entries up to the snapshot's index by the snapshot.
+    /// Replaces the entries up to the snapshot's index with the snapshot.
     pub fn compact(&mut self, snapshot: Snapshot) {
         self.entries.retain(|entry| entry.index > snapshot.index);
         self.bytes = self.entries.iter().map(entry_bytes).sum();
         self.snapshot = snapshot;
     }
 
-    /// Replaces the whole log by a snapshot from the leader.
+    /// Replaces the entire log with a snapshot received from the leader.
     pub fn restore(&mut self, snapshot: Snapshot) {
         self.entries.clear();
         self.bytes = 0;
         self.snapshot = snapshot;
     }
 
-    /// The latest membership in the log, committed or not: it is in force once appended.
+    /// Returns the latest membership in the log. A membership takes effect when appended, before it is committed.
     pub fn membership(&self) -> &GroupMembership {
         self.membership_entry().map_or(&self.snapshot.membership, |(_, membership)| membership)
     }
 
-    /// The place of the latest membership change, if it is still in the log.
+    /// Returns the index of the latest membership change, or the snapshot's index if no entry after it changes the
+    /// membership.
     pub fn membership_index(&self) -> LogIndex {
         self.membership_entry().map_or(self.snapshot.index, |(index, _)| index)
     }
 
-    /// The membership in force at `index`.
+    /// Returns the membership in effect at `index`.
     pub fn membership_at(&self, index: LogIndex) -> GroupMembership {
         let in_log = self.entries.iter().rev().filter(|entry| entry.index <= index);
         in_log
@@ -266,7 +266,7 @@
     }
 }
 
-/// A rough size of an entry in bytes, used for limits only.
+/// Returns the approximate size of an entry in bytes, which is used only for limits.
 fn entry_bytes(entry: &Entry) -> usize {
     const OVERHEAD: usize = 32;
     match &entry.payload {
--- a/crates/core/src/replication/membership.rs
+++ b/crates/core/src/replication/membership.rs
@@ -1,4 +1,4 @@
-//! Who belongs to a replica group.
+//! The membership of a replica group.
 
 use std::collections::BTreeSet;
 
@@ -6,49 +6,49 @@
 
 use crate::identity::NodeId;
 
-/// The members of a group. A change alters one member at a time, so that the majorities of the old
-/// and the new membership always overlap (Ongaro's thesis, section 4.1).
+/// The members of a group. Each change affects a single member, so that majorities of the old and the new membership
+/// always overlap (Ongaro's thesis, section 4.1).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupMembership {
     /// Replicas that vote and count toward a majority.
     pub voters: BTreeSet<NodeId>,
-    /// Replicas that receive the log but neither vote nor count.
+    /// Replicas that receive the log but neither vote nor count toward a majority.
     pub learners: BTreeSet<NodeId>,
 }
 
-/// A change of one member.
+/// A change of a single member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// Start to send the log to a new replica.
+    /// Adds a replica that receives the log without voting.
     AddLearner(NodeId),
-    /// Let a learner vote.
+    /// Turns a learner into a voter.
     Promote(NodeId),
-    /// Remove a voter or learner.
+    /// Removes a voter or learner.
     Remove(NodeId),
 }
 
 impl GroupMembership {
-    /// A group of voters only.
+    /// Creates a membership without learners.
     pub fn of_voters(voters: impl IntoIterator<Item = NodeId>) -> Self {
         Self { voters: voters.into_iter().collect(), learners: BTreeSet::new() }
     }
 
-    /// How many voters are a majority.
+    /// Returns the number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether `node` receives the log.
+    /// Returns whether `node` is a voter or a learner.
     pub fn contains(&self, node: NodeId) -> bool {
         self.voters.contains(&node) || self.learners.contains(&node)
     }
 
-    /// Every member, voters first.
+    /// Returns all members, voters first.
     pub fn members(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.voters.iter().chain(self.learners.iter()).copied()
     }
 
-    /// The membership after `change`.
+    /// Returns the membership that results from `change`.
     pub fn after(&self, change: MembershipChange) -> Self {
         let mut next = self.clone();
         match change {
--- a/crates/core/src/replication/message.rs
+++ b/crates/core/src/replication/message.rs
@@ -4,80 +4,81 @@
 use crate::identity::{GroupId, NodeId};
 use crate::time::Timestamp;
 
-/// What a message is for.
+/// The content of a replication message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// Would you vote for me? Changes nothing at the receiver.
+    /// Asks whether the receiver would vote for the sender. Does not change the receiver's state.
     PreVote {
-        /// The candidate's last place.
+        /// The index of the candidate's last entry.
         last_index: LogIndex,
-        /// The candidate's last term.
+        /// The term of the candidate's last entry.
         last_term: Term,
     },
-    /// Answer to a pre-vote.
+    /// The answer to a pre-vote request.
     PreVoteAnswer {
-        /// Whether the vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests the receiver's vote.
     Vote {
-        /// The candidate's last place.
+        /// The index of the candidate's last entry.
         last_index: LogIndex,
-        /// The candidate's last term.
+        /// The term of the candidate's last entry.
         last_term: Term,
-        /// The leader asked for this election, so the receiver's leader lease doesn't count.
+        /// Whether the election is part of a leadership transfer, so that the receiver ignores its leader lease.
         transfer: bool,
     },
-    /// Answer to a vote.
+    /// The answer to a vote request.
     VoteAnswer {
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Entries that follow a place, or none as a heartbeat.
+    /// Entries to append. A heartbeat has none.
     Append {
-        /// The place before the first entry.
+        /// The index before the first entry.
         previous_index: LogIndex,
-        /// The term at that place.
+        /// The term at that index.
         previous_term: Term,
-        /// How far the leader has committed.
+        /// The leader's commit index.
         commit: LogIndex,
-        /// When the leader sent this, by its own clock; the answer gives it back.
+        /// The time at which the leader sent this message, by the leader's clock. The answer echoes it.
         sent_at: Timestamp,
-        /// The entries.
+        /// The entries, in order and without gaps.
         entries: Vec<Entry>,
     },
-    /// Answer to an append or a snapshot.
+    /// The answer to an append or a snapshot.
     AppendAnswer {
-        /// Whether the entries fit the receiver's log.
+        /// Whether the entries were consistent with the receiver's log.
         accepted: bool,
-        /// If accepted, how far the receiver's log matches the leader's; else where to try next.
+        /// If accepted, the last index at which the receiver's log matches the leader's; otherwise the index to probe
+        /// next.
         index: LogIndex,
-        /// When the leader sent what is answered, by the leader's clock.
+        /// The `sent_at` of the answered append.
         echo: Option<Timestamp>,
     },
-    /// The whole state, for a receiver too far behind.
+    /// A snapshot, for a follower that needs entries which the leader has already compacted.
     InstallSnapshot(Snapshot),
-    /// Hold an election at once: the leader stops.
+    /// Asks the receiver to start an election immediately, as the last step of a leadership transfer.
     TimeoutNow,
 }
 
-/// One message between two replicas.
+/// A message between two replicas of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicationMessage {
-    /// The group it belongs to.
+    /// The group of both replicas.
     pub group: GroupId,
     /// The sender.
     pub from: NodeId,
     /// The receiver.
     pub to: NodeId,
-    /// The sender's term (for a pre-vote, the term it would take).
+    /// The sender's term. For a pre-vote, the term of the election that the sender would start.
     pub term: Term,
-    /// What it is for.
+    /// The content.
     pub kind: MessageKind,
 }
 
 impl MessageKind {
-    /// A short name, for figures.
+    /// Returns the name under which the message is counted in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::PreVote { .. } | Self::PreVoteAnswer { .. } | Self::Vote { .. } | Self::VoteAnswer { .. } => {
--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -1,15 +1,15 @@
 //! The replicated log of one group.
 //!
-//! The rules are those of Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus
-//! Algorithm", 2014), with pre-vote, check-quorum, leader transfer and membership changes of one
-//! member at a time (Ongaro's thesis, chapters 4 and 9). Three points are ours:
+//! Implements Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm",
+//! 2014) with pre-vote, check-quorum, leadership transfer and single-server membership changes
+//! (Ongaro's thesis, chapters 4 and 9). It differs from the papers in three points:
 //!
-//! * A replica is named by its disk. A blank disk is a new name, so a replica that lost its log can
-//!   never vote again as the one it was.
-//! * A proposal is acknowledged once every replica that answers has it on disk, and falls back to a
-//!   majority after a short wait. One disk lost right after an acknowledgement loses nothing.
-//! * Writes to disk are effects. A driver carries out all [`Persist`](ReplicaEffect::Persist) effects
-//!   before any later effect, so that nothing is said which the disk doesn't hold.
+//! * A replica's identity is stored on its disk. A blank disk gets a new identity, so a replica that
+//!   lost its log can never vote under its previous one.
+//! * A proposal is acknowledged once every responsive replica has persisted it, or after a short
+//!   timeout once a majority has. Losing one disk right after an acknowledgment loses no data.
+//! * Disk writes are effects. The caller completes each [`Persist`](ReplicaEffect::Persist) effect
+//!   before any later effect, so that no message refers to state that is not yet durable.
 
 mod compaction;
 mod election;
--- a/crates/core/src/replication/progress.rs
+++ b/crates/core/src/replication/progress.rs
@@ -1,44 +1,44 @@
-//! What a leader knows of one follower.
+//! The leader's view of a follower's replication progress.
 
 use super::log::LogIndex;
 use crate::time::Timestamp;
 
-/// What a leader knows of one follower.
+/// The leader's view of one follower.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
-    /// The follower's log is known to match the leader's up to here.
+    /// The highest index up to which the follower's log is known to match the leader's.
     pub matched: LogIndex,
-    /// The next entry to send.
+    /// The index of the next entry to send.
     pub next: LogIndex,
-    /// When the follower last answered in this term.
+    /// The time of the follower's last answer in this term.
     pub last_answer: Option<Timestamp>,
-    /// When the latest message that the follower answered was sent: it follows since then at least.
-    pub follows_since: Option<Timestamp>,
-    /// When entries or a snapshot were last sent.
+    /// The send time of the latest answered message. The follower's promise not to elect another leader starts no
+    /// earlier than this.
+    pub last_acked_send: Option<Timestamp>,
+    /// The time at which entries or a snapshot were last sent.
     pub last_sent: Timestamp,
-    /// Where the follower's log ends or parts from the leader's is not known: appends carry no entries
-    /// and `next` stays, until one is accepted. Entries sent meanwhile would all be refused, and the
-    /// refusals of several appends under way would move `next` to and fro without end.
+    /// Whether the point up to which the logs match is unknown. While probing, appends carry no entries and do not
+    /// advance `next`. Otherwise the rejections of several appends in flight would keep moving `next` back and forth.
     pub probing: bool,
-    /// A snapshot up to here is on its way.
+    /// The index of the snapshot in transit to the follower, if any.
     pub pending_snapshot: Option<LogIndex>,
 }
 
 impl Progress {
-    /// A follower of which nothing is known yet.
+    /// Creates the state for a follower whose log is unknown. Probing starts at `next`.
     pub fn new(next: LogIndex, now: Timestamp) -> Self {
         Self {
             matched: LogIndex(0),
             next,
             last_answer: None,
-            follows_since: None,
+            last_acked_send: None,
             last_sent: now,
             probing: true,
             pending_snapshot: None,
         }
     }
 
-    /// Notes that the follower's log matches up to `index`.
+    /// Records that the follower's log matches up to `index`.
     pub fn accepted(&mut self, index: LogIndex, now: Timestamp) {
         self.last_answer = Some(now);
         if self.probing {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Notes that the follower's log doesn't fit at `next`, and where to try again.
+    /// Records that the follower rejected an append. Probing resumes after `hint`, but never at or below `matched`.
     pub fn rejected(&mut self, hint: LogIndex, now: Timestamp) {
         self.last_answer = Some(now);
         self.probing = true;
--- a/crates/core/src/replication/repair.rs
+++ b/crates/core/src/replication/repair.rs
@@ -1,7 +1,7 @@
-//! The repair of a group by its leader: a member that is gone is replaced by a spare node.
+//! Plans the repair of a group by its leader: replaces lost members with other storage nodes.
 //!
-//! One member changes at a time. A new replica learns first, then votes; only then is the lost one
-//! removed, so that the group never counts fewer copies than it has.
+//! Members change one at a time. The replacement is added as a learner and promoted once caught up; only then is the
+//! lost member removed, so that the repair never reduces the number of replicas.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,51 +11,52 @@
 use crate::identity::{GroupId, NodeId};
 use crate::time::Millis;
 
-/// How long a member is gone before it is replaced.
+/// Time that a member must be unreachable before it is replaced.
 pub const REPAIR_DELAY: Millis = Millis(10_000);
 
-/// A node that could hold a replica.
+/// A storage node that can host a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreCandidate {
-    /// The node.
+    /// The node's identity.
     pub node: NodeId,
-    /// Its zone.
+    /// The zone in which the node runs.
     pub zone: Arc<str>,
 }
 
-/// What the leader knows of one member.
+/// The leader's view of one member's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaHealth {
     /// The member.
     pub node: NodeId,
-    /// It is gone for longer than the delay.
+    /// Whether the member has been unreachable for longer than the repair delay.
     pub is_lost: bool,
-    /// Its log is nearly whole.
+    /// Whether the member's log is complete enough for promotion to voter.
     pub is_caught_up: bool,
 }
 
-/// What the plan goes by.
+/// The state on which a repair plan is based.
 #[derive(Clone, Debug)]
 pub struct RepairInput<'a> {
-    /// The group.
+    /// The group to repair.
     pub group: GroupId,
-    /// Its leader, which makes the plan.
+    /// The group's leader, which makes the plan. It is never removed as surplus.
     pub leader: NodeId,
-    /// Its membership.
+    /// The group's current membership.
     pub membership: &'a GroupMembership,
-    /// How many voters it should have.
+    /// The number of voters that the group should have.
     pub target_voters: usize,
-    /// What is known of its members.
+    /// The health of the members.
     pub health: &'a [ReplicaHealth],
-    /// All nodes that store and are present, members included.
+    /// All storage nodes that are available, including current members.
     pub candidates: &'a [StoreCandidate],
 }
 
-/// The next step of a repair.
+/// A membership change that brings the group closer to its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RepairStep(pub MembershipChange);
 
-/// The next step toward a group of enough members that are all there, if one is due.
+/// Returns the next step toward a group with the target number of healthy voters, or `None` if no step is needed or
+/// possible.
 pub fn plan_repair(input: &RepairInput<'_>) -> Option<RepairStep> {
     let lost: BTreeSet<NodeId> =
         input.health.iter().filter(|health| health.is_lost).map(|health| health.node).collect();
@@ -65,34 +66,34 @@
     if let Some(step) = promote_caught_up(input) {
         return Some(step);
     }
-    let sound = input.membership.voters.iter().filter(|voter| !lost.contains(voter)).count();
+    let healthy = input.membership.voters.iter().filter(|voter| !lost.contains(voter)).count();
     let lost_voter = input.membership.voters.iter().find(|voter| lost.contains(voter));
     if let Some(voter) = lost_voter
-        && sound >= input.target_voters
+        && healthy >= input.target_voters
     {
         return Some(RepairStep(MembershipChange::Remove(*voter)));
     }
-    if sound > input.target_voters {
-        return choose_surplus(input).map(|node| RepairStep(MembershipChange::Remove(node)));
+    if healthy > input.target_voters {
+        return choose_voter_to_remove(input).map(|node| RepairStep(MembershipChange::Remove(node)));
     }
-    if sound < input.target_voters && input.membership.learners.is_empty() {
-        return choose_spare(input, &lost).map(|node| RepairStep(MembershipChange::AddLearner(node)));
+    if healthy < input.target_voters && input.membership.learners.is_empty() {
+        return choose_new_member(input, &lost).map(|node| RepairStep(MembershipChange::AddLearner(node)));
     }
     None
 }
 
-/// A member that came back after it was replaced is one too many: the voter to let go is one that
-/// shares its zone with another, and among those the last in the order of rendezvous hashing.
-fn choose_surplus(input: &RepairInput<'_>) -> Option<NodeId> {
+/// Chooses the voter to remove when a replaced member has rejoined and the group has too many. Prefers voters that
+/// share their zone with another one, and among those the lowest-ranked by rendezvous hashing.
+fn choose_voter_to_remove(input: &RepairInput<'_>) -> Option<NodeId> {
     let voters: Vec<&StoreCandidate> = rank_candidates(input.candidates, input.group)
         .into_iter()
         .filter(|candidate| input.membership.voters.contains(&candidate.node))
         .collect();
     let shares_zone =
         |candidate: &&&StoreCandidate| voters.iter().filter(|other| other.zone == candidate.zone).count() > 1;
-    let may_go = |candidate: &&&StoreCandidate| candidate.node != input.leader;
-    let last_in_shared_zone = voters.iter().rev().filter(may_go).find(shares_zone);
-    last_in_shared_zone.or_else(|| voters.iter().rev().find(may_go)).map(|candidate| candidate.node)
+    let is_removable = |candidate: &&&StoreCandidate| candidate.node != input.leader;
+    let last_in_shared_zone = voters.iter().rev().filter(is_removable).find(shares_zone);
+    last_in_shared_zone.or_else(|| voters.iter().rev().find(is_removable)).map(|candidate| candidate.node)
 }
 
 fn promote_caught_up(input: &RepairInput<'_>) -> Option<RepairStep> {
@@ -103,23 +104,23 @@
     Some(RepairStep(MembershipChange::Promote(*learner)))
 }
 
-/// A present node outside the group; one in a zone that has no sound member goes first.
-fn choose_spare(input: &RepairInput<'_>, lost: &BTreeSet<NodeId>) -> Option<NodeId> {
+/// Chooses a node to add to the group. Prefers nodes in zones without a healthy member.
+fn choose_new_member(input: &RepairInput<'_>, lost: &BTreeSet<NodeId>) -> Option<NodeId> {
     let zones: BTreeSet<&str> = input
         .candidates
         .iter()
         .filter(|candidate| input.membership.contains(candidate.node) && !lost.contains(&candidate.node))
         .map(|candidate| &*candidate.zone)
         .collect();
-    let spares: Vec<&StoreCandidate> = rank_candidates(input.candidates, input.group)
+    let non_members: Vec<&StoreCandidate> = rank_candidates(input.candidates, input.group)
         .into_iter()
         .filter(|candidate| !input.membership.contains(candidate.node))
         .collect();
-    let in_new_zone = spares.iter().find(|spare| !zones.contains(&*spare.zone));
-    in_new_zone.or_else(|| spares.first()).map(|spare| spare.node)
+    let in_new_zone = non_members.iter().find(|non_member| !zones.contains(&*non_member.zone));
+    in_new_zone.or_else(|| non_members.first()).map(|non_member| non_member.node)
 }
 
-/// Candidates for a group in the order of rendezvous hashing.
+/// Returns the candidates for a group ordered by rendezvous hashing, best first.
 pub(crate) fn rank_candidates(candidates: &[StoreCandidate], group: GroupId) -> Vec<&StoreCandidate> {
     let key = hash_parts(&[b"group", &group.0.to_le_bytes()]);
     rendezvous(key, candidates.iter(), |candidate| candidate.node.0, candidates.len())
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -1,4 +1,4 @@
-//! One replica of one group: elections, replication and commitment.
+//! The state and public interface of one replica of a group.
 
 use std::sync::Arc;
 
@@ -12,18 +12,19 @@
 use crate::identity::{GroupId, NodeId};
 use crate::time::{Millis, Timestamp};
 
-/// Times and limits of a replica.
+/// Timeouts and limits of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaSettings {
-    /// Time between a leader's heartbeats.
+    /// The interval between a leader's heartbeats.
     pub heartbeat_interval: Millis,
-    /// A follower waits at least this long for its leader, and at most twice as long.
+    /// The minimum time without contact to a leader before a replica campaigns. The actual timeout is random, up to
+    /// twice this value.
     pub election_timeout: Millis,
-    /// Most bytes of entries in one append.
+    /// Maximum size in bytes of the entries in one append message. A single larger entry is still sent.
     pub max_append_bytes: usize,
-    /// Most entries that a leader holds uncommitted; further proposals are refused.
+    /// Maximum number of uncommitted entries. A leader at the limit refuses proposals.
     pub max_uncommitted_entries: u64,
-    /// How long an acknowledgement waits for replicas beyond the majority.
+    /// Maximum time that an acknowledgment waits for responsive replicas beyond the majority.
     pub full_ack_timeout: Millis,
 }
 
@@ -39,27 +40,30 @@
     }
 }
 
-/// What a driver must do for a replica, in order.
+/// An action that the caller must carry out for a replica. Effects are executed in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplicaEffect {
-    /// Write to disk, durably, before anything after it.
+    /// Write to disk. The write must be durable before any later effect is executed.
     Persist(LogWrite),
-    /// Send to another replica.
+    /// Send a message to another replica.
     Send(ReplicationMessage),
-    /// The state machine must be replaced by the snapshot's.
+    /// Replace the state machine with the snapshot's state.
     Restore(Snapshot),
 }
 
-/// Why a proposal was not taken. Nothing was appended.
+/// The reason why a proposal was refused. Nothing was appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalError {
-    /// Another replica leads, if known.
+    /// This replica is not the leader. Contains the leader, if known.
     NotLeader(Option<NodeId>),
-    /// Too much is uncommitted, or leadership is being handed over.
+    /// Too many entries are uncommitted, leadership is being transferred, or the membership cannot be changed now.
     Busy,
 }
 
-/// One replica of one group.
+/// A Raft replica of one group.
+///
+/// Methods that change the replica queue [`ReplicaEffect`]s, which the caller collects with
+/// [`take_effects`](Self::take_effects).
 pub struct Replica {
     pub(super) group: GroupId,
     pub(super) id: NodeId,
@@ -78,7 +82,7 @@
 }
 
 impl Replica {
-    /// Starts a replica from what its disk holds. `seed` decides its election timeouts.
+    /// Creates a replica from its persisted state. `seed` determines the random election timeouts.
     pub fn new(
         group: GroupId,
         id: NodeId,
@@ -99,7 +103,7 @@
             applied: start,
             role: Role::Follower { leader: None },
             election_deadline: now,
-            // A restarted replica may have answered a leader just before, whose read lease still runs.
+            // Just before the restart, this replica may have answered a leader whose read lease is still valid.
             last_leader_contact: was_in_use.then_some(now),
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             write: LogWrite::default(),
@@ -110,13 +114,15 @@
         replica
     }
 
-    /// Gives a replica that holds nothing its first membership, as the first entry of its log. Only the
-    /// founding record of the group may be the source: it was accepted by one compare-and-swap, so all
-    /// founders get the same entry, and it counts as committed. A founder that hears from the leader
-    /// before it has read the record gets the entry from there.
+    /// Initializes an empty replica with the group's first membership as log entry 1. Has no effect on a replica that
+    /// already has entries.
     ///
-    /// One founder, another for each group, stands for election at once, so that a new fleet need not
-    /// wait for a time-out and leadership starts out spread.
+    /// `membership` must come from the group's founding record. The record is created by a single compare-and-swap, so
+    /// all founders append an identical entry, which therefore counts as committed. A founder that hears from the
+    /// leader before it reads the record receives the entry by replication.
+    ///
+    /// One founder, selected by the group's number, campaigns after one heartbeat interval. A new group thus elects a
+    /// leader without waiting for an election timeout, and the leaders of different groups are spread over the nodes.
     pub fn bootstrap(&mut self, membership: GroupMembership, now: Timestamp) {
         if self.log.last_index() > LogIndex(0) || membership.voters.is_empty() {
             return;
@@ -133,12 +139,12 @@
         self.flush();
     }
 
-    /// Takes the effects gathered so far.
+    /// Takes the queued effects.
     pub fn take_effects(&mut self) -> Vec<ReplicaEffect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// The next committed entry that the state machine has not seen.
+    /// Returns the next committed entry that has not been applied, and marks it as applied.
     pub fn next_committed(&mut self) -> Option<Entry> {
         if self.applied >= self.commit {
             return None;
@@ -148,7 +154,7 @@
         Some(entry)
     }
 
-    /// Lets time pass.
+    /// Handles the passage of time: heartbeats and resends on a leader, elections on other replicas.
     pub fn tick(&mut self, now: Timestamp) {
         if self.is_leader() {
             self.tick_leader(now);
@@ -158,7 +164,11 @@
         self.flush();
     }
 
-    /// Proposes a command. The entry's place tells the caller when it is applied.
+    /// Proposes a command. Returns the index of its entry, by which the caller recognizes it when it is applied.
+    ///
+    /// # Errors
+    ///
+    /// [`ProposalError`]: this replica is not the leader or cannot accept proposals now.
     pub fn propose(&mut self, command: Arc<[u8]>, now: Timestamp) -> Result<LogIndex, ProposalError> {
         self.check_proposal()?;
         let index = self.append_as_leader(EntryPayload::Command(command));
@@ -167,7 +177,12 @@
         Ok(index)
     }
 
-    /// Proposes a change of one member. Refused while an earlier change is uncommitted.
+    /// Proposes a change of one member. Returns the index of its entry.
+    ///
+    /// # Errors
+    ///
+    /// [`ProposalError`]: this replica is not the leader, an earlier change is uncommitted, or the change has no effect
+    /// or would remove the last voter.
     pub fn propose_membership(&mut self, change: MembershipChange, now: Timestamp) -> Result<LogIndex, ProposalError> {
         self.check_proposal()?;
         if !self.is_established_leader() || self.log.membership_index() > self.commit {
@@ -184,7 +199,8 @@
         Ok(index)
     }
 
-    /// Hands leadership to `target` once its log is whole. Proposals are refused meanwhile.
+    /// Starts a leadership transfer to `target`, which takes over once its log is complete. Proposals are refused while
+    /// the transfer is pending. If it times out, this replica steps down.
     pub fn transfer_leadership(&mut self, target: NodeId, now: Timestamp) {
         let deadline = now + self.settings.election_timeout;
         let is_voter = self.log.membership().voters.contains(&target);
@@ -199,9 +215,11 @@
         self.flush();
     }
 
-    /// Goes on as the only voter of a group of two whose other member is lost. The caller must hold the
-    /// proof that the other member never goes on: both commit only together, so this log holds all that
-    /// was committed.
+    /// Makes this replica the leader and only voter of a group of two whose other voter is lost. Returns false
+    /// and does nothing unless the group has exactly two voters and this replica is one of them.
+    ///
+    /// The caller must ensure that the other voter never does the same. No committed entry is lost, because both voters
+    /// were needed for each commit.
     pub fn become_sole_voter(&mut self, now: Timestamp) -> bool {
         let voters = &self.log.membership().voters;
         if voters.len() != 2 || !voters.contains(&self.id) {
@@ -240,7 +258,7 @@
         self.messages.push(ReplicationMessage { group: self.group, from: self.id, to, term, kind });
     }
 
-    /// Turns what one call gathered into effects: the write first, then the messages that rely on it.
+    /// Queues the pending write and messages as effects. The write comes first because the messages depend on it.
     pub(super) fn flush(&mut self) {
         if !self.write.is_empty() {
             self.effects.push(ReplicaEffect::Persist(std::mem::take(&mut self.write)));
--- a/crates/core/src/replication/role.rs
+++ b/crates/core/src/replication/role.rs
@@ -1,4 +1,4 @@
-//! What a replica is in its term, and what a leader keeps.
+//! The role of a replica in the current term, and the state that a leader maintains.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,29 +7,29 @@
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-/// What a replica is in its term.
+/// The role of a replica in the current term.
 #[derive(Clone, Debug)]
 pub enum Role {
-    /// Follows a leader, if known.
+    /// The replica accepts entries from the leader.
     Follower {
-        /// The leader of this term.
+        /// The leader of this term, if known.
         leader: Option<NodeId>,
     },
-    /// Asks whether it would win an election.
+    /// The replica is finding out whether it would win an election.
     PreCandidate {
-        /// Who would vote for it.
+        /// The voters that would vote for this replica, including itself.
         votes: BTreeSet<NodeId>,
     },
-    /// Stands for election.
+    /// The replica is running for election.
     Candidate {
-        /// Who voted for it.
+        /// The voters that voted for this replica, including itself.
         votes: BTreeSet<NodeId>,
     },
-    /// Leads.
+    /// The replica is the leader of this term.
     Leader(LeaderState),
 }
 
-/// What a leader keeps.
+/// State that a replica maintains only while it leads.
 #[derive(Clone, Debug)]
 pub struct LeaderState {
     pub(super) progress: BTreeMap<NodeId, Progress>,
@@ -39,7 +39,7 @@
     pub(super) transfer: Option<Transfer>,
 }
 
-/// A hand-over of leadership under way.
+/// A leadership transfer in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Transfer {
     pub(super) target: NodeId,
--- a/crates/core/src/replication/status.rs
+++ b/crates/core/src/replication/status.rs
@@ -1,4 +1,4 @@
-//! What a replica says of itself: whether it leads, whether it may answer reads, how far its group is.
+//! Accessors for the state of a replica: leadership, read lease and replication progress.
 
 use super::log::{LogIndex, ReplicatedLog, Term};
 use super::membership::GroupMembership;
@@ -8,26 +8,27 @@
 use crate::identity::{GroupId, NodeId};
 use crate::time::{Millis, Timestamp};
 
-/// A leader's read lease, in percent of the time for which its followers keep to it.
+/// The read lease of a leader, in percent of the time for which its followers refuse to elect another one. Below 100 to
+/// allow for clock drift.
 const READ_LEASE_PERCENT: u64 = 80;
 
 impl Replica {
-    /// The replica's group.
+    /// Returns the replica's group.
     pub fn group(&self) -> GroupId {
         self.group
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// Whether this replica leads.
+    /// Returns whether this replica is the leader of the current term.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The leader of this term, if known.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<NodeId> {
         match &self.role {
             Role::Leader(_) => Some(self.id),
@@ -36,7 +37,8 @@
         }
     }
 
-    /// Whether this leader has committed an entry of its own term, and so knows all that is committed.
+    /// Returns whether this replica is a leader that has committed and applied an entry of its own term. Its state then
+    /// includes all entries committed in earlier terms.
     pub fn is_established_leader(&self) -> bool {
         match &self.role {
             Role::Leader(state) => self.commit >= state.first_index && self.applied >= state.first_index,
@@ -44,9 +46,12 @@
         }
     }
 
-    /// Whether this leader may answer reads from its state: it knows all that is committed, and a majority
-    /// followed it so recently that none of them can have helped to elect another leader since. The lease
-    /// counts from when the leader sent what they answered, and is shorter than they keep to it.
+    /// Returns whether this replica is an established leader with a valid read lease, so that it may answer reads from
+    /// its local state.
+    ///
+    /// The lease is valid while a majority followed this leader so recently that none of them can have helped to elect
+    /// another one. It starts at the send time of the messages that they answered, and is shorter than the time for
+    /// which they refuse votes.
     pub fn may_answer_reads(&self, now: Timestamp) -> bool {
         let Role::Leader(state) = &self.role else { return false };
         if state.transfer.is_some() || !self.is_established_leader() {
@@ -54,34 +59,34 @@
         }
         let lease = Millis(self.settings.election_timeout.0 * READ_LEASE_PERCENT / 100);
         let membership = self.log.membership();
-        let follows = |voter: &NodeId| {
-            let since = state.progress.get(voter).and_then(|progress| progress.follows_since);
+        let is_within_lease = |voter: &NodeId| {
+            let since = state.progress.get(voter).and_then(|progress| progress.last_acked_send);
             *voter == self.id || since.is_some_and(|at| now.since(at) < lease)
         };
-        membership.voters.iter().filter(|voter| follows(voter)).count() >= membership.majority()
+        membership.voters.iter().filter(|voter| is_within_lease(voter)).count() >= membership.majority()
     }
 
-    /// How far the group has committed, as known here.
+    /// Returns the highest index known to be committed.
     pub fn commit(&self) -> LogIndex {
         self.commit
     }
 
-    /// How far the state machine was fed.
+    /// Returns the index of the last entry handed to the state machine.
     pub fn applied(&self) -> LogIndex {
         self.applied
     }
 
-    /// The log.
+    /// Returns the log of this replica.
     pub fn log(&self) -> &ReplicatedLog {
         &self.log
     }
 
-    /// The membership in force.
+    /// Returns the membership in effect.
     pub fn membership(&self) -> &GroupMembership {
         self.log.membership()
     }
 
-    /// For a leader: what it knows of a follower.
+    /// Returns the replication progress of a follower, or `None` if this replica is not the leader.
     pub fn progress(&self, node: NodeId) -> Option<&Progress> {
         match &self.role {
             Role::Leader(state) => state.progress.get(&node),
@@ -89,17 +94,18 @@
         }
     }
 
-    /// Whether every voter that answers holds the log up to `index` on disk.
+    /// Returns whether every voter that answered recently has persisted the log up to `index`.
     pub fn is_on_all_responsive_voters(&self, index: LogIndex, now: Timestamp) -> bool {
         let Role::Leader(state) = &self.role else { return false };
         let window = Millis(self.settings.heartbeat_interval.0 * 3);
-        let answering = |progress: &Progress| progress.last_answer.is_some_and(|at| now.since(at) < window);
+        let is_responsive = |progress: &Progress| progress.last_answer.is_some_and(|at| now.since(at) < window);
         self.log.membership().voters.iter().filter(|voter| **voter != self.id).all(|voter| {
-            state.progress.get(voter).is_none_or(|progress| progress.matched >= index || !answering(progress))
+            state.progress.get(voter).is_none_or(|progress| progress.matched >= index || !is_responsive(progress))
         })
     }
 
-    /// Whether all voters, this one included, hold the log up to the applied place.
+    /// Returns whether all members, learners included, have the log up to the applied index. Always true on a replica
+    /// that is not the leader.
     pub fn all_members_caught_up(&self) -> bool {
         let Role::Leader(state) = &self.role else { return true };
         let others = self.log.membership().members().filter(|member| *member != self.id);
--- a/crates/core/src/replication/step.rs
+++ b/crates/core/src/replication/step.rs
@@ -1,11 +1,11 @@
-//! Messages of other replicas: which term they are of, and who deals with them.
+//! Handles messages from other replicas: checks the term and dispatches by kind.
 
 use super::message::{MessageKind, ReplicationMessage};
 use super::replica::Replica;
 use crate::time::Timestamp;
 
 impl Replica {
-    /// Takes a message from another replica.
+    /// Handles a message from another replica. Messages for another group or replica are ignored.
     pub fn step(&mut self, message: ReplicationMessage, now: Timestamp) {
         if message.group != self.group || message.to != self.id {
             return;
@@ -21,7 +21,7 @@
         self.flush();
     }
 
-    /// Moves to a message's higher term where the message warrants it. Returns whether to go on.
+    /// Adopts the higher term of a message where its kind requires it. Returns whether to process the message.
     fn adopt_term(&mut self, message: &ReplicationMessage, now: Timestamp) -> bool {
         match &message.kind {
             MessageKind::PreVote { .. } => true,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Answers a message of an earlier term where the sender must learn that it is behind.
+    /// Answers requests of an earlier term, so that the sender learns the current term.
     fn answer_stale(&mut self, message: &ReplicationMessage) {
         match message.kind {
             MessageKind::Append { .. } | MessageKind::InstallSnapshot(_) => {
--- a/crates/core/src/retry_budget.rs
+++ b/crates/core/src/retry_budget.rs
@@ -1,17 +1,17 @@
-//! A retry budget: keeps retries a small share of requests, so that they can't become a storm under overload.
+//! A retry budget: limits retries to a fraction of the requests, to prevent retry storms under overload.
 
-/// How a budget fills. All figures are in tokens; a retry costs one.
+/// The limits of a retry budget, in tokens. Each retry costs one token.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetLimits {
-    /// What each request pays in.
+    /// Tokens added by each request.
     pub deposit: f64,
-    /// The most that is saved up.
+    /// Maximum number of accumulated tokens.
     pub capacity: f64,
-    /// What there is at the start.
+    /// Tokens available at the start.
     pub initial: f64,
 }
 
-/// Retries that may be made now.
+/// A token bucket that is filled by requests and drained by retries.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     limits: RetryBudgetLimits,
@@ -19,27 +19,27 @@
 }
 
 impl RetryBudget {
-    /// A budget at its start.
+    /// Creates a budget with the initial number of tokens.
     pub const fn new(limits: RetryBudgetLimits) -> Self {
         Self { limits, tokens: limits.initial }
     }
 
-    /// A request came in.
+    /// Adds the tokens for one request.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.limits.deposit).min(self.limits.capacity);
     }
 
-    /// Whether a retry may be made.
+    /// Returns whether a retry is permitted.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// A retry was made, whether or not there was a token for it.
+    /// Removes a token for a retry that was made regardless of the budget. The budget does not become negative.
     pub fn withdraw(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
-    /// Takes a token for a retry. Returns false, and takes nothing, if there is none.
+    /// Removes a token for a retry. Returns false and removes nothing if no token is available.
     pub fn try_withdraw(&mut self) -> bool {
         let has_token = self.has_token();
         if has_token {
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,34 +1,34 @@
-//! Time as the decision code sees it: a monotonic count of milliseconds handed in by the driver.
+//! Timestamps and durations. This crate never reads a clock; callers pass in the current time.
 
 use std::ops::{Add, Sub};
 
 use serde::{Deserialize, Serialize};
 
-/// A point on the node's monotonic clock, in milliseconds since an arbitrary origin.
+/// A point in time on the node's monotonic clock, in milliseconds since an arbitrary origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(u64);
 
-/// A span of time in milliseconds.
+/// A duration in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Millis(pub u64);
 
-/// A point in civil time, in milliseconds since the Unix epoch. Deadlines given by callers use it, starts of workers, and what
-/// nodes share and keep beyond their own start.
+/// A wall-clock time, in milliseconds since the Unix epoch. Used for deadlines given by callers, start times of
+/// workers, and times that are persisted or exchanged between nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UnixMillis(pub u64);
 
 impl Timestamp {
-    /// Builds a timestamp from milliseconds since the clock's origin.
+    /// Creates a timestamp from milliseconds since the clock's origin.
     pub fn from_millis(millis: u64) -> Self {
         Self(millis)
     }
 
-    /// Milliseconds since the clock's origin.
+    /// Returns the milliseconds since the clock's origin.
     pub fn as_millis(self) -> u64 {
         self.0
     }
 
-    /// The time passed since `earlier`, or zero if `earlier` lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is in the future.
     pub fn since(self, earlier: Timestamp) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
