--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What is stored, against golden files: commands in the log, states in snapshots, and the records that nodes keep in
-//! the key-value service.
+//! Guards against incompatible changes of stored data, by comparing it with golden files: commands in the log, states
+//! in snapshots, and records in the key-value service.
 
 #[path = "support/golden.rs"]
 mod golden;
@@ -31,47 +31,47 @@
 use stallmoor_core::time::{Timestamp, UnixMillis};
 
 #[test]
-fn commands_of_the_job_table_are_logged_as_ever() {
+fn encoding_of_job_table_commands_is_stable() {
     check_bytes("job-commands.txt", &job_commands(), |command| command.encode().to_vec(), JobCommand::decode);
 }
 
 #[test]
-fn snapshots_of_the_job_table_are_as_ever() {
+fn encoding_of_job_table_snapshots_is_stable() {
     check_bytes("job-tables.txt", &job_tables(), |table| table.encode().to_vec(), JobTable::decode);
 }
 
 #[test]
-fn commands_of_a_partition_are_logged_as_ever() {
+fn encoding_of_partition_commands_is_stable() {
     check_bytes("partition-commands.txt", &partition_commands(), |command| command.encode().to_vec(), Command::decode);
 }
 
 #[test]
-fn snapshots_of_a_partition_are_as_ever() {
+fn encoding_of_partition_snapshots_is_stable() {
     check_bytes("partition-states.txt", &partition_states(), |state| state.encode().to_vec(), PartitionState::decode);
 }
 
-/// Checks a record's JSON both ways.
+/// Checks that each value serializes to the JSON in the golden file and deserializes from it.
 fn check_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, values: &[(&str, T)]) {
-    let json = |value: &T| serde_json::to_string(value).expect("it can be written");
-    let today: Vec<Row> = values.iter().map(|(name, value)| Row::new(name, &json(value))).collect();
-    for (row, (_, value)) in check_rows(file, &today).iter().zip(values) {
-        assert_eq!(&serde_json::from_str::<T>(&row.text).expect("it can be read"), value, "{file}: {}", row.name);
+    let json = |value: &T| serde_json::to_string(value).expect("the value should serialize");
+    let current: Vec<Row> = values.iter().map(|(name, value)| Row::new(name, &json(value))).collect();
+    for (row, (_, value)) in check_rows(file, &current).iter().zip(values) {
+        assert_eq!(&serde_json::from_str::<T>(&row.text).expect("valid JSON"), value, "{file}: {}", row.name);
     }
 }
 
 #[test]
-fn records_of_storing_nodes_are_as_ever() {
+fn json_of_storage_node_records_is_stable() {
     let record = |address: &str| StorageRecord {
         name: Arc::from("machine-a"),
         node: NodeId(u64::MAX),
-        address: address.parse().expect("an address"),
+        address: address.parse().expect("a valid address"),
         zone: Arc::from("zone-a"),
     };
     check_json("storage-records.txt", &[("v4", record("192.0.2.1:7100")), ("v6", record("[2001:db8::1]:7100"))]);
 }
 
 #[test]
-fn records_of_pairs_are_as_ever() {
+fn json_of_pair_records_is_stable() {
     let record = |state| PairRecord { index: LogIndex(12), voters: [NodeId(2), NodeId(u64::MAX)].into(), state };
     let values = [
         ("whole", record(PairState::Whole)),
@@ -82,19 +82,19 @@
 }
 
 #[test]
-fn lease_records_are_as_ever() {
+fn json_of_lease_records_is_stable() {
     let record = LeaseRecord { holder: NodeId(u64::MAX), epoch: 3, renewal: 41 };
     check_json("lease-records.txt", &[("held", record)]);
 }
 
 #[test]
-fn founding_records_of_groups_are_as_ever() {
+fn json_of_group_founding_records_is_stable() {
     let groups = vec![[NodeId(1), NodeId(2), NodeId(3)].into(), [NodeId(u64::MAX)].into()];
     check_json("groups-records.txt", &[("none", GroupsRecord::default()), ("two", GroupsRecord { groups })]);
 }
 
 #[test]
-fn manifests_are_as_ever() {
+fn json_of_manifests_is_stable() {
     let part = |name: &str, digest| PartReference { name: name.to_owned(), digest: PartDigest(digest) };
     let manifest = Manifest {
         revision: 7,
@@ -104,46 +104,46 @@
     check_json("manifests.txt", &[("none", Manifest::default()), ("two-parts", manifest)]);
 }
 
-/// The key-value service, with the first value that was written under each key.
+/// An in-memory key-value service that also records the first value written to each key.
 #[derive(Default)]
-struct Service {
+struct KeyValueService {
     first: BTreeMap<String, String>,
-    held: BTreeMap<String, (u64, String)>,
+    records: BTreeMap<String, (u64, String)>,
 }
 
-impl Service {
-    fn holding(rows: &[Row]) -> Self {
-        let held = rows.iter().map(|row| (row.name.clone(), (1, row.unescaped()))).collect();
-        Self { first: BTreeMap::new(), held }
+impl KeyValueService {
+    fn with_records(rows: &[Row]) -> Self {
+        let records = rows.iter().map(|row| (row.name.clone(), (1, row.unescaped()))).collect();
+        Self { first: BTreeMap::new(), records }
     }
 
     fn call(&mut self, operation: KeyValueOperation) -> KeyValueOutcome {
         match operation {
-            KeyValueOperation::Get { key } => match self.held.get(&key) {
+            KeyValueOperation::Get { key } => match self.records.get(&key) {
                 Some((version, value)) => KeyValueOutcome::Value { version: *version, value: Arc::from(&**value) },
                 None => KeyValueOutcome::NotFound,
             },
             KeyValueOperation::CompareAndSwap { key, expected, value } => {
-                if self.held.get(&key).map_or(0, |(version, _)| *version) != expected {
+                if self.records.get(&key).map_or(0, |(version, _)| *version) != expected {
                     return KeyValueOutcome::VersionMismatch;
                 }
                 self.first.entry(key.clone()).or_insert_with(|| value.clone());
-                self.held.insert(key, (expected + 1, value));
+                self.records.insert(key, (expected + 1, value));
                 KeyValueOutcome::Written
             }
         }
     }
 }
 
-/// A storing node that is alone, and the service that it calls.
-struct Lonely {
+/// A fleet of one storage node, with the key-value service that it calls.
+struct SingleNodeFleet {
     node: Node,
-    service: Service,
+    service: KeyValueService,
     now: u64,
 }
 
-impl Lonely {
-    fn start(service: Service) -> Self {
+impl SingleNodeFleet {
+    fn start(service: KeyValueService) -> Self {
         let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
         let settings = NodeSettings {
             stores: true,
@@ -184,19 +184,19 @@
 }
 
 #[test]
-fn keys_and_records_of_the_key_value_service_are_as_ever() {
-    let mut first = Lonely::start(Service::default());
+fn keys_and_records_in_the_key_value_service_are_stable() {
+    let mut first = SingleNodeFleet::start(KeyValueService::default());
     let apply = OperatorCall::Apply { id: ApplyId(11), bundle: bundle(), expected_revision: None };
     first.handle(Event::Call { caller: CallerId(1), call: CallerCall::Operator(apply) });
     first.run(20_000);
     let written: Vec<Row> = first.service.first.iter().map(|(key, value)| Row::new(key, value)).collect();
     let stored = check_rows("key-value-service.txt", &written);
 
-    let mut second = Lonely::start(Service::holding(&stored));
+    let mut second = SingleNodeFleet::start(KeyValueService::with_records(&stored));
     second.run(20_000);
-    assert_eq!(second.node.configuration_revision(), 1, "the stored configuration is read");
-    let founds = second.service.first.contains_key("groups");
-    assert!(!founds, "the stored founding is read");
-    let lease: LeaseRecord = serde_json::from_str(&second.service.held["control/lease"].1).expect("a lease");
-    assert!(lease.epoch > 1 || lease.renewal > 0, "the stored lease is read and followed");
+    assert_eq!(second.node.configuration_revision(), 1, "the stored configuration should be applied");
+    let writes_founding = second.service.first.contains_key("groups");
+    assert!(!writes_founding, "the stored founding record should be used");
+    let lease: LeaseRecord = serde_json::from_str(&second.service.records["control/lease"].1).expect("a lease record");
+    assert!(lease.epoch > 1 || lease.renewal > 0, "the stored lease should be continued");
 }
--- a/crates/core/tests/replicated_log.rs
+++ b/crates/core/tests/replicated_log.rs
@@ -1,6 +1,6 @@
-//! The replicated log under random schedules: messages delayed, lost, doubled and reordered, replicas
-//! restarted from their disks and paused. The oracle is the sequence of commands that any replica ever
-//! applied: all must apply the same, and what was acknowledged must stay.
+//! Replication under random schedules in which messages are delayed, lost, duplicated and reordered, and replicas are
+//! paused and restarted from their disks. Guards against replicas that apply different commands, two leaders in one
+//! term, and the loss of acknowledged commands.
 
 mod support;
 
@@ -21,28 +21,28 @@
 const FOUNDERS: u64 = 3;
 const GROUP: GroupId = GroupId(0);
 
-/// What may happen next.
+/// A random step of the schedule.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time passes for one replica.
+    /// Advances the clock and ticks one replica.
     Tick { replica: u64, millis: u64 },
-    /// One of the messages under way arrives, possibly twice.
+    /// Delivers a message in flight. If `twice` is set, the message also stays in flight.
     Deliver { message: usize, twice: bool },
-    /// Many messages arrive in order.
+    /// Delivers messages in order.
     DeliverMany { count: usize },
-    /// One of the messages under way is lost.
-    Lose { message: usize },
-    /// A replica restarts from its disk.
+    /// Drops a message in flight.
+    Drop { message: usize },
+    /// Restarts a replica from its disk.
     Restart { replica: u64 },
-    /// A command is proposed at a replica, which may not lead.
+    /// Proposes a command at a replica that is not necessarily the leader.
     Propose { replica: u64 },
-    /// A leader changes the membership.
+    /// Proposes a membership change at a replica that is not necessarily the leader.
     Change { replica: u64, target: u64, promote: bool },
-    /// A replica compacts its log.
+    /// Compacts the log of a replica.
     Compact { replica: u64 },
 }
 
-/// The schedule needs no state of its own.
+/// A reference model without state: the invariants are checked on the cluster itself.
 #[derive(Clone, Debug)]
 struct Schedule;
 
@@ -60,7 +60,7 @@
             8 => (replica.clone(), 20..900_u64).prop_map(|(replica, millis)| Step::Tick { replica, millis }),
             6 => (0..64_usize, prop::bool::weighted(0.1)).prop_map(|(message, twice)| Step::Deliver { message, twice }),
             10 => (1..40_usize).prop_map(|count| Step::DeliverMany { count }),
-            2 => (0..64_usize).prop_map(|message| Step::Lose { message }),
+            2 => (0..64_usize).prop_map(|message| Step::Drop { message }),
             1 => replica.clone().prop_map(|replica| Step::Restart { replica }),
             4 => replica.clone().prop_map(|replica| Step::Propose { replica }),
             1 => (replica.clone(), replica.clone(), any::<bool>())
@@ -85,10 +85,10 @@
     now: u64,
     members: BTreeMap<u64, Member>,
     messages: Vec<ReplicationMessage>,
-    /// What was applied at each place, by whoever was first.
+    /// The first command that any replica applied at each index.
     applied: BTreeMap<LogIndex, Arc<[u8]>>,
     leaders: BTreeMap<Term, NodeId>,
-    /// Places that a leader has committed, and so may have acknowledged.
+    /// The commands that a leader applied and may thus have acknowledged.
     acknowledged: BTreeMap<LogIndex, Arc<[u8]>>,
     proposed: u64,
     restarts: u64,
@@ -111,7 +111,7 @@
             if id <= FOUNDERS {
                 let founders = GroupMembership::of_voters((1..=FOUNDERS).map(NodeId));
                 let now = cluster.time();
-                cluster.act(id, |replica| replica.bootstrap(founders, now));
+                cluster.with_replica(id, |replica| replica.bootstrap(founders, now));
             }
         }
         cluster
@@ -129,7 +129,7 @@
         self.members.insert(id, Member { replica, disk, applied });
     }
 
-    fn act(&mut self, id: u64, action: impl FnOnce(&mut Replica)) {
+    fn with_replica(&mut self, id: u64, action: impl FnOnce(&mut Replica)) {
         let Some(member) = self.members.get_mut(&id) else { return };
         action(&mut member.replica);
         for effect in member.replica.take_effects() {
@@ -146,7 +146,7 @@
                     self.acknowledged.insert(entry.index, command.clone());
                 }
                 let first = self.applied.entry(entry.index).or_insert_with(|| command.clone());
-                assert_eq!(*first, command, "replica {id} applies another command at {:?}", entry.index);
+                assert_eq!(*first, command, "replica {id} applied a different command at {:?}", entry.index);
             }
         }
         if member.replica.is_leader() {
@@ -155,18 +155,18 @@
         }
     }
 
-    fn deliver(&mut self, place: usize, twice: bool) {
+    fn deliver(&mut self, position: usize, twice: bool) {
         if self.messages.is_empty() {
             return;
         }
-        let place = place % self.messages.len();
-        let message = if twice { self.messages[place].clone() } else { self.messages.remove(place) };
+        let position = position % self.messages.len();
+        let message = if twice { self.messages[position].clone() } else { self.messages.remove(position) };
         let now = self.time();
-        self.act(message.to.0, |replica| replica.step(message, now));
+        self.with_replica(message.to.0, |replica| replica.step(message, now));
     }
 }
 
-/// The state of this test's state machine is the list of commands, each preceded by its length.
+/// Decodes a snapshot, which is the concatenation of all applied commands of 8 bytes each.
 fn restore(state: &[u8]) -> Vec<Arc<[u8]>> {
     state.chunks_exact(8).map(Arc::from).collect()
 }
@@ -186,48 +186,48 @@
             Step::Tick { replica, millis } => {
                 cluster.now += millis;
                 let now = cluster.time();
-                cluster.act(replica, |replica| replica.tick(now));
+                cluster.with_replica(replica, |replica| replica.tick(now));
             }
             Step::Deliver { message, twice } => cluster.deliver(message, twice),
             Step::DeliverMany { count } => (0..count).for_each(|_| cluster.deliver(0, false)),
-            Step::Lose { message } => {
+            Step::Drop { message } => {
                 if !cluster.messages.is_empty() {
-                    let place = message % cluster.messages.len();
-                    cluster.messages.remove(place);
+                    let position = message % cluster.messages.len();
+                    cluster.messages.remove(position);
                 }
             }
             Step::Restart { replica } => {
                 let disk = cluster.members[&replica].disk.clone();
                 cluster.start(replica, disk);
-                cluster.act(replica, |_| {});
+                cluster.with_replica(replica, |_| {});
             }
             Step::Propose { replica } => {
                 cluster.proposed += 1;
                 let command: Arc<[u8]> = Arc::from(cluster.proposed.to_le_bytes().as_slice());
                 let now = cluster.time();
-                cluster.act(replica, |replica| {
-                    // A follower refuses, which is as good.
+                cluster.with_replica(replica, |replica| {
+                    // Followers refuse proposals.
                     let _ = replica.propose(command, now);
                 });
             }
             Step::Change { replica, target, promote } => {
                 let target = NodeId(target);
                 let now = cluster.time();
-                cluster.act(replica, |replica| {
+                cluster.with_replica(replica, |replica| {
                     let is_learner = replica.membership().learners.contains(&target);
                     let change = match (is_learner, promote) {
                         (true, true) => MembershipChange::Promote(target),
                         (_, false) if replica.membership().voters.len() > 2 => MembershipChange::Remove(target),
                         _ => MembershipChange::AddLearner(target),
                     };
-                    // A follower, or a leader with a change under way, refuses.
+                    // Followers and leaders with a pending change refuse proposals.
                     let _ = replica.propose_membership(change, now);
                 });
             }
             Step::Compact { replica } => {
                 let state: Vec<u8> =
                     cluster.members[&replica].applied.iter().flat_map(|command| command.to_vec()).collect();
-                cluster.act(replica, |replica| replica.compact(Arc::from(state)));
+                cluster.with_replica(replica, |replica| replica.compact(Arc::from(state)));
             }
         }
         cluster
@@ -244,8 +244,8 @@
             }
         }
         for (id, member) in &cluster.members {
-            let shared = &longest[..member.applied.len()];
-            assert_eq!(shared, &member.applied[..], "replica {id} has another history");
+            let prefix = &longest[..member.applied.len()];
+            assert_eq!(prefix, &member.applied[..], "replica {id} applied a different history");
         }
     }
 }
@@ -254,7 +254,7 @@
     #![proptest_config(support::fuzz_config())]
 
     #[test]
-    fn replicas_apply_one_history(sequential 1..400 => LogTest);
+    fn replicas_apply_identical_histories(sequential 1..400 => LogTest);
 }
 
 #[test]
@@ -264,17 +264,17 @@
         cluster.now += 50;
         let now = cluster.time();
         for id in 1..=FOUNDERS {
-            cluster.act(id, |replica| replica.tick(now));
+            cluster.with_replica(id, |replica| replica.tick(now));
         }
         for _ in 0..cluster.messages.len() {
             cluster.deliver(0, false);
         }
     }
     let leader = (1..=FOUNDERS).find(|id| cluster.members[id].replica.is_established_leader());
-    let leader = leader.expect("a leader is elected within ten seconds");
+    let leader = leader.expect("a leader should be elected within ten seconds");
     let now = cluster.time();
-    cluster.act(leader, |replica| {
-        replica.propose(Arc::from(7_u64.to_le_bytes().as_slice()), now).expect("a leader takes a proposal");
+    cluster.with_replica(leader, |replica| {
+        replica.propose(Arc::from(7_u64.to_le_bytes().as_slice()), now).expect("the leader should accept a proposal");
     });
     for _ in 0..200 {
         cluster.deliver(0, false);
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_snapshot_that_the_log_holds_keeps_the_tail() {
+fn installing_a_snapshot_covered_by_the_log_retains_later_entries() {
     let founders = GroupMembership::of_voters((1..=FOUNDERS).map(NodeId));
     let settings = ReplicaSettings { heartbeat_interval: Millis(100), ..ReplicaSettings::default() };
     let now = Timestamp::from_millis(10_000);
--- a/crates/core/tests/replication_rules.rs
+++ b/crates/core/tests/replication_rules.rs
@@ -1,4 +1,4 @@
-//! Single rules of replication and of a change of configuration, each by its own scenario.
+//! Scenarios for individual Raft safety rules, and for the conflict check of a configuration change.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 const GROUP: GroupId = GroupId(0);
 const SELF: NodeId = NodeId(1);
 
-/// One replica and its disk.
+/// A replica and its disk.
 struct Harness {
     replica: Replica,
     disk: PersistedReplica,
@@ -30,12 +30,12 @@
         Self { replica, disk, now }
     }
 
-    fn founded() -> Self {
+    fn bootstrapped() -> Self {
         let mut harness = Self::open(PersistedReplica::default());
         let founders = GroupMembership::of_voters([SELF, NodeId(2), NodeId(3)]);
         let now = harness.time();
         harness.replica.bootstrap(founders, now);
-        harness.drain();
+        harness.execute_effects();
         harness
     }
 
@@ -43,8 +43,8 @@
         Timestamp::from_millis(self.now)
     }
 
-    /// Carries out writes and returns the messages.
-    fn drain(&mut self) -> Vec<ReplicationMessage> {
+    /// Executes the queued writes and returns the messages.
+    fn execute_effects(&mut self) -> Vec<ReplicationMessage> {
         let mut messages = Vec::new();
         for effect in self.replica.take_effects() {
             match effect {
@@ -60,15 +60,15 @@
         let message = ReplicationMessage { group: GROUP, from: NodeId(from), to: SELF, term: Term(term), kind };
         let now = self.time();
         self.replica.step(message, now);
-        self.drain()
+        self.execute_effects()
     }
 
-    /// Waits for the time-out, and wins the election with the vote of replica 2.
+    /// Passes the election timeout and wins the election with the vote of replica 2.
     fn win_election(&mut self) {
         self.now += 10_000;
         let now = self.time();
         self.replica.tick(now);
-        self.drain();
+        self.execute_effects();
         let term = self.replica.term().0;
         self.step(2, term + 1, MessageKind::PreVoteAnswer { granted: true });
         self.step(2, term + 1, MessageKind::VoteAnswer { granted: true });
@@ -83,26 +83,29 @@
     }
 }
 
-fn asks_vote() -> MessageKind {
+fn vote_request() -> MessageKind {
     MessageKind::Vote { last_index: LogIndex(50), last_term: Term(4), transfer: false }
 }
 
-fn grants(messages: &[ReplicationMessage]) -> bool {
+fn grants_vote(messages: &[ReplicationMessage]) -> bool {
     messages.iter().any(|message| message.kind == MessageKind::VoteAnswer { granted: true })
 }
 
 #[test]
-fn a_vote_outlives_a_restart() {
-    let mut harness = Harness::founded();
-    assert!(grants(&harness.step(2, 5, asks_vote())));
+fn a_vote_survives_a_restart() {
+    let mut harness = Harness::bootstrapped();
+    assert!(grants_vote(&harness.step(2, 5, vote_request())));
     let mut restarted = Harness::open(harness.disk);
     restarted.now += 10_000;
-    assert!(!grants(&restarted.step(3, 5, asks_vote())), "two candidates must not get one term's vote");
-    assert!(grants(&restarted.step(2, 5, asks_vote())), "the same candidate may ask again");
+    assert!(
+        !grants_vote(&restarted.step(3, 5, vote_request())),
+        "two candidates must not receive votes in the same term"
+    );
+    assert!(grants_vote(&restarted.step(2, 5, vote_request())), "the same candidate may request the vote again");
 }
 
 #[test]
-fn an_entry_of_an_earlier_term_is_committed_only_through_one_of_the_leaders_own() {
+fn an_entry_of_an_earlier_term_is_committed_only_by_an_entry_of_the_current_term() {
     let founders = GroupMembership::of_voters([SELF, NodeId(2), NodeId(3)]);
     let entry = |index: u64, term: u64, payload| Entry { term: Term(term), index: LogIndex(index), payload };
     let disk = PersistedReplica {
@@ -116,14 +119,14 @@
     let mut harness = Harness::open(disk);
     harness.win_election();
     harness.acknowledge(2, 2);
-    assert!(harness.replica.commit() < LogIndex(2), "a majority holds it, but it may still be overwritten");
+    assert!(harness.replica.commit() < LogIndex(2), "storage on a majority does not commit it");
     harness.acknowledge(2, 3);
     assert_eq!(harness.replica.commit(), LogIndex(3));
 }
 
 #[test]
-fn a_second_change_of_membership_waits_for_the_first() {
-    let mut harness = Harness::founded();
+fn a_membership_change_is_refused_until_the_previous_one_is_committed() {
+    let mut harness = Harness::bootstrapped();
     harness.win_election();
     harness.acknowledge(2, 2);
     while harness.replica.next_committed().is_some() {}
@@ -139,18 +142,18 @@
 }
 
 #[test]
-fn a_leader_answers_reads_only_while_a_majority_follows_it() {
-    let mut harness = Harness::founded();
+fn a_leader_answers_reads_only_while_its_lease_is_valid() {
+    let mut harness = Harness::bootstrapped();
     harness.win_election();
     harness.acknowledge(2, 2);
     while harness.replica.next_committed().is_some() {}
     assert!(harness.replica.may_answer_reads(harness.time()));
     let paused = harness.time() + Millis(5_000);
-    assert!(!harness.replica.may_answer_reads(paused), "it woke from a pause and has not ticked yet");
+    assert!(!harness.replica.may_answer_reads(paused), "the lease must expire during a pause, before the next tick");
 }
 
 #[test]
-fn a_stale_read_is_not_called_a_conflict() {
+fn a_stale_manifest_read_is_not_reported_as_a_conflict() {
     let now = Timestamp::from_millis(1_000);
     let files = BTreeMap::from([("fleet.toml".to_owned(), Arc::from("[fleet]"))]);
     let mut change = ConfigurationApply::new(ApplyId(1), Bundle { files }, Some(5), now);
--- a/crates/core/tests/support/golden_values.rs
+++ b/crates/core/tests/support/golden_values.rs
@@ -1,6 +1,6 @@
-//! The values whose encodings the golden files hold: every kind of command, and states that hold something of all.
+//! The values that are encoded in golden files: every kind of command, and states that cover all their parts.
 
-// Each crate's tests use a part of this.
+// Each test crate uses only some of these functions.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -17,17 +17,17 @@
 use stallmoor_core::serving::jobs::table::JobTable;
 use stallmoor_core::time::{Millis, UnixMillis};
 
-/// A tenant.
+/// Returns the tenant of the test data.
 pub fn tenant() -> TenantName {
     TenantName::new("tenant-a")
 }
 
-/// A key of a job in the job table.
+/// Returns the key of a job in the job table.
 pub fn job_key(name: &str) -> JobKey {
     JobKey(Arc::from(name))
 }
 
-/// A job of two items of a tenant that has a limit.
+/// Returns a job with two items whose tenant has a limit on queued tokens.
 pub fn submission(key: &str) -> Submission {
     let header = ItemHeader { name: Arc::from("content-type"), value: Arc::from("application/json") };
     let item = |id: &str, token_count| JobItem {
@@ -50,7 +50,7 @@
     }
 }
 
-/// A job that is open to all, without limits.
+/// Returns a job without a tenant and limits.
 pub fn public_submission(key: &str) -> Submission {
     Submission { tenant: None, queued_token_limit: None, ..submission(key) }
 }
@@ -74,7 +74,7 @@
     ])
 }
 
-/// Every command of the job table.
+/// Returns every kind of job table command.
 pub fn job_commands() -> Vec<(&'static str, JobCommand)> {
     let logged = LoggedOutput { bytes: 5, last_event: Some(0) };
     let parts = vec![
@@ -96,7 +96,8 @@
     ]
 }
 
-/// Job tables: one without jobs, one with a job in every state where items failed, and one without those.
+/// Returns an empty job table, one with a job in every state and failed items, and one with the same jobs without
+/// failures.
 pub fn job_tables() -> Vec<(&'static str, JobTable)> {
     let none = LoggedOutput::default();
     let logged = LoggedOutput { bytes: 4, last_event: Some(9) };
@@ -123,12 +124,12 @@
     vec![("empty", JobTable::default()), ("jobs-with-failures", with_failures), ("jobs", table)]
 }
 
-/// A job of the partition's state.
+/// Returns the identifier of a job in a partition.
 pub fn job_id(hash: u64) -> JobId {
     JobId { group: GroupId(3), hash }
 }
 
-/// What a job of two items was submitted as.
+/// Returns the specification of a job with two items.
 pub fn specification(key: &str) -> JobSpecification {
     JobSpecification {
         tenant: Arc::from("tenant-a"),
@@ -142,7 +143,7 @@
     }
 }
 
-/// A result of an item.
+/// Returns the result of an item.
 pub fn item_result(verdict: ItemVerdict) -> ItemResult {
     ItemResult {
         attempt: AttemptId(0x0123_4567_89ab_cdef_0011_2233_4455_6677),
@@ -153,13 +154,13 @@
     }
 }
 
-/// A session's record.
+/// Returns the record of a session.
 pub fn session_record() -> SessionRecord {
     let (model, engine) = (Arc::from("model-a"), EngineName::new("engine-a"));
     SessionRecord { model, engine, generation: 1, placed_at: UnixMillis(1_700_000_000_400) }
 }
 
-/// What names that session.
+/// Returns the key of that session.
 pub fn session_key() -> SessionKey {
     SessionKey { tenant: Arc::from("tenant-a"), session: Arc::from("session-a") }
 }
@@ -199,7 +200,7 @@
     }
 }
 
-/// Every command of the partition's state.
+/// Returns every kind of partition command.
 pub fn partition_commands() -> Vec<(&'static str, Command)> {
     let rejected = ItemVerdict::Rejected(Arc::from("too long"));
     vec![
@@ -217,7 +218,7 @@
     ]
 }
 
-/// States of a partition: an empty one, and one with a job, a mark and a session in every state.
+/// Returns an empty partition state, and one with jobs and marks in every state and a session.
 pub fn partition_states() -> Vec<(&'static str, PartitionState)> {
     let rejected = ItemVerdict::Rejected(Arc::from("too long"));
     let accept = |hash| Command::AcceptJob { job: job_id(hash) };
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,14 +1,14 @@
-//! Shared by the stateful tests.
+//! Configuration shared by the stateful tests.
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// Cases of each stateful test unless `STALLMOOR_FUZZ_CASES` says otherwise.
+/// Number of cases per stateful test, unless set by `STALLMOOR_FUZZ_CASES`.
 const CASES: u32 = 400;
-/// The seed unless `STALLMOOR_FUZZ_SEED` says otherwise.
+/// Seed of the random cases, unless set by `STALLMOOR_FUZZ_SEED`.
 const SEED: u64 = 20_261_202;
 
-/// A configuration that gives the same cases on every run. For an open-ended run, set
-/// `STALLMOOR_FUZZ_CASES` to a large number and `STALLMOOR_FUZZ_SEED` to `random` or to a number.
+/// Returns a configuration that produces the same cases on every run. For longer or varying runs, set
+/// `STALLMOOR_FUZZ_CASES` to a larger number and `STALLMOOR_FUZZ_SEED` to a number or `random`.
 pub fn fuzz_config() -> Config {
     let variable = |name: &str| std::env::var(name).ok();
     let cases = variable("STALLMOOR_FUZZ_CASES").and_then(|cases| cases.parse().ok()).unwrap_or(CASES);
