--- a/crates/core/tests/replication_catch_up.rs
+++ b/crates/core/tests/replication_catch_up.rs
@@ -28,7 +28,8 @@
     EntryPayload::Command(Arc::from(vec![number as u8; 20_000]))
 }
 
-/// Returns a disk with the membership entry, entries of term 1 up to index `shared`, and `divergent` entries of `divergent_term`.
+/// Returns a disk with the membership entry, entries of term 1 up to index `shared`, and `divergent` entries of
+/// `divergent_term`.
 fn disk(shared: u64, divergent: u64, divergent_term: u64) -> PersistedReplica {
     let membership = GroupMembership::of_voters([NodeId(1), NodeId(2), NodeId(3)]);
     let mut entries = vec![Entry { term: Term(0), index: LogIndex(1), payload: EntryPayload::Membership(membership) }];
