--- a/crates/core/src/serving/leader/load_schedule.rs
+++ b/crates/core/src/serving/leader/load_schedule.rs
@@ -1,4 +1,4 @@
-//! The exchange of loads between gateways: with whom, how often, and what a missing answer means.
+//! The schedule of load exchanges: the peer, the interval, and the handling of missing answers.
 
 use crate::identity::NodeId;
 use crate::serving::jobs::directory::StorageDirectory;
@@ -6,32 +6,30 @@
 use crate::serving::workers::LoadReport;
 use crate::time::{Millis, Timestamp};
 
-/// An exchange without an answer counts as lost after this long, in milliseconds.
+/// How long to wait for the answer to an exchange.
 pub const EXCHANGE_TIMEOUT: Millis = Millis(250);
-/// The time between two exchanges while this node has no requests, in milliseconds: saves the leader's processor from
-/// gateways that have nothing to report.
+/// Interval between exchanges while this node has no load to report, which saves processor time on the leader.
 const IDLE_INTERVAL: Millis = Millis(600);
-/// An aggregator that gave no answer is avoided for this long at first, in milliseconds: saves the exchanges that one
-/// which is gone would lose.
-const AVOID_AGGREGATOR: Millis = Millis(1_000);
+/// How long an aggregator is avoided after the first missing answer. Doubles with each further one.
+const AGGREGATOR_BACKOFF: Millis = Millis(1_000);
 
-/// With whom loads are exchanged.
+/// The peer of a load exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadPartner {
     /// The job table's leader.
     Leader,
-    /// A storing node that gathers the loads of the zone's gateways.
+    /// A storage node that aggregates the loads of the zone's gateways.
     Aggregator(NodeId),
 }
 
-/// With whom this node exchanges loads next, and when.
+/// Determines the peer and the time of this node's next load exchange.
 ///
-/// A missing answer changes neither: the loads that were gathered age out, and the next exchange is made at the usual
-/// time. Only an aggregator that gave none is avoided for a while.
+/// If an answer is missing, the interval stays unchanged and the loads received earlier expire. An aggregator that did
+/// not answer is avoided for a while.
 #[derive(Clone, Debug)]
 pub struct LoadSchedule {
     aggregators: RelayChoice,
-    /// There are so many gateways that loads are gathered in each zone first.
+    /// Whether there are so many gateways that loads are first aggregated per zone.
     uses_zone_aggregators: bool,
     interval: Millis,
 }
@@ -44,8 +42,8 @@
 }
 
 impl LoadSchedule {
-    /// The partner of the next exchange: the leader, or, where there are many gateways, the first aggregator of the
-    /// zone's ranking that is not avoided.
+    /// Returns the peer of the next exchange: the leader or, if there are many gateways, the first aggregator in the
+    /// zone's ranking that is not being avoided.
     pub fn partner(&self, storage: &StorageDirectory, zone: &str, own: NodeId, now: Timestamp) -> LoadPartner {
         if !self.uses_zone_aggregators {
             return LoadPartner::Leader;
@@ -54,7 +52,7 @@
         aggregator.map_or(LoadPartner::Leader, LoadPartner::Aggregator)
     }
 
-    /// The partner answered with the loads of all other gateways.
+    /// Records an answer, which contains the loads of all other gateways.
     pub fn answered(&mut self, partner: LoadPartner, gathered: &LoadReport) {
         if let LoadPartner::Aggregator(aggregator) = partner {
             self.aggregators.answered(aggregator);
@@ -63,40 +61,40 @@
         self.interval = gathered.interval();
     }
 
-    /// The partner gave no answer, or a wrong one.
+    /// Records a missing or invalid answer.
     pub fn failed(&mut self, partner: LoadPartner, now: Timestamp) {
         if let LoadPartner::Aggregator(aggregator) = partner {
-            self.aggregators.failed(aggregator, AVOID_AGGREGATOR, now);
+            self.aggregators.failed(aggregator, AGGREGATOR_BACKOFF, now);
         }
     }
 
-    /// The wait before the next exchange, after one in which this node reported `own`.
+    /// Returns the delay before the next exchange, after one in which this node reported `own`.
     pub fn wait_after(&self, own: &LoadReport) -> Millis {
         if own.workers.is_empty() { IDLE_INTERVAL } else { self.interval }
     }
 }
 
-/// How fast this node places requests, smoothed: each sample counts as much as all before it.
+/// The rate at which this node sends requests to workers, smoothed by averaging each sample with the previous rate.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRate {
     placed: u64,
-    at: Timestamp,
+    sampled_at: Timestamp,
     per_s: u32,
 }
 
 impl PlacementRate {
-    /// The rate of a node that has placed nothing yet.
+    /// Creates the rate of a node that has not sent any requests.
     pub fn new(now: Timestamp) -> Self {
-        Self { placed: 0, at: now, per_s: 0 }
+        Self { placed: 0, sampled_at: now, per_s: 0 }
     }
 
-    /// Takes the count of requests placed so far. Returns requests in a second.
+    /// Updates the rate with the total number of requests sent so far. Returns requests per second.
     pub fn sample(&mut self, placed: u64, now: Timestamp) -> u32 {
-        let span = now.since(self.at).0.max(1);
+        let span = now.since(self.sampled_at).0.max(1);
         let per_s = (placed - self.placed) * 1_000 / span;
         self.per_s = (self.per_s + u32::try_from(per_s).unwrap_or(u32::MAX)).div_ceil(2);
         self.placed = placed;
-        self.at = now;
+        self.sampled_at = now;
         self.per_s
     }
 }
--- a/crates/core/src/serving/leader/mod.rs
+++ b/crates/core/src/serving/leader/mod.rs
@@ -1,13 +1,12 @@
-//! A gateway's dealings with the leader of the job table: which node is asked next, when it is given up, and how
-//! often and with whom loads are exchanged.
+//! How a gateway communicates with the leader of the job table: finding it, and scheduling load exchanges.
 //!
-//! Relies on the records of the storing nodes ([`super::jobs::directory`]) and on the ranking of relays
-//! ([`super::relay::choice`]); calls and waits are the driver's.
+//! Storage nodes come from [`super::jobs::directory`], and the ranking of aggregators from [`super::relay::choice`].
+//! The caller makes the calls and waits.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`search`] | the tries of one request until the leader answers or the time is over |
-//! | [`load_schedule`] | the exchange of loads: with whom, how often, and what a missing answer means |
+//! | [`search`] | attempts to deliver a request to the leader until it answers or the request times out |
+//! | [`load_schedule`] | the peer, the interval and the failures of load exchanges |
 
 pub mod load_schedule;
 pub mod search;
--- a/crates/core/src/serving/leader/search.rs
+++ b/crates/core/src/serving/leader/search.rs
@@ -1,4 +1,4 @@
-//! The tries of one request to the job table, until its leader answers or the time is over.
+//! Delivers a request to the leader of the job table, trying nodes until the leader answers or the request times out.
 
 use std::net::SocketAddr;
 
@@ -8,114 +8,112 @@
 use crate::serving::jobs::request::{JobsAnswer, JobsRequest};
 use crate::time::{Millis, Timestamp};
 
-/// Longest wait for one node's answer, in milliseconds, beyond what the request itself asks to wait: a silent node
-/// costs a request no more than this before the next one is tried.
-const TRY_TIMEOUT: Millis = Millis(900);
-/// The wait after a node that knows no leader, in milliseconds: a group that elects one isn't asked without rest.
+/// How long to wait for one node's answer, in addition to the wait that the request itself specifies.
+const ATTEMPT_TIMEOUT: Millis = Millis(900);
+/// Delay after trying a node that knows no leader, for example during an election.
 const NO_LEADER_WAIT: Millis = Millis(60);
-/// The wait after a connection that failed, in milliseconds: a machine that refuses connections isn't asked without
-/// rest.
-const LINK_FAILURE_WAIT: Millis = Millis(10);
+/// Delay after a failed connection, to avoid a busy loop when a machine refuses connections.
+const CONNECTION_FAILURE_WAIT: Millis = Millis(10);
 
-/// Redirects that a search follows without a wait: nodes whose word is old could send it to each other without end.
-const REDIRECTS_AT_ONCE: u32 = 4;
+/// Maximum number of redirects followed without a delay, since nodes with outdated state may redirect to each other.
+const MAX_IMMEDIATE_REDIRECTS: u32 = 4;
 
-/// Nobody answered in time.
+/// No leader answered before the timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoLeader {
-    /// The request may have reached a leader all the same.
+    /// Whether the request may still have reached a leader.
     pub may_have_arrived: bool,
 }
 
-/// The node to ask.
+/// The node to send the request to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderTarget {
-    /// The node.
+    /// The node's identity.
     pub node: NodeId,
-    /// Its address.
+    /// The node's address for peers.
     pub address: SocketAddr,
 }
 
 /// The next step of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SearchStep {
-    /// Ask a node.
+    /// Send the request to a node.
     Send {
-        /// Which.
+        /// The node to send it to.
         target: LeaderTarget,
-        /// How long its answer is waited for.
+        /// How long to wait for the answer.
         timeout: Millis,
     },
-    /// No storing node is known: wait.
+    /// Wait and ask for the next step again, since no storage node is known.
     Wait(Millis),
-    /// The time is over.
+    /// Stop, since the request timed out.
     TimedOut(NoLeader),
 }
 
-/// How a try ended.
+/// The outcome of sending the request to a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TryOutcome {
     /// The node answered.
     Answered(JobsAnswer),
-    /// The node refused.
+    /// The node did not accept the request, for example because it is not the leader.
     Refused(GroupRefusal),
     /// The request was not sent.
     NotSent,
-    /// The request may have arrived; there is no answer.
+    /// The request may have arrived, but there was no answer.
     NoAnswer,
 }
 
-/// What follows from a try.
+/// What to do after sending the request to a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SearchDecision {
-    /// The leader answered. It is the node that was asked.
+    /// Return the answer; the node that gave it is the leader.
     Done(JobsAnswer),
-    /// Try again.
+    /// Try another node.
     Retry {
-        /// Who leads, as far as the try showed.
+        /// The leader, if the node named one.
         leader: Option<NodeId>,
-        /// The wait before the next try.
+        /// Delay before the next attempt.
         wait: Millis,
     },
 }
 
-/// The search of one request for the leader.
+/// The search for the leader on behalf of one request.
 ///
-/// Invariant: a refusal says that nothing was taken by the try that it answers, and by no earlier one. So once a try
-/// may have reached a leader, an answer that says so becomes [`JobsAnswer::Indeterminate`].
+/// Invariant: a rejection only shows that the attempt that it answers had no effect. If an earlier attempt may have
+/// reached a leader, a rejection is therefore returned as [`JobsAnswer::Indeterminate`].
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderSearch {
     until: Timestamp,
-    /// What the request itself asks to wait.
-    hold: Millis,
-    /// Tries so far, and those of earlier searches whose round this one goes on with.
+    /// The wait that the request itself specifies.
+    request_wait: Millis,
+    /// Number of attempts, including those of earlier searches. Determines the next node to try.
     tries: usize,
     redirects: u32,
     may_have_arrived: bool,
 }
 
 impl LeaderSearch {
-    /// A search that is given up at `until`.
+    /// Creates a search that times out at `until`.
     pub fn new(request: &JobsRequest, until: Timestamp) -> Self {
-        let hold = match request {
+        let request_wait = match request {
             JobsRequest::Read { wait, .. } => *wait,
             _ => Millis(0),
         };
-        Self { until, hold, tries: 0, redirects: 0, may_have_arrived: false }
+        Self { until, request_wait, tries: 0, redirects: 0, may_have_arrived: false }
     }
 
-    /// The same search, where earlier ones made so many tries. Where there are many storing nodes, a short search would
-    /// never get beyond the first of them.
+    /// Continues with the node order after the given number of attempts of earlier searches. Otherwise short searches
+    /// would only ever reach the first few storage nodes.
     pub fn with_previous_tries(self, tries: usize) -> Self {
         Self { tries, ..self }
     }
 
-    /// Tries so far, those of earlier searches included.
+    /// Returns the number of attempts so far, including those of earlier searches.
     pub fn tries(&self) -> usize {
         self.tries
     }
 
-    /// The next step. `leader` is who led last, as far as this node knows.
+    /// Returns the next step. `leader` is the last known leader.
     pub fn next(
         &mut self,
         leader: Option<NodeId>,
@@ -130,30 +128,30 @@
         let target = self.target(leader, storage, zone);
         self.tries += 1;
         match target {
-            Some(target) => SearchStep::Send { target, timeout: (TRY_TIMEOUT + self.hold).min(left) },
+            Some(target) => SearchStep::Send { target, timeout: (ATTEMPT_TIMEOUT + self.request_wait).min(left) },
             None => SearchStep::Wait(NO_LEADER_WAIT),
         }
     }
 
-    /// The leader if it is known, else a founder of the group and another storing node by turns, those of the zone first.
-    /// Members know who leads, and where there are many storing nodes, few are members.
+    /// Returns the leader if it is known. Otherwise alternates between founders of the group and other storage nodes,
+    /// with nodes of the zone first. Group members know the leader, and most of them are founders.
     fn target(&self, leader: Option<NodeId>, storage: &StorageDirectory, zone: &str) -> Option<LeaderTarget> {
         let known = leader.and_then(|leader| storage.of_node(leader));
         let record = known.or_else(|| {
             let (founders, others): (Vec<_>, Vec<_>) =
-                in_order(storage, zone).into_iter().partition(|record| storage.is_founder(record.node));
-            let (turn, is_founders_turn) = (self.tries / 2, self.tries.is_multiple_of(2));
+                local_zone_first(storage, zone).into_iter().partition(|record| storage.is_founder(record.node));
+            let (round, is_founders_round) = (self.tries / 2, self.tries.is_multiple_of(2));
             match (founders.is_empty(), others.is_empty()) {
-                (false, false) if is_founders_turn => nth_in_turn(&founders, turn),
-                (false, false) => nth_in_turn(&others, turn),
-                (true, _) => nth_in_turn(&others, self.tries),
-                (false, true) => nth_in_turn(&founders, self.tries),
+                (false, false) if is_founders_round => nth_cyclic(&founders, round),
+                (false, false) => nth_cyclic(&others, round),
+                (true, _) => nth_cyclic(&others, self.tries),
+                (false, true) => nth_cyclic(&founders, self.tries),
             }
         })?;
         Some(LeaderTarget { node: record.node, address: record.address })
     }
 
-    /// Takes the outcome of a try at a node.
+    /// Records the outcome of sending the request to a node.
     pub fn tried(&mut self, node: NodeId, outcome: TryOutcome) -> SearchDecision {
         match outcome {
             TryOutcome::Answered(JobsAnswer::Indeterminate) => {
@@ -161,38 +159,37 @@
                 SearchDecision::Retry { leader: None, wait: NO_LEADER_WAIT }
             }
             TryOutcome::Answered(answer) => {
-                let is_unsure = self.may_have_arrived && answer.is_rejection();
-                SearchDecision::Done(if is_unsure { JobsAnswer::Indeterminate } else { answer })
+                let is_uncertain = self.may_have_arrived && answer.is_rejection();
+                SearchDecision::Done(if is_uncertain { JobsAnswer::Indeterminate } else { answer })
             }
             TryOutcome::Refused(GroupRefusal::NotLeader { leader: Some(leader), .. }) if leader != node => {
                 self.redirects += 1;
-                let wait = if self.redirects > REDIRECTS_AT_ONCE { NO_LEADER_WAIT } else { Millis(0) };
+                let wait = if self.redirects > MAX_IMMEDIATE_REDIRECTS { NO_LEADER_WAIT } else { Millis(0) };
                 SearchDecision::Retry { leader: Some(leader), wait }
             }
             TryOutcome::Refused(_) => SearchDecision::Retry { leader: None, wait: NO_LEADER_WAIT },
-            TryOutcome::NotSent => SearchDecision::Retry { leader: None, wait: LINK_FAILURE_WAIT },
+            TryOutcome::NotSent => SearchDecision::Retry { leader: None, wait: CONNECTION_FAILURE_WAIT },
             TryOutcome::NoAnswer => {
                 self.may_have_arrived = true;
-                SearchDecision::Retry { leader: None, wait: LINK_FAILURE_WAIT }
+                SearchDecision::Retry { leader: None, wait: CONNECTION_FAILURE_WAIT }
             }
         }
     }
 }
 
-/// All storing nodes, those of a zone first.
-fn in_order<'a>(storage: &'a StorageDirectory, zone: &str) -> Vec<&'a StorageRecord> {
+/// Returns all storage nodes, with those of the given zone first.
+fn local_zone_first<'a>(storage: &'a StorageDirectory, zone: &str) -> Vec<&'a StorageRecord> {
     let mut records: Vec<_> = storage.records().collect();
     records.sort_by_key(|record| &*record.zone != zone);
     records
 }
 
-fn nth_in_turn<'a>(records: &[&'a StorageRecord], turn: usize) -> Option<&'a StorageRecord> {
-    records.get(turn % records.len().max(1)).copied()
+fn nth_cyclic<'a>(records: &[&'a StorageRecord], round: usize) -> Option<&'a StorageRecord> {
+    records.get(round % records.len().max(1)).copied()
 }
 
-/// Whether an answer is of the kind that an exchange of loads or limits asks for. One that is not counts as none: the
-/// exchange's fallback is the same, and the next one may go to another node. What the answer to any other request means
-/// is for whoever made it.
+/// Returns whether the answer has the type that a load, quota or permit request expects; other requests accept any. An
+/// unexpected answer is handled like a missing one.
 pub fn is_expected(request: &JobsRequest, answer: &JobsAnswer) -> bool {
     match request {
         JobsRequest::ReportLoad(_) | JobsRequest::AggregateLoad(_) => matches!(answer, JobsAnswer::Loads(_)),
--- a/crates/core/src/serving/mod.rs
+++ b/crates/core/src/serving/mod.rs
@@ -1,18 +1,18 @@
-//! Decisions of gateways and storing nodes, whose requests and batch items pass through unchanged.
+//! Decision logic of gateways and storage nodes, which pass requests and batch items through unchanged.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`configuration`] | routes, services, tenants and limits as the operator wrote them |
-//! | [`request`] | what the decisions need to know of a request |
-//! | [`workers`] | the workers: their load, which of them serves a request or an item, which are ejected |
-//! | [`online`] | the attempts of an online request, and the events of its answer |
-//! | [`crashes`] | requests under which workers died |
-//! | [`jobs`] | batch jobs: their replicated table, the dispatch of items, who holds the table |
-//! | [`leader`] | a gateway's dealings with the job table's leader: who is asked, how often loads are exchanged |
-//! | [`quota`] | tenants' limits over all gateways |
-//! | [`regions`] | which zone lies in which region, and where data may be |
-//! | [`relay`] | the metadata store's changes, passed on between nodes |
-//! | [`stopping`] | the times of a planned stop |
+//! | [`configuration`] | routes, services, tenants and limits set by the operator |
+//! | [`request`] | the request attributes that decisions depend on |
+//! | [`workers`] | worker load, selection and ejection |
+//! | [`online`] | the attempts of an online request and the events of its answer |
+//! | [`crashes`] | requests that crashed workers |
+//! | [`jobs`] | batch jobs: the replicated job table and its members, dispatch of items |
+//! | [`leader`] | communication with the job table's leader: finding it, and exchanging loads |
+//! | [`quota`] | tenant limits across all gateways |
+//! | [`regions`] | the region of each zone, and where data may be stored |
+//! | [`relay`] | propagation of metadata store changes between nodes |
+//! | [`stopping`] | the phases of a graceful shutdown |
 
 pub mod configuration;
 pub mod crashes;
--- a/crates/core/src/serving/online/admission.rs
+++ b/crates/core/src/serving/online/admission.rs
@@ -1,6 +1,8 @@
-//! Admission: which requests are served at all, on which route and on whose behalf.
+//! Admission: selects the route of a request, authenticates its caller, and refuses requests without a route or a
+//! valid key.
 //!
-//! Relies on the newest configuration that the node knows, which is at most the bound on the spread of changes old.
+//! Decisions use the latest configuration known to the node. Its age is limited by the propagation bound for
+//! configuration changes.
 
 use std::sync::Arc;
 
@@ -10,39 +12,39 @@
 use crate::serving::regions::AllowedRegions;
 use crate::time::Millis;
 
-/// How long a node that has just started lets a request wait for the configuration, in milliseconds; a refusal after
-/// that comes soon enough to be tried elsewhere.
+/// How long a request to a starting node waits for the configuration. Short enough that the caller can still retry
+/// elsewhere.
 pub const CONFIGURATION_TIMEOUT: Millis = Millis(60);
 
-/// What a request asks for, as far as admission goes by it.
+/// The parts of a request that admission depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestAddress<'a> {
-    /// The host, without its port.
+    /// The host, without the port.
     pub host: &'a str,
-    /// The path, without its query.
+    /// The path, without the query.
     pub path: &'a str,
-    /// The path and query, as the caller wrote them.
+    /// The path and query as received.
     pub target: &'a str,
-    /// The key that the caller shows.
+    /// The API key that the caller presented, if any.
     pub key: Option<&'a ApiKey>,
 }
 
-/// Where an admitted request goes.
+/// The result of admitting a request.
 #[derive(Clone, Debug)]
 pub struct AdmittedRoute {
-    /// Its route.
+    /// The route that matches the host and path.
     pub route: Arc<Route>,
-    /// On whose behalf it comes.
+    /// The authenticated caller.
     pub identity: CallerIdentity,
-    /// Where it may run and lie.
+    /// The regions in which the request may run and its data may be stored.
     pub regions: AllowedRegions,
 }
 
-/// Admits a request to the route that its host and path lead to.
+/// Admits a request to the route that matches its host and path.
 ///
 /// # Errors
 ///
-/// The refusal: no route leads there, or the route is not public and the key is no tenant's.
+/// Returns a refusal if no route matches, or if the route is not public and the key belongs to no tenant.
 pub fn admit(configuration: &GatewayConfiguration, address: RequestAddress<'_>) -> Result<AdmittedRoute, Refusal> {
     let RequestAddress { host, path, .. } = address;
     let Some(route) = configuration.route_for(host, path).cloned() else {
@@ -54,11 +56,11 @@
     Ok(AdmittedRoute { route, identity, regions })
 }
 
-/// Admits a call about batch jobs. It needs no key where all of the host's routes for batch are public.
+/// Admits a call to the batch job API. No key is needed if all batch routes of the host are public.
 ///
 /// # Errors
 ///
-/// The refusal: the key is no tenant's.
+/// Returns a refusal if a key is needed and belongs to no tenant.
 pub fn admit_job_call(
     configuration: &GatewayConfiguration,
     address: RequestAddress<'_>,
@@ -66,7 +68,7 @@
     identify(configuration, address, configuration.has_public_jobs(address.host))
 }
 
-/// The refusal while no configuration is known.
+/// Returns the refusal for requests that arrive before any configuration is known.
 pub fn not_configured() -> Refusal {
     Refusal::new(ErrorKind::NotConfigured, "no configuration is known yet")
 }
--- a/crates/core/src/serving/online/attempt.rs
+++ b/crates/core/src/serving/online/attempt.rs
@@ -1,33 +1,33 @@
-//! How an attempt at a worker ended, and what follows from it.
+//! Outcomes of attempts to run a request on a worker, and whether another attempt is allowed.
 //!
-//! One place decides whether a request may have run. Only a connection that was never established, the worker's own
-//! statement, or a write of which no byte left count as "not run".
+//! A request counts as not run only if the connection was never established, the worker stated it, or no byte of the
+//! request was sent. All code that needs to know whether a request may have run relies on this module.
 
 use crate::serving::configuration::RouteKind;
 
-/// How an attempt ended before anything of it was passed on.
+/// How an attempt ended without a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No connection: nothing was sent.
+    /// No connection was established, so nothing was sent.
     NotConnected,
-    /// The worker says that it did not run the request.
+    /// The worker did not run the request.
     NotRun {
-        /// It is not the worker that was meant.
+        /// Another worker than the addressed one answered.
         other_instance: bool,
     },
-    /// The worker failed the request with a status of its own.
+    /// The worker answered with a server error.
     Failed {
-        /// The status.
+        /// The HTTP status of the answer.
         status: u16,
     },
-    /// The connection broke, or brought what is no answer to this request.
+    /// The connection broke, or the answer does not belong to this request.
     Broken,
-    /// Nothing came for too long.
+    /// The worker sent nothing before the timeout.
     Silent,
 }
 
 impl AttemptEnd {
-    /// A short name, for figures.
+    /// Returns the name used as a metric label.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotConnected => "not_connected",
@@ -38,64 +38,64 @@
         }
     }
 
-    /// Whether the worker may have run the request.
+    /// Returns whether the worker may have run the request.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Self::NotConnected | Self::NotRun { .. })
     }
 }
 
-/// What the head of a worker's answer says, besides the content.
+/// The parts of an answer's head that show whether it is valid and whether the request ran.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerMetadata<'a> {
     /// The HTTP status.
     pub status: u16,
-    /// The id of the request that it answers.
+    /// The id of the request that is answered.
     pub request_id: Option<&'a str>,
-    /// It bears the signature of the worker.
+    /// Whether the answer carries the worker's signature.
     pub is_signed: bool,
-    /// The worker says that it did not run the request.
+    /// Whether the worker states that it did not run the request.
     pub not_run: bool,
-    /// The worker is not the one that was meant.
+    /// Whether another worker than the addressed one answered.
     pub other_instance: bool,
 }
 
 impl AnswerMetadata<'_> {
-    /// Whether this is the answer to the request with that id. A success counts only with a signature and the id: it
-    /// would be passed on as it is.
+    /// Checks that this is the answer to the given request. A success must carry both the signature and the id, since
+    /// it is forwarded to the caller unchanged.
     ///
     /// # Errors
     ///
-    /// [`AttemptEnd`]: how the attempt ended instead.
+    /// Returns how the attempt failed if the answer is not valid or the request was not run.
     pub fn check(&self, request_id: &str) -> Result<(), AttemptEnd> {
         if self.request_id.is_some_and(|id| id != request_id) {
-            // The answer to another request came in this one's place.
+            // This is the answer to another request.
             return Err(AttemptEnd::Broken);
         }
         if self.not_run {
             return Err(AttemptEnd::NotRun { other_instance: self.other_instance });
         }
         let is_success = (200..300).contains(&self.status);
-        let is_vouched = self.is_signed && self.request_id.is_some();
-        if is_success && !is_vouched { Err(AttemptEnd::Broken) } else { Ok(()) }
+        let is_verified = self.is_signed && self.request_id.is_some();
+        if is_success && !is_verified { Err(AttemptEnd::Broken) } else { Ok(()) }
     }
 }
 
-/// What is known of a request's attempts so far.
+/// Counts the finished attempts of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AttemptLedger {
+pub struct AttemptCounts {
     /// Attempts that may have run.
     pub ran: u32,
-    /// Attempts that certainly did not run.
+    /// Attempts that certainly did not run, in the current round.
     pub not_run: u32,
 }
 
-/// Most attempts of one request, in one round, that ended without running, so that a saturated fleet isn't asked worker
-/// by worker.
-const MOST_NOT_RUN: u32 = 6;
+/// Maximum number of attempts per round that end without running, so that a request does not try every worker of a
+/// saturated fleet.
+const MAX_NOT_RUN_ATTEMPTS: u32 = 6;
 
-impl AttemptLedger {
-    /// Notes the end of an attempt.
-    pub fn note(&mut self, end: AttemptEnd) {
+impl AttemptCounts {
+    /// Counts a finished attempt.
+    pub fn record(&mut self, end: AttemptEnd) {
         if end.may_have_run() {
             self.ran += 1;
         } else {
@@ -103,22 +103,22 @@
         }
     }
 
-    /// Whether another attempt is allowed.
+    /// Returns whether another attempt is allowed in the current round.
     pub fn may_retry(&self, kind: RouteKind, max_attempts: u32) -> bool {
-        self.may_run(kind, max_attempts) && self.not_run < MOST_NOT_RUN
+        self.may_run(kind, max_attempts) && self.not_run < MAX_NOT_RUN_ATTEMPTS
     }
 
-    /// Whether the request may run once more, at any time.
+    /// Returns whether the request may run once more, in this round or a later one.
     pub fn may_run(&self, kind: RouteKind, max_attempts: u32) -> bool {
         self.ran == 0 || (kind.is_retryable() && self.ran < max_attempts)
     }
 
-    /// Forgets the attempts that did not run: the caller has waited since, so another round may begin.
+    /// Starts a new round by resetting the number of attempts that did not run.
     pub fn begin_round(&mut self) {
         self.not_run = 0;
     }
 
-    /// Whether the request certainly did not run, so that its caller may be told so.
+    /// Returns whether no attempt can have run the request, so that the caller may safely repeat it.
     pub fn certainly_not_run(&self) -> bool {
         self.ran == 0
     }
--- a/crates/core/src/serving/online/event_stream.rs
+++ b/crates/core/src/serving/online/event_stream.rs
@@ -1,19 +1,19 @@
-//! Splitting a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into complete events.
 //!
-//! A worker may stop in the midst of an event. Only whole events are passed on, so that another worker
-//! can go on right after the last one.
+//! A worker may fail in the middle of an event. Only complete events are forwarded, so that another worker can resume
+//! the stream after the last one.
 
-/// One whole event.
+/// One complete server-sent event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSentEvent {
-    /// The event's bytes as they came, with the blank line that ends it.
+    /// The event as received, including the blank line that ends it.
     pub bytes: Vec<u8>,
-    /// Its id, if it has one.
+    /// The value of the `id` field, if it is a number.
     pub id: Option<u64>,
 }
 
 impl ServerSentEvent {
-    /// The event's data lines, joined by line feeds.
+    /// Returns the values of the `data` fields, joined by line feeds.
     pub fn data(&self) -> String {
         let text = String::from_utf8_lossy(&self.bytes);
         let lines: Vec<&str> = text.lines().filter_map(|line| field_value(line, "data")).collect();
@@ -21,51 +21,51 @@
     }
 }
 
-/// Collects bytes until events are whole.
+/// Buffers received bytes and splits off complete events.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     pending: Vec<u8>,
-    /// Where the search for the end of the next event goes on.
-    searched: usize,
+    /// Offset in `pending` at which the search for the end of the next event continues.
+    search_from: usize,
 }
 
 impl EventSplitter {
-    /// Takes bytes and returns the events that are whole now.
+    /// Appends bytes and returns the events that are now complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<ServerSentEvent> {
         self.pending.extend_from_slice(bytes);
         let mut events = Vec::new();
         let mut start = 0;
-        while let Some(end) = find_event_end(&self.pending, start.max(self.searched)) {
+        while let Some(end) = find_event_end(&self.pending, start.max(self.search_from)) {
             let event = self.pending[start..end].to_vec();
             events.push(ServerSentEvent { id: event_id(&event), bytes: event });
             start = end;
-            self.searched = end;
+            self.search_from = end;
         }
         self.pending.drain(..start);
-        // A blank line may lie across the border of two reads.
-        self.searched = self.pending.len().saturating_sub(3);
+        // The blank line may be split between two reads.
+        self.search_from = self.pending.len().saturating_sub(3);
         events
     }
 
-    /// Bytes that belong to no whole event yet.
+    /// Returns the bytes of the last, incomplete event.
     pub fn pending(&self) -> &[u8] {
         &self.pending
     }
 }
 
-/// The place after the blank line that ends an event.
+/// Returns the offset just after the blank line that ends the event.
 fn find_event_end(bytes: &[u8], from: usize) -> Option<usize> {
-    let mut place = from;
-    while place + 1 < bytes.len() {
-        if bytes[place] == b'\n' {
-            if bytes[place + 1] == b'\n' {
-                return Some(place + 2);
+    let mut index = from;
+    while index + 1 < bytes.len() {
+        if bytes[index] == b'\n' {
+            if bytes[index + 1] == b'\n' {
+                return Some(index + 2);
             }
-            if bytes[place + 1] == b'\r' && bytes.get(place + 2) == Some(&b'\n') {
-                return Some(place + 3);
+            if bytes[index + 1] == b'\r' && bytes.get(index + 2) == Some(&b'\n') {
+                return Some(index + 3);
             }
         }
-        place += 1;
+        index += 1;
     }
     None
 }
--- a/crates/core/src/serving/online/mod.rs
+++ b/crates/core/src/serving/online/mod.rs
@@ -1,17 +1,17 @@
-//! An online request: its admission, its attempts at workers, and the events of its answer.
+//! Rules for admitting, shedding, retrying and resuming online requests.
 //!
-//! Owns every rule by which a request is admitted, shed, retried, resumed and given up; relies on
-//! [`configuration`](super::configuration) for its route and on [`workers`](super::workers) for the choice of a worker.
+//! Routes come from [`configuration`](super::configuration); [`workers`](super::workers) selects the worker of each
+//! attempt.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`admission`] | which requests are served, on which route and on whose behalf |
-//! | [`request_state`] | one request: what was tried, what may be tried next, when it is given up |
-//! | [`attempt`] | how an attempt ended, and whether the request may have run |
-//! | [`timeouts`] | how long an attempt is awaited before another worker is tried |
-//! | [`shedding`] | which new streams are refused at once, and their `Retry-After` |
-//! | [`event_stream`] | splitting an answer into whole events |
-//! | [`stream_progress`] | how far a stream is, and which events of a worker go on to the caller |
+//! | [`admission`] | route lookup and authentication of callers |
+//! | [`request_state`] | the state of one request: attempts so far, and what may be tried next |
+//! | [`attempt`] | attempt outcomes, and whether the request may have run |
+//! | [`timeouts`] | how long to wait for a worker before trying another one |
+//! | [`shedding`] | immediate refusal of new streams that would be late, and their `Retry-After` |
+//! | [`event_stream`] | splitting an answer into complete events |
+//! | [`stream_progress`] | the progress of a stream, and which events are forwarded to the caller |
 
 pub mod admission;
 pub mod attempt;
@@ -23,7 +23,6 @@
 
 use crate::retry_budget::RetryBudgetLimits;
 
-/// Retries of requests whose worker is merely slow. In the long run 3 of 100 requests are retried, so that under
-/// overload, when every worker is slow, retries add no more than that to the load; 8 are saved up, for the requests
-/// that one worker holds when it stalls.
+/// Limits on retries of requests whose worker is slow. At most 3% of requests are retried in the long run, which bounds
+/// the extra load when all workers are slow; up to 8 retries are saved for the requests of a single stalled worker.
 pub const RETRY_LIMITS: RetryBudgetLimits = RetryBudgetLimits { deposit: 0.03, capacity: 8.0, initial: 8.0 };
--- a/crates/core/src/serving/online/request_state.rs
+++ b/crates/core/src/serving/online/request_state.rs
@@ -1,14 +1,14 @@
-//! The state of one online request: what was tried, and what may be tried next.
+//! The state of one online request: the attempts so far, and what may be tried next.
 //!
-//! Owns the attempts, the workers tried and the progress of the stream; relies on the caller for time, randomness, the
-//! retry budget and what is known of the workers. The gateway asks it before each step and reports how the step ended.
+//! A state machine without I/O: the gateway calls it before each step and reports the outcome of the step. Time,
+//! randomness, the retry budget and the view of the workers are passed in.
 
 use std::sync::Arc;
 
 use rand::Rng;
 
-use super::attempt::{AttemptEnd, AttemptLedger};
-use super::shedding::{StreamTimes, shed};
+use super::attempt::{AttemptCounts, AttemptEnd};
+use super::shedding::{StreamTiming, shed};
 use super::stream_progress::StreamProgress;
 use super::timeouts::{AwaitedEvent, event_timeout, first_event_timeout};
 use crate::backoff::Backoff;
@@ -19,83 +19,81 @@
 use crate::serving::workers::{Choice, WorkerId};
 use crate::time::{Millis, Timestamp};
 
-/// An attempt is made only while at least this much time is left, in milliseconds.
-const LEAST_REMAINING: Millis = Millis(20);
-/// `Retry-After` of a request that certainly did not run and found no worker or no time, in milliseconds, so that its
-/// caller doesn't retry at once.
+/// Minimum remaining time for starting an attempt.
+const MIN_ATTEMPT_TIME: Millis = Millis(20);
+/// `Retry-After` of a refused request that certainly did not run.
 const RETRY_AFTER: Millis = Millis(150);
-/// `Retry-After` of a request for which there is no worker at all, in milliseconds: another one has to appear first.
+/// `Retry-After` of a request for which there is no worker at all. Longer, since a worker has to start first.
 const NO_WORKER_RETRY_AFTER: Millis = Millis(1_000);
-/// The wait before a begun stream is offered once more to workers that all had no room, in milliseconds; doubles with
-/// each round.
-const FIRST_RESUME_WAIT: Millis = Millis(20);
-/// The longest wait between two such rounds, in milliseconds, so that a slot that becomes free is found soon.
-const LONGEST_RESUME_WAIT: Millis = Millis(160);
+/// Delay before the second round of attempts to resume a stream for which no worker had capacity. Doubles with each
+/// round.
+const INITIAL_RESUME_BACKOFF: Millis = Millis(20);
+/// Maximum delay between two such rounds. Short, so that a free slot is found soon.
+const MAX_RESUME_BACKOFF: Millis = Millis(160);
 
-/// Why a request is given up.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// Too little time is left for an attempt.
+    /// Too little time is left for another attempt.
     NoTime,
-    /// Every worker was tried, or there is none.
+    /// There is no worker that was not tried yet.
     NoWorker,
-    /// No further attempt is allowed after one that ended so.
+    /// The last allowed attempt failed this way.
     LastAttempt(AttemptEnd),
-    /// The request is kept from all workers for that long, since workers died of it.
+    /// The request crashed workers and is quarantined for the given time.
     Quarantined(Millis),
 }
 
-/// The workers that a request was sent to.
+/// The workers to which the request was sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct TriedWorkers {
-    /// In this round.
+    /// Workers tried in the current round.
     round: Vec<WorkerId>,
-    /// In any round, where they may have run the request.
+    /// Workers of all rounds that may have run the request.
     ran: Vec<WorkerId>,
 }
 
-/// When a request came and how long it may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct RequestSpan {
+struct RequestTiming {
     arrived_at: Timestamp,
     ends_at: Timestamp,
-    /// The caller said how long it waits.
+    /// Whether the caller stated a deadline, as opposed to the route's timeout alone.
     has_deadline: bool,
 }
 
-/// The rounds in which a begun stream was offered to workers and none took it.
+/// Counts the consecutive rounds in which no worker resumed an interrupted stream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResumeRounds {
     failed: u32,
 }
 
-/// The state of one online request.
+/// The state of one online request, from admission to the end of its answer.
 #[derive(Clone, Debug)]
 pub struct RequestState {
     route: Arc<Route>,
-    span: RequestSpan,
-    /// The caller has events of an earlier request.
-    is_continued: bool,
-    ledger: AttemptLedger,
+    timing: RequestTiming,
+    /// The caller resumes a stream of which it already received events.
+    is_reconnect: bool,
+    counts: AttemptCounts,
     tried: TriedWorkers,
     attempts: u64,
     is_quarantined: bool,
-    /// Another worker could take the request from the one that has it.
+    /// Whether there were other candidates when the current worker was selected.
     has_alternative: bool,
-    /// How far the stream is.
+    /// The progress of the answer's stream.
     pub progress: StreamProgress,
 }
 
 impl RequestState {
-    /// A request that was read and not tried yet.
+    /// Creates the state of a request that was not sent to any worker yet.
     pub fn new(route: Arc<Route>, facts: &RequestFacts, arrived_at: Timestamp) -> Self {
         let allowed = facts.deadline.map_or(route.timeout, |wait| wait.min(route.timeout));
         let has_deadline = facts.deadline.is_some();
         Self {
             route,
-            span: RequestSpan { arrived_at, ends_at: arrived_at + allowed, has_deadline },
-            is_continued: facts.last_event.is_some(),
-            ledger: AttemptLedger::default(),
+            timing: RequestTiming { arrived_at, ends_at: arrived_at + allowed, has_deadline },
+            is_reconnect: facts.last_event.is_some(),
+            counts: AttemptCounts::default(),
             tried: TriedWorkers::default(),
             attempts: 0,
             is_quarantined: false,
@@ -104,70 +102,70 @@
         }
     }
 
-    /// The time that is left, in milliseconds.
+    /// Returns the time left until the request's deadline.
     pub fn remaining(&self, now: Timestamp) -> Millis {
-        self.span.ends_at.since(now)
+        self.timing.ends_at.since(now)
     }
 
-    /// The time that a worker is given, where the caller said how long it waits.
+    /// Returns the deadline to send to a worker, if the caller stated one.
     pub fn worker_deadline(&self, now: Timestamp) -> Option<Millis> {
-        self.span.has_deadline.then(|| self.remaining(now))
+        self.timing.has_deadline.then(|| self.remaining(now))
     }
 
-    /// How old the request is, in milliseconds.
+    /// Returns the time since the request arrived.
     pub fn age(&self, now: Timestamp) -> Millis {
-        now.since(self.span.arrived_at)
+        now.since(self.timing.arrived_at)
     }
 
-    /// Attempts made so far.
+    /// Returns the number of attempts started so far.
     pub fn attempts(&self) -> u64 {
         self.attempts
     }
 
-    /// Workers that are not to be tried in this round.
+    /// Returns the workers that must not be tried again in this round.
     pub fn tried(&self) -> &[WorkerId] {
         &self.tried.round
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the route's answers are streams of events.
     pub fn is_stream(&self) -> bool {
         matches!(self.route.kind, RouteKind::Stream { .. })
     }
 
-    /// Whether the request may run on a second worker after it may have run on a first.
+    /// Returns whether the route allows a request that may have run to run again.
     pub fn is_retryable(&self) -> bool {
         self.route.kind.is_retryable()
     }
 
-    /// Whether there is time for an attempt.
+    /// Checks that enough time is left for an attempt.
     ///
     /// # Errors
     ///
-    /// The refusal for a request without time.
+    /// Returns the refusal to send if too little time is left.
     pub fn check_time(&self, now: Timestamp) -> Result<(), Refusal> {
-        if self.remaining(now) < LEAST_REMAINING { Err(self.refusal(RefusalReason::NoTime)) } else { Ok(()) }
+        if self.remaining(now) < MIN_ATTEMPT_TIME { Err(self.refusal(RefusalReason::NoTime)) } else { Ok(()) }
     }
 
-    /// Gives the request up while it is quarantined; `left` is for how long, if it is.
+    /// Checks that the request is not quarantined. `left` is the remaining quarantine, if any.
     ///
     /// # Errors
     ///
-    /// The refusal, at once: no wait within the request's time would help.
+    /// Returns the refusal to send if the request is quarantined.
     pub fn check_quarantine(&mut self, left: Option<Millis>) -> Result<(), Refusal> {
         let Some(left) = left else { return Ok(()) };
         self.is_quarantined = true;
         Err(self.refusal(RefusalReason::Quarantined(left)))
     }
 
-    /// Whether the request may be shed at the worker that was chosen for it: a new stream that would wait there. One
-    /// that something was done for is never shed.
+    /// Returns whether the request may be shed: only a new stream that would have to queue at the selected worker.
+    /// Requests that were already attempted are never shed.
     pub fn may_be_shed(&self, choice: &Choice) -> bool {
-        self.attempts == 0 && !self.is_continued && self.is_stream() && choice.queue_position > 0
+        self.attempts == 0 && !self.is_reconnect && self.is_stream() && choice.queue_position > 0
     }
 
-    /// The refusal for a stream whose first event, expected `first_after` from now, would be late.
+    /// Returns a refusal if the first event, expected `first_after` from now, would miss the route's objective.
     pub fn shed(&self, choice: &Choice, first_after: Millis, now: Timestamp, random: &mut impl Rng) -> Option<Refusal> {
-        let times = StreamTimes {
+        let times = StreamTiming {
             expected: self.age(now) + first_after,
             objective: self.route.objective,
             remaining: self.remaining(now),
@@ -175,18 +173,18 @@
         shed(choice, times, random)
     }
 
-    /// A worker was chosen for the next attempt, out of so many.
+    /// Records how many candidates there were for the next attempt.
     pub fn set_candidate_count(&mut self, candidates: usize) {
         self.has_alternative = candidates > 1;
     }
 
-    /// The request is sent to a worker.
+    /// Records that the request is being sent to a worker.
     pub fn attempt_started(&mut self, worker: &WorkerId) {
         self.attempts += 1;
         self.tried.round.push(worker.clone());
     }
 
-    /// An attempt ended without a whole answer. One that ended since the worker was slow is paid for by the retry budget.
+    /// Records an attempt that ended without a complete answer. The retry budget is charged if the worker was too slow.
     pub fn attempt_ended(&mut self, worker: &WorkerId, end: AttemptEnd, budget: &mut RetryBudget) {
         if end == AttemptEnd::Silent {
             budget.withdraw();
@@ -194,68 +192,73 @@
         if end.may_have_run() {
             self.tried.ran.push(worker.clone());
         }
-        self.ledger.note(end);
+        self.counts.record(end);
     }
 
-    /// How the attempt ended whose answer has this status; `None` if the answer is the caller's.
+    /// Classifies a server error as a failed attempt if the request may be retried. Returns `None` if the answer is to
+    /// be forwarded to the caller.
     pub fn server_failure(&self, status: u16) -> Option<AttemptEnd> {
         let is_server_error = (500..600).contains(&status);
         (is_server_error && self.is_retryable()).then_some(AttemptEnd::Failed { status })
     }
 
-    /// Whether another attempt is allowed.
+    /// Returns whether another attempt is allowed in the current round.
     pub fn may_retry(&self) -> bool {
-        self.ledger.may_retry(self.route.kind, self.route.max_attempts)
+        self.counts.may_retry(self.route.kind, self.route.max_attempts)
     }
 
-    /// Whether a begun stream may be taken up by another worker.
+    /// Returns whether another worker may resume an interrupted stream.
     pub fn may_resume(&self) -> bool {
         self.is_retryable() && self.may_retry()
     }
 
-    /// Begins another round in which a begun stream is offered to workers, after one in which none had room. Returns how
-    /// long to wait before; `None` if the stream is given up. A stream that the caller has begun to read can't be
-    /// refused any more, so it is offered for as long as there is time.
+    /// Starts another round of attempts to resume a stream, after one in which no worker had capacity. Returns the delay
+    /// before the round, or `None` if the stream is abandoned. Rounds continue while time is left, since an answer that
+    /// has started can no longer be replaced by a refusal.
     pub fn next_round(&mut self, rounds: &mut ResumeRounds, now: Timestamp) -> Option<Millis> {
-        let wait = Backoff::new(FIRST_RESUME_WAIT, LONGEST_RESUME_WAIT).wait(rounds.failed);
-        let may_run = self.ledger.may_run(self.route.kind, self.route.max_attempts);
-        if !may_run || self.is_quarantined || self.remaining(now) < wait + LEAST_REMAINING {
+        let wait = Backoff::new(INITIAL_RESUME_BACKOFF, MAX_RESUME_BACKOFF).wait(rounds.failed);
+        let may_run = self.counts.may_run(self.route.kind, self.route.max_attempts);
+        if !may_run || self.is_quarantined || self.remaining(now) < wait + MIN_ATTEMPT_TIME {
             return None;
         }
         rounds.failed += 1;
-        self.ledger.begin_round();
+        self.counts.begin_round();
         self.tried.round.clone_from(&self.tried.ran);
         Some(wait)
     }
 
-    /// How long the head of an answer is awaited, in milliseconds: the last attempt gets all the time there is.
+    /// Returns how long to wait for the head of an answer. The last allowed attempt gets all the remaining time.
     pub fn head_timeout(&self, budget: &RetryBudget, mean_first: Millis, now: Timestamp) -> Millis {
         let remaining = self.remaining(now);
-        if self.may_move(budget) { first_event_timeout(&self.route, mean_first).min(remaining) } else { remaining }
+        if self.may_switch_worker(budget) {
+            first_event_timeout(&self.route, mean_first).min(remaining)
+        } else {
+            remaining
+        }
     }
 
-    /// How long the next event is awaited, in milliseconds.
+    /// Returns how long to wait for the next event.
     pub fn event_timeout(&self, budget: &RetryBudget, awaited: AwaitedEvent, now: Timestamp) -> Millis {
         let remaining = self.remaining(now);
-        let limit = if self.may_move(budget) { event_timeout(&self.route, awaited, now) } else { None };
+        let limit = if self.may_switch_worker(budget) { event_timeout(&self.route, awaited, now) } else { None };
         limit.map_or(remaining, |limit| limit.min(remaining))
     }
 
-    /// Whether the request may leave a worker that is merely slow. Without another one it would only lose what it has.
-    fn may_move(&self, budget: &RetryBudget) -> bool {
+    /// Returns whether the request may switch from a slow worker to another one.
+    fn may_switch_worker(&self, budget: &RetryBudget) -> bool {
         self.has_alternative
             && self.is_retryable()
-            && self.ledger.ran + 1 < self.route.max_attempts
+            && self.counts.ran + 1 < self.route.max_attempts
             && budget.has_token()
     }
 
-    /// Whether one worker answered the request from its first event on, so that the time of its answer is the time for
-    /// which it had a slot.
+    /// Returns whether a single worker produced the whole stream, so that its duration is the time for which the request
+    /// occupied a slot.
     pub fn was_served_by_one_worker(&self) -> bool {
-        self.attempts == 1 && !self.is_continued
+        self.attempts == 1 && !self.is_reconnect
     }
 
-    /// The refusal for a request that is given up. Only one that certainly did not run is said not to have run.
+    /// Returns the refusal to send to the caller. It states "not run" only if the request certainly did not run.
     pub fn refusal(&self, why: RefusalReason) -> Refusal {
         let mut retry_after = RETRY_AFTER;
         let (not_run, may_have_run, detail) = match why {
@@ -277,7 +280,7 @@
                 (ErrorKind::RequestQuarantined, ErrorKind::EngineLost, detail)
             }
         };
-        if self.ledger.certainly_not_run() {
+        if self.counts.certainly_not_run() {
             Refusal::new(not_run, detail).with_ran(Ran::NotRun).with_retry_after(retry_after.0)
         } else {
             Refusal::new(may_have_run, detail).with_ran(Ran::Unknown)
--- a/crates/core/src/serving/online/shedding.rs
+++ b/crates/core/src/serving/online/shedding.rs
@@ -1,7 +1,7 @@
-//! Load shedding: refusing a new stream at once that would be late.
+//! Load shedding: immediately refuses a new stream whose first event would be late.
 //!
-//! Where the first event is expected after the route's objective, the fleet has no room: a slot spent on the stream is
-//! missing for one that could be in time.
+//! If the first event is expected after the route's objective, the fleet is overloaded. A slot spent on such a stream
+//! is not available to one that could still be on time.
 
 use rand::Rng;
 
@@ -9,26 +9,25 @@
 use crate::serving::workers::Choice;
 use crate::time::Millis;
 
-/// `Retry-After` of a request that was shed, as a share of the time that its caller still waits. A burst lasts for
-/// seconds: a caller that retried sooner would be shed again, and one that retried later would have no time left.
-const RETRY_AFTER_SHARE: f64 = 0.33;
-/// The part of that time by which it is shortened at random, so that callers who were shed together don't retry
-/// together.
-const RETRY_AFTER_SPREAD: f64 = 0.15;
+/// `Retry-After` of a shed request, as a fraction of the time that its caller still waits. An earlier retry would
+/// likely be shed again; a later one would have too little time left.
+const RETRY_AFTER_FRACTION: f64 = 0.33;
+/// Maximum fraction by which `Retry-After` is randomly shortened, so that callers shed together do not retry together.
+const RETRY_AFTER_JITTER: f64 = 0.15;
 
-/// The times of a new stream, in milliseconds.
+/// The timing of a new stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StreamTimes {
-    /// From its arrival until its first event is expected.
+pub struct StreamTiming {
+    /// Expected time from arrival to the first event.
     pub expected: Millis,
-    /// From its arrival until its first event is late.
+    /// Maximum time from arrival to the first event for it to be on time.
     pub objective: Millis,
-    /// From now until its caller gives up.
+    /// Time from now to the request's deadline.
     pub remaining: Millis,
 }
 
-/// The refusal for a stream that would be late at the worker that is best for it; `None` if it would be in time.
-pub fn shed(choice: &Choice, times: StreamTimes, random: &mut impl Rng) -> Option<Refusal> {
+/// Returns a refusal if the stream would be late even at the best worker, which is `choice`.
+pub fn shed(choice: &Choice, times: StreamTiming, random: &mut impl Rng) -> Option<Refusal> {
     if times.expected <= times.objective {
         return None;
     }
@@ -42,6 +41,6 @@
 
 fn retry_after(remaining: Millis, random: &mut impl Rng) -> Millis {
     let drawn: f64 = random.random();
-    let share = RETRY_AFTER_SHARE * (1.0 - RETRY_AFTER_SPREAD * drawn);
-    Millis((remaining.0 as f64 * share) as u64)
+    let fraction = RETRY_AFTER_FRACTION * (1.0 - RETRY_AFTER_JITTER * drawn);
+    Millis((remaining.0 as f64 * fraction) as u64)
 }
--- a/crates/core/src/serving/regions.rs
+++ b/crates/core/src/serving/regions.rs
@@ -1,17 +1,17 @@
-//! Regions: which zone lies in which, and where data of a route or tenant may be.
+//! Regions: which region each zone belongs to, and where the data of a route or tenant may be stored.
 //!
-//! Owns the map of zones, which comes from the settings and doesn't change while a process runs.
+//! The map of zones comes from the settings and does not change while the process runs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::sync::Arc;
 
-/// The name of a region.
+/// The name of a region, as used in the settings and the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RegionName(Arc<str>);
 
 impl RegionName {
-    /// Builds a name from text.
+    /// Creates a region name; any text is accepted.
     pub fn new(name: &str) -> Self {
         Self(Arc::from(name))
     }
@@ -23,23 +23,23 @@
     }
 }
 
-/// The regions in which a request may run and its data may lie.
+/// The regions in which a request may run and its data may be stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum AllowedRegions {
-    /// All of them.
+    /// No restriction.
     #[default]
     Any,
-    /// Only these; none at all if the set is empty.
+    /// Only these regions; an empty set allows none.
     Only(Arc<BTreeSet<RegionName>>),
 }
 
 impl AllowedRegions {
-    /// Only the regions that are named.
+    /// Allows only the given regions.
     pub fn only(names: impl IntoIterator<Item = RegionName>) -> Self {
         Self::Only(Arc::new(names.into_iter().collect()))
     }
 
-    /// The regions that both allow.
+    /// Returns the regions that both allow.
     pub fn intersection(&self, other: &Self) -> Self {
         match (self, other) {
             (Self::Any, other) => other.clone(),
@@ -62,24 +62,25 @@
     }
 }
 
-/// In which region each zone lies.
+/// Maps each zone to its region.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RegionMap {
     by_zone: BTreeMap<Arc<str>, RegionName>,
 }
 
 impl RegionMap {
-    /// The map of these zones.
+    /// Creates a map from pairs of zone and region.
     pub fn new(zones: impl IntoIterator<Item = (Arc<str>, RegionName)>) -> Self {
         Self { by_zone: zones.into_iter().collect() }
     }
 
-    /// Whether there is such a zone. Every zone may exist where the settings name none.
+    /// Returns whether the zone exists. If the settings list no zones, any name is accepted.
     pub fn has_zone(&self, zone: &str) -> bool {
         self.by_zone.is_empty() || self.by_zone.contains_key(zone)
     }
 
-    /// Whether data may lie in a zone. A zone that is in no known region is only good where any region is.
+    /// Returns whether data may be stored in the zone. A zone without a known region is allowed only if all regions
+    /// are.
     pub fn allows(&self, allowed: &AllowedRegions, zone: &str) -> bool {
         match allowed {
             AllowedRegions::Any => true,
--- a/crates/core/src/serving/request.rs
+++ b/crates/core/src/serving/request.rs
@@ -1,46 +1,46 @@
-//! What the decisions need to know of a request: who waits how long, and which prompt it brings.
+//! The request attributes that decisions depend on: deadline, resume position and prompt.
 //!
-//! The adapter reads it from the request's head; the body is never looked into.
+//! The adapter reads them from the request's headers; the body is never parsed.
 
 use std::sync::Arc;
 
 use crate::hashing::hash_parts;
 use crate::time::Millis;
 
-/// One part of a prompt. Parts with the same id are the same text.
+/// One part of a prompt. Parts with the same id contain the same text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names the text.
+    /// Identifies the text.
     pub id: Arc<str>,
-    /// Its length in tokens.
+    /// Length of the text in tokens.
     pub tokens: u32,
 }
 
-/// A prompt part together with all parts before it: what a worker caches.
+/// A prompt part combined with all parts before it: the unit of a worker's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixBlock {
-    /// Names the model and the parts up to here.
+    /// Hash of the model and of all parts up to and including this one.
     pub chain: u64,
-    /// Tokens of the last part alone.
+    /// Length of this part alone, in tokens.
     pub tokens: u32,
 }
 
-/// What a request says of itself.
+/// The attributes that a request states in its headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestFacts {
-    /// The caller's id for this try.
+    /// The caller's id for this attempt.
     pub id: Arc<str>,
-    /// How long the caller waits, from when the request was read.
+    /// How long the caller waits for the answer, counted from when the request was read.
     pub deadline: Option<Millis>,
-    /// The caller has the events up to this one.
+    /// The last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
-    /// The chain of its prompt.
+    /// The prompt as prefix cache entries, the shortest prefix first.
     pub prefix: Vec<PrefixBlock>,
-    /// Tokens in its prompt.
+    /// Length of the whole prompt in tokens.
     pub prompt_tokens: u32,
 }
 
-/// Chains the parts of a prompt, so that a link names all parts before it too.
+/// Hashes the parts of a prompt cumulatively, so that each hash covers the model and all earlier parts.
 pub fn hash_prefix(model: &str, parts: &[PromptPart]) -> Vec<PrefixBlock> {
     let mut links = Vec::with_capacity(parts.len());
     let mut chain = hash_parts(&[model.as_bytes()]);
--- a/crates/core/src/serving/stopping.rs
+++ b/crates/core/src/serving/stopping.rs
@@ -1,31 +1,30 @@
-//! The times of a planned stop.
+//! The phases of a graceful shutdown.
 
 use crate::time::Millis;
 
-/// For how long a leaving gateway still takes new connections, in milliseconds: callers that haven't learned yet that
-/// it is not ready are served.
-const LEAVING: Millis = Millis(2_600);
-/// What is left of the grace when the process ends at the latest, in milliseconds: the process ends by itself before
-/// the platform kills it.
+/// How long a stopping gateway keeps accepting connections, so that callers have time to notice that it is not
+/// ready.
+const DRAIN_PERIOD: Millis = Millis(2_600);
+/// Part of the grace period left unused, so that the process exits before the platform kills it.
 const GRACE_MARGIN: Millis = Millis(400);
-/// How long a storing node hands its leadership over before it stops all the same, in milliseconds: a caught-up voter
-/// leads without an election.
+/// How long a stopping storage node waits for its leadership to be transferred to a caught-up voter, which takes over
+/// without an election.
 pub const LEADERSHIP_TRANSFER_TIMEOUT: Millis = Millis(1_500);
 
-/// The times of a gateway's planned stop, from its beginning on.
+/// The phases of a gateway's graceful shutdown, measured from its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayStop {
-    /// So long the gateway says that it is not ready, and takes new connections. Then each connection closes after the
-    /// request that it carries.
+    /// How long the gateway reports not ready but still accepts connections. Afterwards each connection is closed once
+    /// its current request is complete.
     pub drain_period: Millis,
-    /// After so long the process ends, whatever is open.
+    /// When the process exits, even if connections are still open.
     pub ends_after: Millis,
 }
 
 impl GatewayStop {
-    /// The times of a stop that may take `grace`. At most half of what the margin leaves goes to the first phase.
+    /// Returns the phases of a shutdown that may take `grace`. The first phase gets at most half of the time.
     pub fn within(grace: Millis) -> Self {
         let ends_after = Millis(grace.0.saturating_sub(GRACE_MARGIN.0));
-        Self { drain_period: LEAVING.min(Millis(ends_after.0 / 2)), ends_after }
+        Self { drain_period: DRAIN_PERIOD.min(Millis(ends_after.0 / 2)), ends_after }
     }
 }
--- a/crates/core/tests/attempts_and_events.rs
+++ b/crates/core/tests/attempts_and_events.rs
@@ -1,4 +1,4 @@
-//! Routes, how often a request may run, the retry budget, and whole events.
+//! Route lookup, limits on attempts, the retry budget, and splitting streams into events.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
     CallerBounds, GatewayConfiguration, Route, RouteKind, RouteTarget, Service,
 };
 use stallmoor_core::serving::online::RETRY_LIMITS;
-use stallmoor_core::serving::online::attempt::{AttemptEnd, AttemptLedger};
+use stallmoor_core::serving::online::attempt::{AttemptCounts, AttemptEnd};
 use stallmoor_core::serving::online::event_stream::{EventSplitter, ServerSentEvent};
 use stallmoor_core::serving::regions::AllowedRegions;
 use stallmoor_core::time::Millis;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_takes_the_request() {
+fn route_with_the_longest_matching_prefix_of_the_host_is_selected() {
     let routes = vec![route("short", "h", "/a/"), route("long", "h", "/a/b/"), route("other", "g", "/a/b/c/")];
     let service =
         Service { name: Arc::from(SERVICE), max_connections: 10, slots: 8, cache_tokens: 0, cold_start: None };
@@ -50,34 +50,34 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_is_never_said_not_to_have_run_and_runs_again_only_where_it_may() {
+fn request_that_may_have_run_is_not_reported_as_not_run_and_is_retried_only_if_allowed() {
     let stream = RouteKind::Stream { resumable: false };
-    let mut ledger = AttemptLedger::default();
-    ledger.note(AttemptEnd::NotRun { other_instance: false });
-    ledger.note(AttemptEnd::NotConnected);
-    assert!(ledger.certainly_not_run());
-    assert!(ledger.may_retry(stream, 1), "attempts that did not run don't count as runs");
-    ledger.note(AttemptEnd::Broken);
-    assert!(!ledger.certainly_not_run());
-    assert!(!ledger.may_retry(stream, 5), "at most once");
-    assert!(ledger.may_retry(RouteKind::Repeatable, 2));
-    assert!(!ledger.may_retry(RouteKind::Repeatable, 1), "no more workers than allowed");
+    let mut counts = AttemptCounts::default();
+    counts.record(AttemptEnd::NotRun { other_instance: false });
+    counts.record(AttemptEnd::NotConnected);
+    assert!(counts.certainly_not_run());
+    assert!(counts.may_retry(stream, 1), "attempts that did not run are not counted as runs");
+    counts.record(AttemptEnd::Broken);
+    assert!(!counts.certainly_not_run());
+    assert!(!counts.may_retry(stream, 5), "a non-resumable stream runs at most once");
+    assert!(counts.may_retry(RouteKind::Repeatable, 2));
+    assert!(!counts.may_retry(RouteKind::Repeatable, 1), "the maximum number of attempts is reached");
 }
 
 #[test]
-fn attempts_that_never_run_come_to_an_end() {
-    let mut ledger = AttemptLedger::default();
+fn number_of_attempts_that_do_not_run_is_limited() {
+    let mut counts = AttemptCounts::default();
     let mut attempts = 0;
-    while ledger.may_retry(RouteKind::Repeatable, 2) {
-        ledger.note(AttemptEnd::NotRun { other_instance: false });
+    while counts.may_retry(RouteKind::Repeatable, 2) {
+        counts.record(AttemptEnd::NotRun { other_instance: false });
         attempts += 1;
         assert!(attempts < 20);
     }
-    assert!(ledger.certainly_not_run());
+    assert!(counts.certainly_not_run());
 }
 
 #[test]
-fn a_storm_of_retries_runs_out_of_budget() {
+fn retry_budget_limits_the_fraction_of_retries() {
     let mut budget = RetryBudget::new(RETRY_LIMITS);
     let mut retries = 0;
     for _ in 0..1_000 {
@@ -93,9 +93,9 @@
 proptest! {
     #![proptest_config(support::fuzz_config())]
 
-    /// However the bytes are cut up, the same whole events come out, and nothing is lost.
+    /// Splitting the bytes at any positions yields the same events and loses no bytes.
     #[test]
-    fn events_are_whole_however_the_bytes_arrive(
+    fn events_do_not_depend_on_how_the_bytes_are_split(
         events in prop::collection::vec((0..500_u64, "[ -~]{0,40}", any::<bool>()), 1..12),
         tail in "[a-z]{0,10}",
         cuts in prop::collection::vec(1..40_usize, 1..60),
@@ -107,22 +107,22 @@
         }
         bytes.extend_from_slice(tail.as_bytes());
         let mut splitter = EventSplitter::default();
-        let mut whole: Vec<ServerSentEvent> = Vec::new();
+        let mut complete: Vec<ServerSentEvent> = Vec::new();
         let mut rest = &bytes[..];
         for cut in cuts.iter().cycle() {
             if rest.is_empty() {
                 break;
             }
             let (piece, further) = rest.split_at((*cut).min(rest.len()));
-            whole.extend(splitter.push(piece));
+            complete.extend(splitter.push(piece));
             rest = further;
         }
-        prop_assert_eq!(whole.len(), events.len());
-        for (event, (number, data, _)) in whole.iter().zip(&events) {
+        prop_assert_eq!(complete.len(), events.len());
+        for (event, (number, data, _)) in complete.iter().zip(&events) {
             prop_assert_eq!(event.id, Some(*number));
             prop_assert_eq!(event.data(), data.clone());
         }
-        let mut all: Vec<u8> = whole.iter().flat_map(|event| event.bytes.clone()).collect();
+        let mut all: Vec<u8> = complete.iter().flat_map(|event| event.bytes.clone()).collect();
         all.extend_from_slice(splitter.pending());
         prop_assert_eq!(all, bytes);
     }
--- a/crates/core/tests/online_request.rs
+++ b/crates/core/tests/online_request.rs
@@ -1,4 +1,4 @@
-//! The way of one online request on a virtual clock: time-outs, shedding, retries, resumed streams, giving up.
+//! Rules for online requests on a virtual clock: admission, timeouts, shedding, retries, resumed streams and refusals.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use stallmoor_core::serving::online::attempt::{AnswerMetadata, AttemptEnd};
 use stallmoor_core::serving::online::event_stream::ServerSentEvent;
 use stallmoor_core::serving::online::request_state::{RefusalReason, RequestState, ResumeRounds};
-use stallmoor_core::serving::online::stream_progress::{StreamProgress, TakenEvents};
+use stallmoor_core::serving::online::stream_progress::{AcceptedEvents, StreamProgress};
 use stallmoor_core::serving::online::timeouts::AwaitedEvent;
 use stallmoor_core::serving::regions::AllowedRegions;
 use stallmoor_core::serving::request::RequestFacts;
@@ -98,8 +98,8 @@
     ServerSentEvent { bytes: text.as_bytes().to_vec(), id }
 }
 
-fn whole(bytes: &str) -> TakenEvents {
-    TakenEvents { bytes: bytes.as_bytes().to_vec(), has_gap: false }
+fn accepted(bytes: &str) -> AcceptedEvents {
+    AcceptedEvents { bytes: bytes.as_bytes().to_vec(), has_gap: false }
 }
 
 fn first(sent_at: Timestamp, mean_first: u64) -> AwaitedEvent {
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_request_ends_with_its_route_or_its_caller_whichever_is_sooner() {
+fn deadline_is_the_earlier_of_route_timeout_and_caller_deadline() {
     let facts = |deadline| RequestFacts { deadline, ..RequestFacts::default() };
     let sooner = state_of(route(RESUMABLE), &facts(Some(Millis(900))));
     assert_eq!(sooner.remaining(at(100)), Millis(800));
@@ -115,23 +115,23 @@
     let later = state_of(route(RESUMABLE), &facts(Some(Millis(9_000))));
     assert_eq!(later.remaining(at(100)), Millis(4_900));
     assert_eq!(later.worker_deadline(at(100)), Some(Millis(4_900)));
-    let unsaid = state_of(route(RESUMABLE), &facts(None));
-    assert_eq!(unsaid.worker_deadline(at(100)), None);
-    assert_eq!(unsaid.remaining(at(9_000)), Millis(0));
+    let without_deadline = state_of(route(RESUMABLE), &facts(None));
+    assert_eq!(without_deadline.worker_deadline(at(100)), None);
+    assert_eq!(without_deadline.remaining(at(9_000)), Millis(0));
 }
 
 #[test]
-fn an_attempt_needs_twenty_milliseconds() {
+fn attempt_requires_twenty_milliseconds_of_remaining_time() {
     let state = state(RESUMABLE);
     assert_eq!(state.check_time(at(4_980)), Ok(()));
-    let refused = state.check_time(at(4_981)).expect_err("too late");
+    let refused = state.check_time(at(4_981)).expect_err("less than 20 ms remain");
     assert_eq!((refused.kind, refused.ran), (ErrorKind::DeadlineUnmet, Ran::NotRun));
     assert_eq!(refused.detail, "no time is left");
     assert_eq!(refused.retry_after_ms, Some(150));
 }
 
 #[test]
-fn the_head_is_awaited_for_half_the_objective_four_means_or_sixty_milliseconds() {
+fn head_timeout_is_the_maximum_of_half_the_objective_four_means_and_sixty_milliseconds() {
     let budget = full_budget();
     let timeout = |objective: u64, mean: u64| {
         let state = state_of(Route { objective: Millis(objective), ..route(RESUMABLE) }, &RequestFacts::default());
@@ -140,11 +140,11 @@
     assert_eq!(timeout(400, 10), Millis(200));
     assert_eq!(timeout(400, 70), Millis(280));
     assert_eq!(timeout(80, 10), Millis(60));
-    assert_eq!(timeout(40_000, 10), Millis(5_000), "never longer than the request lasts");
+    assert_eq!(timeout(40_000, 10), Millis(5_000), "limited by the request's remaining time");
 }
 
 #[test]
-fn the_only_worker_gets_all_the_time_there_is() {
+fn only_candidate_gets_all_the_remaining_time() {
     let (budget, now) = (full_budget(), at(1_000));
     let mut state = state(RESUMABLE);
     state.set_candidate_count(2);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_request_that_may_not_move_gets_all_the_time_there_is() {
+fn request_that_may_not_switch_workers_gets_all_the_remaining_time() {
     let (budget, now) = (full_budget(), at(1_000));
     let all = Millis(4_000);
     assert_eq!(state(RouteKind::AtMostOnce).head_timeout(&budget, Millis(10), now), all);
@@ -164,24 +164,24 @@
     assert_eq!(state(RESUMABLE).event_timeout(&empty_budget(), AwaitedEvent::Next, now), all);
     let mut last = state(RESUMABLE);
     last.attempt_ended(&id("one"), AttemptEnd::Broken, &mut full_budget());
-    assert_eq!(last.head_timeout(&budget, Millis(10), now), all, "the last of two attempts");
+    assert_eq!(last.head_timeout(&budget, Millis(10), now), all, "the second of two allowed attempts");
     assert_eq!(last.event_timeout(&budget, AwaitedEvent::Next, now), all);
 }
 
 #[test]
-fn an_event_is_awaited_for_a_share_of_the_longest_pause_and_the_first_from_its_sending_on() {
+fn event_timeout_is_a_fraction_of_the_target_gap_and_counts_from_sending_for_the_first_event() {
     let budget = full_budget();
     let state = state(RESUMABLE);
     assert_eq!(state.event_timeout(&budget, AwaitedEvent::Next, at(0)), Millis(150));
     assert_eq!(state.event_timeout(&budget, AwaitedEvent::Next, at(4_900)), Millis(100));
     assert_eq!(state.event_timeout(&budget, first(at(0), 10), at(50)), Millis(150));
-    assert_eq!(state.event_timeout(&budget, first(at(0), 10), at(199)), Millis(20), "a head that came late");
+    assert_eq!(state.event_timeout(&budget, first(at(0), 10), at(199)), Millis(20), "the head arrived late");
     let without = state_of(Route { gap_target: None, ..route(RESUMABLE) }, &RequestFacts::default());
     assert_eq!(without.event_timeout(&budget, AwaitedEvent::Next, at(0)), Millis(5_000));
 }
 
 #[test]
-fn only_a_new_stream_that_would_wait_and_be_late_is_shed() {
+fn only_new_streams_that_would_queue_and_be_late_are_shed() {
     let now = at(100);
     let shed = |state: &RequestState, place: u32, first_after: u64| {
         let choice = choice(place);
@@ -191,34 +191,34 @@
         state.shed(&choice, Millis(first_after), now, &mut random())
     };
     let new = state(RESUMABLE);
-    assert_eq!(shed(&new, 3, 300), None, "in time, with the time that has passed");
+    assert_eq!(shed(&new, 3, 300), None, "on time, including the time already passed");
     assert!(shed(&new, 3, 301).is_some());
     assert_eq!(shed(&new, 0, 9_000), None, "a slot is free");
-    assert_eq!(shed(&state(RouteKind::Repeatable), 3, 9_000), None, "no stream");
-    let continued = RequestFacts { last_event: Some(4), ..RequestFacts::default() };
-    assert_eq!(shed(&state_of(route(RESUMABLE), &continued), 3, 9_000), None, "the caller has a part of it");
+    assert_eq!(shed(&state(RouteKind::Repeatable), 3, 9_000), None, "not a stream");
+    let reconnect = RequestFacts { last_event: Some(4), ..RequestFacts::default() };
+    assert_eq!(shed(&state_of(route(RESUMABLE), &reconnect), 3, 9_000), None, "the caller already has events");
     let mut tried = state(RESUMABLE);
     tried.attempt_started(&id("one"));
-    assert_eq!(shed(&tried, 3, 9_000), None, "a worker has been asked");
+    assert_eq!(shed(&tried, 3, 9_000), None, "already attempted");
 }
 
 #[test]
-fn callers_that_are_shed_retry_after_a_third_of_their_time_spread_by_a_seventh() {
+fn retry_after_of_shed_requests_is_a_third_of_the_remaining_time_with_jitter() {
     let state = state(RESUMABLE);
     let mut random = random();
     let mut waits = Vec::new();
     for _ in 0..200 {
-        let refused = state.shed(&choice(3), Millis(900), at(0), &mut random).expect("it is late");
+        let refused = state.shed(&choice(3), Millis(900), at(0), &mut random).expect("the first event would be late");
         assert_eq!((refused.kind, refused.ran), (ErrorKind::Overloaded, Ran::NotRun));
         assert_eq!(refused.detail, "number 3 to wait for 8 slots, its first event expected after 900 ms of 400");
-        waits.push(refused.retry_after_ms.expect("it says when"));
+        waits.push(refused.retry_after_ms.expect("shed requests have a Retry-After"));
     }
     assert!(waits.iter().all(|wait| (1_402..=1_650).contains(wait)), "{waits:?}");
     assert!(waits.iter().any(|wait| *wait < 1_450) && waits.iter().any(|wait| *wait > 1_600), "{waits:?}");
 }
 
 #[test]
-fn only_slow_workers_are_paid_for_by_the_retry_budget() {
+fn only_timeouts_are_charged_to_the_retry_budget() {
     let tokens_after = |end: AttemptEnd| {
         let mut budget = full_budget();
         state(RESUMABLE).attempt_ended(&id("one"), end, &mut budget);
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn an_answer_with_a_server_error_is_tried_elsewhere_where_the_request_may_run_again() {
+fn server_error_is_retried_only_if_the_request_may_run_again() {
     let failed = |kind, status| state(kind).server_failure(status);
     assert_eq!(failed(RESUMABLE, 500), Some(AttemptEnd::Failed { status: 500 }));
     assert_eq!(failed(RESUMABLE, 599), Some(AttemptEnd::Failed { status: 599 }));
@@ -245,22 +245,25 @@
 }
 
 #[test]
-fn a_refusal_says_what_is_known_of_the_request() {
+fn refusal_states_whether_the_request_may_have_run() {
     let mut state = state(RouteKind::AtMostOnce);
     state.attempt_ended(&id("one"), NOT_RUN, &mut full_budget());
-    let unrun = state.refusal(RefusalReason::LastAttempt(NOT_RUN));
-    assert_eq!((unrun.kind, unrun.ran, unrun.retry_after_ms), (ErrorKind::Overloaded, Ran::NotRun, Some(150)));
-    assert_eq!(unrun.detail, "the last attempt ended as NotRun { other_instance: false }");
+    let not_run_refusal = state.refusal(RefusalReason::LastAttempt(NOT_RUN));
+    assert_eq!(
+        (not_run_refusal.kind, not_run_refusal.ran, not_run_refusal.retry_after_ms),
+        (ErrorKind::Overloaded, Ran::NotRun, Some(150))
+    );
+    assert_eq!(not_run_refusal.detail, "the last attempt ended as NotRun { other_instance: false }");
     assert_eq!(state.refusal(RefusalReason::NoWorker).kind, ErrorKind::NoEngine);
     state.attempt_ended(&id("two"), AttemptEnd::Silent, &mut full_budget());
-    let perhaps = state.refusal(RefusalReason::LastAttempt(AttemptEnd::Silent));
-    assert_eq!((perhaps.kind, perhaps.ran), (ErrorKind::EngineLost, Ran::Unknown));
+    let unknown_refusal = state.refusal(RefusalReason::LastAttempt(AttemptEnd::Silent));
+    assert_eq!((unknown_refusal.kind, unknown_refusal.ran), (ErrorKind::EngineLost, Ran::Unknown));
     assert_eq!(state.refusal(RefusalReason::NoWorker).kind, ErrorKind::EngineLost);
     assert_eq!(state.refusal(RefusalReason::NoTime).kind, ErrorKind::DeadlineExceeded);
 }
 
 #[test]
-fn a_begun_stream_is_offered_in_rounds_that_grow_apart_while_there_is_time() {
+fn interrupted_stream_is_retried_in_rounds_with_backoff_while_time_remains() {
     let mut state = state(RESUMABLE);
     let mut budget = full_budget();
     state.attempt_started(&id("ran"));
@@ -275,21 +278,21 @@
             state.attempt_started(&worker);
             state.attempt_ended(&worker, NOT_RUN, &mut budget);
         }
-        assert!(!state.may_retry(), "six workers without room end a round");
+        assert!(!state.may_retry(), "a round ends after six workers without capacity");
         let Some(wait) = state.next_round(&mut rounds, now) else { break };
         assert!(state.may_retry());
-        assert_eq!(state.tried(), [id("ran")], "workers that had no room are asked again, the one that failed is not");
+        assert_eq!(state.tried(), [id("ran")], "only the worker that ran the request stays excluded");
         waits.push(wait.0);
         now = now + wait;
     }
     assert_eq!(waits[..6], [20, 40, 80, 160, 160, 160]);
     let left = state.remaining(now);
-    assert!(left < Millis(180), "given up with {left:?} left");
+    assert!(left < Millis(180), "abandoned with {left:?} left");
     assert!(left >= Millis(20));
 }
 
 #[test]
-fn a_stream_that_ran_as_often_as_it_may_is_not_offered_again() {
+fn stream_is_not_resumed_after_the_maximum_number_of_runs() {
     let mut state = state(RESUMABLE);
     let mut budget = full_budget();
     state.attempt_ended(&id("one"), AttemptEnd::Broken, &mut budget);
@@ -299,46 +302,46 @@
 }
 
 #[test]
-fn only_one_answer_of_one_worker_shows_how_long_a_slot_is_taken() {
+fn slot_time_is_measured_only_if_one_worker_produced_the_whole_stream() {
     let mut new = state(RESUMABLE);
     new.attempt_started(&id("one"));
     assert!(new.was_served_by_one_worker());
     new.attempt_started(&id("two"));
     assert!(!new.was_served_by_one_worker());
-    let continued = RequestFacts { last_event: Some(4), ..RequestFacts::default() };
-    let mut continued = state_of(route(RESUMABLE), &continued);
-    continued.attempt_started(&id("one"));
-    assert!(!continued.was_served_by_one_worker());
+    let reconnect = RequestFacts { last_event: Some(4), ..RequestFacts::default() };
+    let mut reconnect = state_of(route(RESUMABLE), &reconnect);
+    reconnect.attempt_started(&id("one"));
+    assert!(!reconnect.was_served_by_one_worker());
 }
 
 #[test]
-fn a_worker_that_goes_on_repeats_nothing_and_leaves_out_nothing() {
+fn resumed_stream_skips_repeated_events_and_stops_at_a_gap() {
     let mut progress = StreamProgress::after(Some(2));
     let repeated = vec![event(Some(1), "1"), event(Some(2), "2"), event(Some(3), "3"), event(None, "-")];
-    assert_eq!(progress.take(repeated, true), whole("3-"));
+    assert_eq!(progress.take(repeated, true), accepted("3-"));
     assert_eq!(progress, StreamProgress { last_event: Some(3), events: 2 });
-    assert_eq!(progress.take(vec![event(Some(5), "5")], true), TakenEvents { has_gap: true, ..whole("") });
+    assert_eq!(progress.take(vec![event(Some(5), "5")], true), AcceptedEvents { has_gap: true, ..accepted("") });
     assert_eq!(progress, StreamProgress { last_event: Some(3), events: 2 });
 }
 
 #[test]
-fn events_before_a_gap_that_came_with_it_are_passed_on() {
+fn events_before_a_gap_in_the_same_read_are_forwarded() {
     let mut progress = StreamProgress::after(Some(2));
     let events = vec![event(Some(3), "3"), event(Some(5), "5"), event(Some(6), "6")];
-    assert_eq!(progress.take(events, true), TakenEvents { has_gap: true, ..whole("3") });
-    assert_eq!(progress, StreamProgress { last_event: Some(3), events: 1 }, "the next worker begins after event 3");
+    assert_eq!(progress.take(events, true), AcceptedEvents { has_gap: true, ..accepted("3") });
+    assert_eq!(progress, StreamProgress { last_event: Some(3), events: 1 }, "the next worker resumes after event 3");
 }
 
 #[test]
-fn a_stream_that_is_not_resumable_is_passed_on_as_it_comes() {
+fn non_resumable_stream_is_forwarded_unchanged() {
     let mut progress = StreamProgress::after(Some(2));
     let events = vec![event(Some(1), "1"), event(Some(9), "9")];
-    assert_eq!(progress.take(events, false), whole("19"));
+    assert_eq!(progress.take(events, false), accepted("19"));
     assert_eq!(progress, StreamProgress { last_event: Some(9), events: 2 });
 }
 
 #[test]
-fn services_are_drawn_by_their_weights() {
+fn services_are_selected_in_proportion_to_their_weights() {
     let draws = |targets: Vec<RouteTarget>| {
         let route = Route { targets, ..route(RESUMABLE) };
         let mut random = random();
@@ -356,8 +359,8 @@
 }
 
 #[test]
-fn an_answer_counts_only_for_its_request_and_a_success_only_with_a_signature() {
-    let sound = AnswerMetadata {
+fn answer_must_match_its_request_and_a_success_must_be_signed() {
+    let valid = AnswerMetadata {
         status: 200,
         request_id: Some("mine"),
         is_signed: true,
@@ -365,18 +368,18 @@
         other_instance: false,
     };
     let check = |marks: AnswerMetadata<'_>| marks.check("mine");
-    assert_eq!(check(sound), Ok(()));
-    assert_eq!(check(AnswerMetadata { request_id: Some("other"), not_run: true, ..sound }), Err(AttemptEnd::Broken));
-    assert_eq!(check(AnswerMetadata { request_id: None, ..sound }), Err(AttemptEnd::Broken));
-    assert_eq!(check(AnswerMetadata { is_signed: false, ..sound }), Err(AttemptEnd::Broken));
-    assert_eq!(check(AnswerMetadata { status: 500, is_signed: false, request_id: None, ..sound }), Ok(()));
-    let refused = AnswerMetadata { status: 421, is_signed: false, not_run: true, other_instance: true, ..sound };
+    assert_eq!(check(valid), Ok(()));
+    assert_eq!(check(AnswerMetadata { request_id: Some("other"), not_run: true, ..valid }), Err(AttemptEnd::Broken));
+    assert_eq!(check(AnswerMetadata { request_id: None, ..valid }), Err(AttemptEnd::Broken));
+    assert_eq!(check(AnswerMetadata { is_signed: false, ..valid }), Err(AttemptEnd::Broken));
+    assert_eq!(check(AnswerMetadata { status: 500, is_signed: false, request_id: None, ..valid }), Ok(()));
+    let refused = AnswerMetadata { status: 421, is_signed: false, not_run: true, other_instance: true, ..valid };
     assert_eq!(check(refused), Err(AttemptEnd::NotRun { other_instance: true }));
     assert_eq!(check(AnswerMetadata { other_instance: false, ..refused }), Err(NOT_RUN));
 }
 
 #[test]
-fn a_node_takes_a_twelfth_of_a_workers_connections_and_four_at_least() {
+fn connection_limit_per_node_is_a_twelfth_of_the_workers_limit_and_at_least_four() {
     assert_eq!(connection_limit(Some(240)), 20);
     assert_eq!(connection_limit(Some(59)), 4);
     assert_eq!(connection_limit(Some(0)), 4);
@@ -384,21 +387,21 @@
 }
 
 #[test]
-fn a_request_is_admitted_to_its_route_if_it_shows_a_key_or_the_route_is_public() {
+fn only_public_routes_admit_requests_without_a_valid_key() {
     let public = Route { prefix: Arc::from("/open/"), is_public: true, ..route(RouteKind::Batch) };
     let configuration =
         GatewayConfiguration::new(1, vec![route(RESUMABLE), public], Vec::new(), CallerBounds::default())
             .with_tenants(TenantTable::default());
     let key = ApiKey::new("unknown");
     let address = |host, path, target| RequestAddress { host, path, target, key: Some(&key) };
-    let open = admit(&configuration, address("host", "/open/x", "/open/x")).expect("it is public");
+    let open = admit(&configuration, address("host", "/open/x", "/open/x")).expect("the route is public");
     assert_eq!((open.route.kind, open.identity), (RouteKind::Batch, CallerIdentity::Public));
-    let refused = admit(&configuration, address("host", "/closed", "/closed?a=b")).expect_err("no tenant has the key");
+    let refused = admit(&configuration, address("host", "/closed", "/closed?a=b")).expect_err("the key is unknown");
     assert_eq!((refused.kind, refused.detail.as_str()), (ErrorKind::UnknownKey, "no key of a tenant, for /closed?a=b"));
-    let nowhere = admit(&configuration, address("other", "/x", "/x?a=b")).expect_err("no such host");
+    let nowhere = admit(&configuration, address("other", "/x", "/x?a=b")).expect_err("no route has this host");
     assert_eq!(nowhere.kind, ErrorKind::UnknownPath);
     assert_eq!(nowhere.detail, "no route has the host other and the path /x");
     let call = |host| admit_job_call(&configuration, address(host, "/jobs/1", "/jobs/1"));
-    assert_eq!(call("host"), Ok(CallerIdentity::Public), "all of its routes for batch are public");
+    assert_eq!(call("host"), Ok(CallerIdentity::Public), "all batch routes of the host are public");
     assert_eq!(call("other").map_err(|refused| refused.kind), Err(ErrorKind::UnknownKey));
 }
