--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,4 +1,4 @@
-//! The node's clocks, in the units of the decision code.
+//! The node's monotonic clock and wall clock.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -7,59 +7,58 @@
 use stallmoor_core::time::{Timestamp, UnixMillis};
 use tokio::time::Instant;
 
-/// The clock starts here, in milliseconds, so that spans before the start can be distinguished from none.
+/// First value of the monotonic clock. Nonzero, so that timestamps before the start can be represented.
 const ORIGIN_MILLIS: u64 = 1_000_000;
 
-/// Steady time since the start of the process, and the time of day.
+/// Monotonic time since the start of the process, and wall-clock time.
 ///
-/// Steady time counts suspensions of the machine, which the runtime's clock leaves out: leases, ages and deadlines that were
-/// agreed on with others run out meanwhile.
+/// Monotonic time includes suspensions of the machine, which the runtime's clock omits: leases, ages and deadlines that
+/// were agreed on with other nodes expire during a suspension.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeClock {
     origin: Instant,
     suspended: fn() -> Duration,
-    /// What `suspended` returned at the start.
-    suspended_before: Duration,
+    suspended_at_start: Duration,
 }
 
 impl NodeClock {
-    /// Starts the clock.
+    /// Starts a clock that counts the suspensions of this machine.
     pub fn start() -> Self {
         Self::with_suspensions(time_suspended)
     }
 
-    /// Starts a clock on a machine that was suspended for as long as `suspended` returns, which never falls.
+    /// Starts a clock that gets the total duration of suspensions from `suspended`, which must never decrease.
     pub fn with_suspensions(suspended: fn() -> Duration) -> Self {
-        Self { origin: Instant::now(), suspended, suspended_before: suspended() }
+        Self { origin: Instant::now(), suspended, suspended_at_start: suspended() }
     }
 
-    /// Steady time: the runtime's, which tests pause, and the time that the machine was suspended.
+    /// Returns the monotonic time: the runtime's clock, which tests can pause, plus the time of suspensions.
     pub fn now(&self) -> Timestamp {
-        let suspended = (self.suspended)().saturating_sub(self.suspended_before);
-        let passed = self.origin.elapsed() + suspended;
-        Timestamp::from_millis(ORIGIN_MILLIS + passed.as_millis() as u64)
+        let suspended = (self.suspended)().saturating_sub(self.suspended_at_start);
+        let elapsed = self.origin.elapsed() + suspended;
+        Timestamp::from_millis(ORIGIN_MILLIS + elapsed.as_millis() as u64)
     }
 
-    /// The time of day. It may jump.
+    /// Returns the wall-clock time, which may jump.
     pub fn wall_time(&self) -> UnixMillis {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         UnixMillis(since.map_or(0, |since| since.as_millis() as u64))
     }
 }
 
-/// How long this machine was suspended since it started. Never falls.
+/// Returns the total duration of suspensions since this machine was booted. Never decreases.
 fn time_suspended() -> Duration {
-    /// The longest that was found, in nanoseconds.
-    static LONGEST: AtomicU64 = AtomicU64::new(0);
+    /// Maximum result so far, in nanoseconds.
+    static MAX_OBSERVED: AtomicU64 = AtomicU64::new(0);
 
-    // In this order a pause between the two readings makes the result too small, never too great.
-    let with_suspensions = read(ClockId::CLOCK_BOOTTIME);
-    let without = read(ClockId::CLOCK_MONOTONIC);
-    let found = with_suspensions.saturating_sub(without).as_nanos() as u64;
-    Duration::from_nanos(LONGEST.fetch_max(found, Ordering::Relaxed).max(found))
+    // In this order, a delay between the two readings can only make the result too small.
+    let with_suspensions = read_clock(ClockId::CLOCK_BOOTTIME);
+    let without_suspensions = read_clock(ClockId::CLOCK_MONOTONIC);
+    let suspended = with_suspensions.saturating_sub(without_suspensions).as_nanos() as u64;
+    Duration::from_nanos(MAX_OBSERVED.fetch_max(suspended, Ordering::Relaxed).max(suspended))
 }
 
-/// Zero where the machine lacks the clock, so that no suspension is found.
-fn read(clock: ClockId) -> Duration {
+/// Returns the time of a system clock; zero if it is not available, so that no suspension is counted.
+fn read_clock(clock: ClockId) -> Duration {
     clock_gettime(clock).map_or(Duration::ZERO, Duration::from)
 }
--- a/crates/gateway/src/fleet/crash_reports.rs
+++ b/crates/gateway/src/fleet/crash_reports.rs
@@ -1,7 +1,7 @@
-//! Telling other nodes under which requests workers died: this node's record in the metadata store.
+//! Publishes the requests that crashed workers in this machine's record in the metadata store.
 //!
-//! Owns the one record of this machine. Others read it with all else that the store holds, directly or through a relay, so
-//! that it reaches them without a leader, and outlasts this process.
+//! Other nodes receive the record with the rest of the store's contents, directly or through a relay. Reports therefore
+//! need no leader and survive a restart of this process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,44 +10,43 @@
 use stallmoor_core::serving::relay::item::Revision;
 
 use crate::adapter::metadata::{MetadataStore, PutOutcome};
-use crate::fleet::fleet_view::{FleetView, read_record};
+use crate::fleet::fleet_view::{FleetView, parse_record};
 
-/// The keys of machines' crash reports begin so.
+/// Prefix of the keys of crash reports, which are stored per machine.
 pub const CRASH_KEY_PREFIX: &str = "stallmoor/crashes/";
-/// The wait between a crash and the record's write, in milliseconds: one worker that dies takes several requests with
-/// it, and one call of the store is enough for them.
-const GATHER_WAIT: Duration = Duration::from_millis(100);
-/// The wait after a write whose outcome is not known, in milliseconds. Spares a store that is down.
-const RETRY_WAIT: Duration = Duration::from_millis(300);
+/// Delay between a crash and the write of the record. A worker crash often affects several requests, which are reported
+/// by one write.
+const WRITE_DELAY: Duration = Duration::from_millis(100);
+/// Delay before retrying a failed read or a write with an unknown outcome.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// The record of one machine.
-struct OwnRecord {
+struct MachineRecord {
     key: String,
-    /// What the store has, as far as this process knows.
+    /// The last report that this process has written.
     written: CrashReport,
     revision: Revision,
 }
 
-/// Writes what this node learns of crashes until the process ends.
+/// Writes this node's crash reports to the store until the process ends.
 pub async fn report_crashes(view: Arc<FleetView>, metadata: Arc<dyn MetadataStore>, machine: String) {
     let key = format!("{CRASH_KEY_PREFIX}{machine}");
-    let mut own = OwnRecord { key, written: CrashReport::default(), revision: Revision(0) };
+    let mut record = MachineRecord { key, written: CrashReport::default(), revision: Revision(0) };
     loop {
         view.crashes_changed().await;
-        tokio::time::sleep(GATHER_WAIT).await;
-        own.write(&view, &*metadata).await;
+        tokio::time::sleep(WRITE_DELAY).await;
+        record.write(&view, &*metadata).await;
     }
 }
 
-impl OwnRecord {
-    /// Writes until the store has what this node knows.
+impl MachineRecord {
+    /// Retries until the store contains the current report.
     async fn write(&mut self, view: &FleetView, metadata: &dyn MetadataStore) {
         loop {
             let report = view.crashes().report();
             if report == self.written {
                 return;
             }
-            // Can't fail: the report is of numbers and names only.
+            // Serialization can't fail: the report contains only numbers and strings.
             let value = serde_json::to_vec(&report).unwrap_or_default();
             match metadata.put(self.key.clone(), value, self.revision).await {
                 PutOutcome::Written(revision) => {
@@ -55,18 +54,18 @@
                     self.revision = revision;
                 }
                 PutOutcome::Conflict => self.read(view, metadata).await,
-                PutOutcome::Unknown => tokio::time::sleep(RETRY_WAIT).await,
+                PutOutcome::Unknown => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
     }
 
-    /// Reads the record that this machine wrote before its start, or by a call whose answer was lost.
+    /// Merges the stored record, which an earlier process on this machine or a call whose answer was lost has written.
     async fn read(&mut self, view: &FleetView, metadata: &dyn MetadataStore) {
         let Some(item) = metadata.get(self.key.clone()).await else {
-            return tokio::time::sleep(RETRY_WAIT).await;
+            return tokio::time::sleep(RETRY_DELAY).await;
         };
         self.revision = if item.value().is_some() { item.revision } else { Revision(0) };
-        if let Some(report) = read_record(&item) {
+        if let Some(report) = parse_record(&item) {
             view.merge_crashes(&report, true);
         }
     }
--- a/crates/gateway/src/fleet/fleet_view.rs
+++ b/crates/gateway/src/fleet/fleet_view.rs
@@ -1,7 +1,6 @@
-//! What this node knows of the fleet: the configuration in force, the workers, the storing nodes.
+//! This node's view of the fleet: the active configuration, the workers and the storage nodes.
 //!
-//! Owns these tables and the process's source of randomness; relies on the updates that [`super::metadata_watch`]
-//! sends.
+//! Owns these tables and the process's random number generator. [`super::metadata_watch`] sends the updates.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -29,31 +28,31 @@
 use crate::observe::journal::{Field, record};
 use crate::observe::measures;
 
-/// The product's keys of storing nodes begin so.
+/// Prefix of the keys of storage node records.
 pub const STORAGE_KEY_PREFIX: &str = "stallmoor/storage/";
-/// The key of the founding record of the job table's group. It is written once.
+/// Key of the founding record of the job table's group, which is written once.
 pub const FOUNDING_KEY: &str = "stallmoor/jobs/founding";
 
-/// A worker that died while it ran a request of this node.
+/// A worker crash that this node observed while the worker ran one of its requests.
 #[derive(Clone, Debug)]
 pub struct ObservedCrash {
     /// The request's id.
     pub request: Arc<str>,
-    /// Its names.
+    /// The digests by which the request's crashes are counted.
     pub keys: RequestKeys,
-    /// The worker.
+    /// The worker that crashed.
     pub worker: WorkerId,
-    /// The last event of the request's answer, 0 for none.
+    /// Number of the last event received from the worker, 0 for none.
     pub progress: u64,
 }
 
-/// What this node knows of the fleet, and who waits for changes of it.
+/// This node's view of the fleet, with notifications of its changes.
 pub struct FleetView {
-    /// The node's clocks.
+    /// The clock by which ages and deadlines of the view are computed.
     pub clock: NodeClock,
-    /// The node's zone.
+    /// The zone that this node is in.
     pub zone: Arc<str>,
-    /// In which region each zone lies.
+    /// The region of each zone.
     pub regions: RegionMap,
     configuration: Mutex<Option<Arc<GatewayConfiguration>>>,
     workers: Mutex<WorkerTable>,
@@ -61,17 +60,17 @@
     founding: Mutex<Option<FoundingRecord>>,
     crashes: Mutex<CrashLedger>,
     size: Mutex<FleetSize>,
-    /// Notified when this node learned of a crash, or of a request's run to its end that others may need to know.
-    crash_facts: Notify,
+    /// Notified when the crash ledger has changes to report to other nodes.
+    crash_report_needed: Notify,
     random: Mutex<Xoshiro256PlusPlus>,
     retry_budget: Mutex<RetryBudget>,
-    /// The store's contents were read once.
+    /// Set after the first complete read of the store.
     is_synced: AtomicBool,
     changed: watch::Sender<u64>,
 }
 
 impl FleetView {
-    /// A view that knows nothing yet.
+    /// Creates an empty view. `seed` initializes the random number generator.
     pub fn new(clock: NodeClock, zone: Arc<str>, seed: u64) -> Self {
         Self {
             clock,
@@ -83,7 +82,7 @@
             founding: Mutex::default(),
             crashes: Mutex::default(),
             size: Mutex::default(),
-            crash_facts: Notify::new(),
+            crash_report_needed: Notify::new(),
             random: Mutex::new(Xoshiro256PlusPlus::seed_from_u64(seed)),
             retry_budget: Mutex::new(RetryBudget::new(RETRY_LIMITS)),
             is_synced: AtomicBool::new(false),
@@ -91,81 +90,80 @@
         }
     }
 
-    /// The same view in a fleet of several regions.
+    /// Sets the regions of a fleet that spans several.
     pub fn with_regions(self, regions: RegionMap) -> Self {
         let workers = Mutex::new(WorkerTable::with_regions(regions.clone()));
         Self { regions, workers, ..self }
     }
 
-    /// The configuration in force.
+    /// Returns the active configuration; `None` before the first one is read.
     pub fn configuration(&self) -> Option<Arc<GatewayConfiguration>> {
         lock(&self.configuration).clone()
     }
 
-    /// The configuration in force. A node that has just started waits up to `within` for its first view of
-    /// the fleet.
-    pub async fn wait_for_configuration(&self, within: Duration) -> Option<Arc<GatewayConfiguration>> {
+    /// Returns the active configuration. Waits up to `timeout` for the first complete view of the fleet after startup.
+    pub async fn wait_for_configuration(&self, timeout: Duration) -> Option<Arc<GatewayConfiguration>> {
         let mut changes = self.changes();
-        let is_known = |_: &u64| self.is_synced() && self.configuration().is_some();
-        // Whatever is known by then has to do.
-        let _ = tokio::time::timeout(within, changes.wait_for(is_known)).await;
+        let is_ready = |_: &u64| self.is_synced() && self.configuration().is_some();
+        // After a timeout a configuration from an incomplete view is still used.
+        let _ = tokio::time::timeout(timeout, changes.wait_for(is_ready)).await;
         self.configuration()
     }
 
-    /// The workers.
+    /// Locks the worker table.
     pub fn workers(&self) -> MutexGuard<'_, WorkerTable> {
         lock(&self.workers)
     }
 
-    /// The storing nodes.
+    /// Locks the directory of storage nodes.
     pub fn storage(&self) -> MutexGuard<'_, StorageDirectory> {
         lock(&self.storage)
     }
 
-    /// Whether the store's contents were read once.
+    /// Returns whether the metadata store has been read completely at least once.
     pub fn is_synced(&self) -> bool {
         self.is_synced.load(Ordering::Relaxed)
     }
 
-    /// The founding record of the job table's group, once it is known.
+    /// Returns the founding record of the job table's group, once it has been read.
     pub fn founding(&self) -> Option<FoundingRecord> {
         lock(&self.founding).clone()
     }
 
-    /// So many gateways exchange loads with each other.
+    /// Records the number of gateways that currently exchange loads.
     pub fn record_gateway_count(&self, gateways: u32) {
         lock(&self.size).record(gateways, self.clock.now());
     }
 
-    /// How many gateways there are, those out of reach included; 0 if nothing is known.
+    /// Returns the number of gateways, including unreachable ones; 0 if unknown.
     pub fn gateways(&self) -> u32 {
         lock(&self.size).gateways()
     }
 
-    /// The requests under which workers died.
+    /// Locks the ledger of requests that crashed workers.
     pub fn crashes(&self) -> MutexGuard<'_, CrashLedger> {
         lock(&self.crashes)
     }
 
-    /// Whether no crash is known of any request.
+    /// Returns whether the crash ledger is empty.
     pub fn has_no_crashes(&self) -> bool {
         self.crashes().is_empty()
     }
 
-    /// For how long a request is to be kept from all workers; `None` if it may run.
+    /// Returns the remaining quarantine of a request; `None` if it may run.
     pub fn quarantined_for(&self, keys: RequestKeys) -> Option<Millis> {
         let now = self.clock.wall_time();
         let crashes = self.crashes();
         keys.digests().filter_map(|digest| crashes.quarantined_for(digest, now)).max()
     }
 
-    /// Whether one crash more would quarantine a request.
+    /// Returns whether one more crash would quarantine a request.
     pub fn is_near_quarantine(&self, keys: RequestKeys) -> bool {
         let crashes = self.crashes();
         keys.digests().any(|digest| crashes.is_near_quarantine(digest))
     }
 
-    /// A worker died while it ran a request.
+    /// Records that a worker crashed while running a request, and logs a resulting quarantine.
     pub fn record_crash(&self, crash: &ObservedCrash) {
         for digest in crash.keys.digests() {
             let (quarantine, count) = {
@@ -184,30 +182,30 @@
             record(LogEvent::WorkerCrashed, &fields);
             self.log_quarantine(quarantine);
         }
-        self.crash_facts.notify_one();
+        self.crash_report_needed.notify_one();
     }
 
-    /// A request ran to its end.
+    /// Records that a request ran to completion, which clears its crashes.
     pub fn record_completion(&self, request: &str, keys: RequestKeys) {
         let now = self.clock.wall_time();
         for digest in keys.digests() {
             let Some(before) = self.crashes().completed(digest, now) else { continue };
-            self.crash_facts.notify_one();
-            log_cleared(request, digest, before);
+            self.crash_report_needed.notify_one();
+            log_crashes_cleared(request, digest, before);
         }
     }
 
-    /// Takes a machine's report of crashes.
-    pub fn merge_crashes(&self, report: &CrashReport, is_own: bool) {
-        let quarantines = self.crashes().merge(report, is_own, self.clock.wall_time());
+    /// Merges a machine's crash report. `is_local` marks this machine's own report from an earlier run.
+    pub fn merge_crashes(&self, report: &CrashReport, is_local: bool) {
+        let quarantines = self.crashes().merge(report, is_local, self.clock.wall_time());
         for quarantine in quarantines {
             self.log_quarantine(Some(quarantine));
         }
     }
 
-    /// Waits until this node has something new to report of crashes.
+    /// Waits until the crash ledger has changes to report.
     pub async fn crashes_changed(&self) {
-        self.crash_facts.notified().await;
+        self.crash_report_needed.notified().await;
     }
 
     fn log_quarantine(&self, quarantine: Option<Quarantine>) {
@@ -220,44 +218,44 @@
         record(LogEvent::RequestQuarantined, &fields);
     }
 
-    /// The source of all that is random in this process.
+    /// Locks the process's random number generator.
     pub fn random(&self) -> MutexGuard<'_, Xoshiro256PlusPlus> {
         lock(&self.random)
     }
 
-    /// The budget for moving requests away from slow workers.
+    /// Locks the budget for retrying requests of slow workers elsewhere.
     pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
         lock(&self.retry_budget)
     }
 
-    /// Counts changes of the view.
+    /// Subscribes to a counter that is incremented with each update of the view.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// The memory of one worker of a service, in tokens; 0 if not known.
+    /// Returns the cache size of each worker of a service, in tokens; 0 if unknown.
     pub fn worker_cache_tokens(&self, service: &str) -> u64 {
         let configuration = self.configuration();
-        configuration.and_then(|known| known.services.get(service).map(|found| found.cache_tokens)).unwrap_or(0)
+        configuration.and_then(|current| current.services.get(service).map(|entry| entry.cache_tokens)).unwrap_or(0)
     }
 
-    /// Applies an update.
+    /// Applies an update and notifies the subscribers of [`FleetView::changes`].
     pub fn apply(&self, update: &FleetUpdate) {
         match update {
-            FleetUpdate::Configuration(configuration) => self.take_configuration(configuration),
+            FleetUpdate::Configuration(configuration) => self.apply_configuration(configuration),
             FleetUpdate::Worker(worker) => {
                 let change = self.workers().apply_record(worker.clone(), self.clock.now());
-                log_worker(change, Some(Field::text("address", worker.address)));
+                log_worker_change(change, Some(Field::text("address", worker.address)));
             }
             FleetUpdate::WorkerGone { worker, usable_until } => self.remove_worker(worker, *usable_until),
-            FleetUpdate::WorkerMissing { worker, until } => self.miss_worker(worker, *until),
-            FleetUpdate::ZoneEvacuation { zone, evacuated } => self.evacuate_zone(zone, *evacuated),
+            FleetUpdate::WorkerMissing { worker, until } => self.mark_worker_missing(worker, *until),
+            FleetUpdate::ZoneEvacuation { zone, evacuated } => self.set_zone_evacuation(zone, *evacuated),
             FleetUpdate::Synced => self.is_synced.store(true, Ordering::Relaxed),
-            FleetUpdate::InternalItem(item) => self.take_item(item),
+            FleetUpdate::InternalItem(item) => self.apply_internal_item(item),
             FleetUpdate::Unreadable { detail, worker } => {
                 record(LogEvent::RecordUnreadable, &[Field::text("detail", detail)]);
                 if let Some(worker) = worker {
-                    // Not even as a last resort: what stands there is not its word.
+                    // Removed without a grace period: the worker did not write this record.
                     self.remove_worker(worker, self.clock.now());
                 }
             }
@@ -272,19 +270,19 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    fn take_configuration(&self, configuration: &Arc<GatewayConfiguration>) {
-        let mut known = lock(&self.configuration);
-        // A stale read must never bring an older version back.
-        if known.as_ref().is_some_and(|known| known.version >= configuration.version) {
+    fn apply_configuration(&self, configuration: &Arc<GatewayConfiguration>) {
+        let mut current = lock(&self.configuration);
+        // A stale read must not restore an older version.
+        if current.as_ref().is_some_and(|current| current.version >= configuration.version) {
             return;
         }
         record(LogEvent::ConfigurationInForce, &[Field::number("version", configuration.version)]);
         measures::configuration_in_force(configuration.version);
         self.workers().set_cold_starts(configuration.cold_starts());
-        *known = Some(configuration.clone());
+        *current = Some(configuration.clone());
     }
 
-    fn evacuate_zone(&self, zone: &Arc<str>, evacuated: bool) {
+    fn set_zone_evacuation(&self, zone: &Arc<str>, evacuated: bool) {
         if !self.regions.has_zone(zone) {
             let detail = format!("an order to evacuate the zone {zone}, which is not known");
             return record(LogEvent::RecordUnreadable, &[Field::text("detail", detail)]);
@@ -295,36 +293,36 @@
         }
     }
 
-    fn miss_worker(&self, id: &WorkerId, until: Timestamp) {
+    fn mark_worker_missing(&self, id: &WorkerId, until: Timestamp) {
         let now = self.clock.now();
         let change = self.workers().mark_missing(id, until, now);
-        log_worker(change, Some(Field::number("serves_ms", until.since(now).0)));
+        log_worker_change(change, Some(Field::number("serves_ms", until.since(now).0)));
         self.workers().evict_departed(now);
     }
 
     fn remove_worker(&self, id: &WorkerId, usable_until: Timestamp) {
         let now = self.clock.now();
         let change = self.workers().remove(id, usable_until, now);
-        log_worker(change, None);
+        log_worker_change(change, None);
         self.workers().evict_departed(now);
     }
 
-    fn take_item(&self, item: &MetadataItem) {
+    fn apply_internal_item(&self, item: &MetadataItem) {
         if &*item.key == FOUNDING_KEY {
-            if let Some(founding) = read_record::<FoundingRecord>(item) {
+            if let Some(founding) = parse_record::<FoundingRecord>(item) {
                 self.storage().set_founders(founding.voters.clone());
                 *lock(&self.founding) = Some(founding);
             }
             return;
         }
         if item.key.starts_with(CRASH_KEY_PREFIX) {
-            if let Some(report) = read_record(item) {
+            if let Some(report) = parse_record(item) {
                 self.merge_crashes(&report, false);
             }
             return;
         }
         let Some(name) = item.key.strip_prefix(STORAGE_KEY_PREFIX) else { return };
-        match read_record::<StorageRecord>(item) {
+        match parse_record::<StorageRecord>(item) {
             Some(stored) => {
                 let fields = [Field::text("machine", name), Field::text("node", stored.node)];
                 record(LogEvent::StorageNodeSeen, &fields);
@@ -335,7 +333,7 @@
     }
 }
 
-fn log_cleared(request: &str, digest: RequestDigest, before: CrashCount) {
+fn log_crashes_cleared(request: &str, digest: RequestDigest, before: CrashCount) {
     if before.counted == 0 {
         return;
     }
@@ -348,8 +346,8 @@
     record(LogEvent::CrashesCleared, &fields);
 }
 
-/// What one of the product's own records holds; `None` if it is gone or can't be read, which is logged.
-pub(super) fn read_record<T: DeserializeOwned>(item: &MetadataItem) -> Option<T> {
+/// Parses the value of a JSON record. Returns `None` if the record is absent or invalid; invalid records are logged.
+pub(super) fn parse_record<T: DeserializeOwned>(item: &MetadataItem) -> Option<T> {
     let read = serde_json::from_slice::<T>(item.value()?);
     if let Err(error) = &read {
         let detail = format!("{} at {}: {error}", item.key, item.revision);
@@ -358,12 +356,12 @@
     read.ok()
 }
 
-/// Locks; a panic elsewhere leaves values that are still whole.
+/// Locks a mutex, ignoring poisoning: a panic while a lock is held leaves these values consistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn log_worker(change: Option<WorkerChange>, detail: Option<Field>) {
+fn log_worker_change(change: Option<WorkerChange>, detail: Option<Field>) {
     let (event, id) = match change {
         None => return,
         Some(WorkerChange::Seen(id)) => (LogEvent::WorkerSeen, id),
--- a/crates/gateway/src/fleet/metadata_view.rs
+++ b/crates/gateway/src/fleet/metadata_view.rs
@@ -1,7 +1,7 @@
-//! This node's view of the metadata store, which other nodes may ask for.
+//! This node's view of the metadata store, which is also served to other nodes.
 //!
-//! Owns the mirror and when it was last asked for; [`super::metadata_watch`] keeps it up to date, and the listener for
-//! peers puts other nodes' questions to it.
+//! Owns the mirror and the time of the last request for it. [`super::metadata_watch`] keeps the mirror up to date; the
+//! peer listener forwards other nodes' requests here.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -18,44 +18,40 @@
 
 use crate::clock::NodeClock;
 
-/// Longest time for which an answer is held back, in milliseconds, whatever is asked: no question holds its connection
-/// for ever.
-const LONGEST_HOLD: Millis = Millis(5_000);
-/// What was packed once serves nodes that ask within this time, in milliseconds: where many start at once, packing takes
-/// less time than what it serves.
-const PACKED_LIFETIME: Millis = Millis(500);
+/// Maximum time that a request waits for changes, whatever the caller asks for.
+const MAX_HOLD: Millis = Millis(5_000);
+/// How long packed items are reused, so that many nodes that start at once don't each cause a new packing.
+const PACKED_ITEMS_LIFETIME: Millis = Millis(500);
 
 #[derive(Debug, Default)]
 struct ViewContents {
     mirror: Mirror,
-    /// When another node last asked.
-    asked_at: Option<Timestamp>,
-    /// Since when the store is out of reach.
-    away_since: Option<Timestamp>,
-    /// The items as they were packed last.
+    /// When the last request from another node arrived.
+    last_request_at: Option<Timestamp>,
+    /// Start of the current outage of the store; `None` while it is reachable.
+    unreachable_since: Option<Timestamp>,
     packed: Option<PackedItems>,
 }
 
-/// All items of a view, packed for nodes that can't be told what changed alone.
+/// All items of a view, packed for nodes whose revision is too old for an incremental update.
 #[derive(Clone, Debug)]
 struct PackedItems {
     at: Revision,
-    /// When the view was known to be complete, as far as it was packed.
+    /// When the packed view was last known to be complete.
     confirmed_at: Timestamp,
     packed_at: Timestamp,
     packed: Arc<[u8]>,
 }
 
 impl ViewContents {
-    /// For how long the store has been out of reach.
-    fn away(&self, now: Timestamp) -> Millis {
-        self.away_since.map_or(Millis(0), |since| now.since(since))
+    fn unreachable_for(&self, now: Timestamp) -> Millis {
+        self.unreachable_since.map_or(Millis(0), |since| now.since(since))
     }
 
-    /// All items, packed a moment ago at the earliest; `None` if nothing is known yet.
+    /// Returns all items, packed within the last [`PACKED_ITEMS_LIFETIME`]; `None` before the first read of the store.
     fn packed(&mut self, now: Timestamp) -> Option<PackedItems> {
         let age = self.mirror.age(now)?;
-        let fresh = self.packed.take().filter(|packed| now.since(packed.packed_at) < PACKED_LIFETIME);
+        let fresh = self.packed.take().filter(|packed| now.since(packed.packed_at) < PACKED_ITEMS_LIFETIME);
         let packed = match fresh {
             Some(packed) => packed,
             None => {
@@ -73,32 +69,33 @@
     clock: NodeClock,
     bounds: WatchBounds,
     state: Mutex<ViewContents>,
-    /// Counts changes of the view and confirmations of its age.
+    /// Incremented when the view changes or is confirmed.
     changed: watch::Sender<u64>,
-    /// Notified when another node asks.
-    asked: Notify,
+    /// Notified when a request from another node arrives.
+    request_received: Notify,
 }
 
 impl MetadataView {
-    /// A view that knows nothing yet.
+    /// Creates an empty view.
     pub fn new(clock: NodeClock, bounds: WatchBounds) -> Self {
         let changed = watch::Sender::new(0);
-        Self { clock, bounds, state: Mutex::default(), changed, asked: Notify::new() }
+        Self { clock, bounds, state: Mutex::default(), changed, request_received: Notify::new() }
     }
 
-    /// What the choice of the next call depends on.
+    /// Returns the state that the watch policy bases its next step on.
     pub fn state(&self) -> ViewState {
         let now = self.clock.now();
         let state = self.lock();
-        ViewState { now, at: state.mirror.at(), age: state.mirror.age(now), asked_at: state.asked_at }
+        ViewState { now, at: state.mirror.at(), age: state.mirror.age(now), asked_at: state.last_request_at }
     }
 
-    /// Waits until another node asks.
-    pub async fn asked(&self) {
-        self.asked.notified().await;
+    /// Waits until a request from another node arrives.
+    pub async fn wait_for_request(&self) {
+        self.request_received.notified().await;
     }
 
-    /// Takes all that the store holds. The view was complete at `confirmed`. Returns what is new.
+    /// Replaces the view by the complete contents of the store, which were current at `confirmed`. Returns the items
+    /// that changed.
     pub fn replace(
         &self,
         listed: Vec<MetadataItem>,
@@ -109,7 +106,7 @@
         self.change(confirmed, |mirror| mirror.replace(listed, at, missing))
     }
 
-    /// Takes changes. The view was complete at `confirmed`. Returns what is new.
+    /// Applies changes after which the view was current at `confirmed`. Returns the items that changed.
     pub fn advance(&self, changes: Vec<MetadataItem>, at: Revision, confirmed: Timestamp) -> Vec<MetadataItem> {
         self.change(confirmed, |mirror| mirror.advance(changes, at))
     }
@@ -125,73 +122,73 @@
         changed
     }
 
-    /// For how long the store has been out of this node's reach.
-    pub fn set_unreachable_for(&self, away: Millis) {
+    /// Records how long this node has been unable to reach the store, zero if it is reachable.
+    pub fn set_unreachable_for(&self, duration: Millis) {
         let now = self.clock.now();
-        let since = Timestamp::from_millis(now.as_millis().saturating_sub(away.0));
-        self.lock().away_since = (away > Millis(0)).then_some(since);
+        let since = Timestamp::from_millis(now.as_millis().saturating_sub(duration.0));
+        self.lock().unreachable_since = (duration > Millis(0)).then_some(since);
     }
 
-    /// Answers another node: at once if this view is young and there are changes, else when there are, or the time
-    /// is over.
+    /// Answers another node's request for changes as soon as this view is fresh and has changes, or when the requested
+    /// wait is over.
     ///
     /// # Errors
     ///
-    /// [`GroupRefusal::Busy`]: this node knows nothing yet.
+    /// [`GroupRefusal::Busy`]: this node has not read the store yet.
     pub async fn answer(&self, request: ChangesRequest) -> Result<ChangesAnswer, GroupRefusal> {
-        let begun = self.hold(request).await;
+        let received_at = self.wait_for_changes(request).await;
         let now = self.clock.now();
         let state = self.lock();
         let age = state.mirror.age(now).ok_or(GroupRefusal::Busy)?;
         let changes = state.mirror.changes_since(request.since).ok_or(GroupRefusal::Busy)?;
-        let away = state.away(now);
-        Ok(ChangesAnswer { changes, age, away, held: now.since(begun) })
+        let away = state.unreachable_for(now);
+        Ok(ChangesAnswer { changes, age, away, held: now.since(received_at) })
     }
 
-    /// Answers another node that takes all items packed where the changes alone can't be told.
+    /// Answers another node, with all items packed if this view no longer has the changes since the requested revision.
     ///
     /// # Errors
     ///
-    /// As [`MetadataView::answer`].
+    /// The same as [`MetadataView::answer`].
     pub async fn follow(&self, request: ChangesRequest) -> Result<GroupAnswerBody, GroupRefusal> {
         if self.lock().mirror.knows_changes_since(request.since) {
             return self.answer(request).await.map(GroupAnswerBody::Changes);
         }
-        let begun = self.clock.now();
-        self.note_question(begun);
+        let received_at = self.clock.now();
+        self.record_request(received_at);
         let mut state = self.lock();
-        let contents = state.packed(begun).ok_or(GroupRefusal::Busy)?;
-        let (age, away) = (begun.since(contents.confirmed_at), state.away(begun));
+        let contents = state.packed(received_at).ok_or(GroupRefusal::Busy)?;
+        let (age, away) = (received_at.since(contents.confirmed_at), state.unreachable_for(received_at));
         let answer = ContentsAnswer { at: contents.at, age, away, held: Millis(0), packed: contents.packed };
         Ok(GroupAnswerBody::Contents(answer))
     }
 
-    /// Waits until there is something to answer, or the time is over. Returns when that began.
-    async fn hold(&self, request: ChangesRequest) -> Timestamp {
-        let begun = self.clock.now();
-        self.note_question(begun);
-        let hold = Duration::from_millis(request.hold.min(LONGEST_HOLD).0);
+    /// Waits for changes, up to the requested time. Returns when the request arrived.
+    async fn wait_for_changes(&self, request: ChangesRequest) -> Timestamp {
+        let received_at = self.clock.now();
+        self.record_request(received_at);
+        let hold = Duration::from_millis(request.hold.min(MAX_HOLD).0);
         let mut changes = self.changed.subscribe();
         let has_changes = |_: &u64| self.has_changes(request.since);
-        // Whatever is known by then is the answer.
+        // After a timeout the caller answers with the current state.
         let _ = tokio::time::timeout(hold, changes.wait_for(has_changes)).await;
-        begun
+        received_at
     }
 
-    fn note_question(&self, now: Timestamp) {
-        self.lock().asked_at = Some(now);
-        self.asked.notify_one();
+    fn record_request(&self, now: Timestamp) {
+        self.lock().last_request_at = Some(now);
+        self.request_received.notify_one();
     }
 
     fn has_changes(&self, since: Revision) -> bool {
         let now = self.clock.now();
         let state = self.lock();
-        let is_young = state.mirror.age(now).is_some_and(|age| age < self.bounds.max_relay_age());
-        is_young && state.mirror.at() > Some(since)
+        let is_fresh = state.mirror.age(now).is_some_and(|age| age < self.bounds.max_relay_age());
+        is_fresh && state.mirror.at() > Some(since)
     }
 
     fn lock(&self) -> MutexGuard<'_, ViewContents> {
-        // A panic elsewhere leaves a view that is still whole.
+        // A panic while the lock is held leaves the view consistent.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/gateway/src/fleet/metadata_watch.rs
+++ b/crates/gateway/src/fleet/metadata_watch.rs
@@ -1,7 +1,7 @@
-//! Keeping this node's view of the metadata store up to date, through relays or by calls of its own.
+//! Keeps this node's view of the metadata store up to date, through relays or by calling the store directly.
 //!
-//! Owns the calls, and the log lines of whom the node follows. Where the next changes come from and how long a call may
-//! take is decided by [`WatchPolicy`].
+//! Performs the calls and logs which relay the node follows. [`WatchPolicy`] decides where to get the next changes from
+//! and how long a call may take.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 use crate::observe::journal::{Field, record};
 use crate::observe::measures;
 
-/// Follows the store's changes.
+/// Follows the store's changes and publishes them as fleet updates.
 pub struct MetadataWatch {
     id: NodeId,
     store: Arc<dyn MetadataStore>,
@@ -34,16 +34,16 @@
     view: Arc<MetadataView>,
     relay_calls: RelayCalls,
     policy: WatchPolicy,
-    /// Not bounded: its receiver applies updates in memory and waits for nothing, so no more wait than one answer has.
+    /// Unbounded: the receiver applies updates without blocking, so the queue never exceeds the items of one answer.
     updates: UnboundedSender<FleetUpdate>,
-    /// The relay that the last changes came from.
-    followed: Option<NodeId>,
+    /// The relay that provides the changes, if any.
+    followed_relay: Option<NodeId>,
     role: WatchRole,
     is_synced: bool,
 }
 
 impl MetadataWatch {
-    /// A watch that has read nothing yet.
+    /// Creates a watch that has not read the store yet.
     pub fn new(
         id: NodeId,
         store: Arc<dyn MetadataStore>,
@@ -53,74 +53,74 @@
         updates: UnboundedSender<FleetUpdate>,
     ) -> Self {
         let (relay_calls, policy) = (RelayCalls::new(id, fleet.clock), WatchPolicy::new(bounds));
-        let (followed, role, is_synced) = (None, WatchRole::Standalone, false);
-        Self { id, store, fleet, view, relay_calls, policy, updates, followed, role, is_synced }
+        let (followed_relay, role, is_synced) = (None, WatchRole::Standalone, false);
+        Self { id, store, fleet, view, relay_calls, policy, updates, followed_relay, role, is_synced }
     }
 
-    /// Sends what the store holds and each change of it, until the receiver is gone.
+    /// Sends the store's contents and then each change, until the receiver is dropped.
     pub async fn run(mut self) {
         while !self.updates.is_closed() {
             let state = self.view.state();
             let RelayPlan { tier, relays } = plan_relays(&self.fleet.storage(), &self.fleet.zone, self.id);
             self.policy.set_tier(tier);
-            self.enter(self.policy.role(state, &relays));
+            self.set_role(self.policy.role(state, &relays));
             measures::view_age(state.age.unwrap_or_default());
             match self.policy.next(state, &relays) {
-                WatchStep::AskRelay { relay, hold, timeout } => self.ask_relay(relay, state.at, hold, timeout).await,
-                WatchStep::DiscoverRelays => self.seek_relays().await,
+                WatchStep::AskRelay { relay, hold, timeout } => self.query_relay(relay, state.at, hold, timeout).await,
+                WatchStep::DiscoverRelays => self.discover_relays().await,
                 WatchStep::ListStore => self.list_store().await,
                 WatchStep::WatchStore { since, wait } => self.watch_store(since, wait).await,
                 WatchStep::Wait(span) => {
-                    // A question ends the rest early.
-                    let _ = self.until_asked(tokio::time::sleep(as_duration(span))).await;
+                    // A request from another node ends the wait early.
+                    let _ = self.run_until_requested(tokio::time::sleep(as_duration(span))).await;
                 }
             }
             self.view.set_unreachable_for(self.policy.away(self.fleet.clock.now()));
         }
     }
 
-    fn enter(&mut self, role: WatchRole) {
+    fn set_role(&mut self, role: WatchRole) {
         if role == WatchRole::Relay && self.role != WatchRole::Relay {
             record(LogEvent::RelayServing, &[]);
-            self.followed = None;
+            self.followed_relay = None;
         }
         self.role = role;
     }
 
-    /// Waits for a call. A node whose role yields to questions breaks off when it is asked.
-    async fn until_asked<T>(&self, call: impl Future<Output = T>) -> Option<T> {
+    /// Waits for a call. Returns `None` if a request from another node arrives first and the role yields to requests.
+    async fn run_until_requested<T>(&self, call: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             answer = call => Some(answer),
-            () = self.view.asked(), if self.role.yields_to_requests() => None,
+            () = self.view.wait_for_request(), if self.role.yields_to_requests() => None,
         }
     }
 
-    async fn ask_relay(&mut self, relay: NodeId, since: Option<Revision>, hold: Millis, timeout: Millis) {
-        let asked_at = self.fleet.clock.now();
+    async fn query_relay(&mut self, relay: NodeId, since: Option<Revision>, hold: Millis, timeout: Millis) {
+        let requested_at = self.fleet.clock.now();
         let address = self.fleet.storage().of_node(relay).map(|record| record.address);
         let Some(address) = address else {
-            return self.leave(relay, asked_at, "no address");
+            return self.handle_relay_failure(relay, requested_at, "no address");
         };
-        // Without a view, everything since the beginning is wanted.
+        // Without a view, requests all changes from the first revision on.
         let since = since.unwrap_or_default();
         let request = ChangesRequest { since, hold };
         let call = self.relay_calls.send_request(relay, address, request, as_duration(timeout));
-        let Some(answered) = self.until_asked(call).await else { return };
+        let Some(result) = self.run_until_requested(call).await else { return };
         let now = self.fleet.clock.now();
-        match answered {
-            Ok(answer) if answer.is_valid_for(since) => self.take_answer(relay, answer, asked_at),
+        match result {
+            Ok(answer) if answer.is_valid_for(since) => self.apply_answer(relay, answer, requested_at),
             Ok(answer) => {
                 let detail =
                     format!("changes from {:?} to {}, asked from {since}", answer.changes.base, answer.changes.at);
                 record(LogEvent::MessageRefused, &[Field::text("peer", address), Field::text("detail", detail)]);
-                self.leave(relay, now, "unsound answer");
+                self.handle_relay_failure(relay, now, "unsound answer");
             }
-            Err(why) => self.leave(relay, now, &why),
+            Err(reason) => self.handle_relay_failure(relay, now, &reason),
         }
     }
 
-    /// Reads which storing nodes there are. What else the store holds comes from them.
-    async fn seek_relays(&mut self) {
+    /// Reads the records of storage nodes, which can then serve as relays for everything else in the store.
+    async fn discover_relays(&mut self) {
         let begun = self.fleet.clock.now();
         measures::store_call("seek");
         match self.store.storage_records().await {
@@ -134,43 +134,43 @@
         }
     }
 
-    fn take_answer(&mut self, relay: NodeId, answer: ChangesAnswer, asked_at: Timestamp) {
+    fn apply_answer(&mut self, relay: NodeId, answer: ChangesAnswer, requested_at: Timestamp) {
         let grace = self.policy.record_grace(self.view.state());
-        let is_young = self.policy.relay_answered(relay, &answer, self.fleet.clock.now());
-        let confirmed = answer.confirmed_at(asked_at);
+        let is_fresh = self.policy.relay_answered(relay, &answer, self.fleet.clock.now());
+        let confirmed = answer.confirmed_at(requested_at);
         let ChangesAnswer { changes, age, away, .. } = answer;
         let changed = match changes.base {
             Some(_) => self.view.advance(changes.items, changes.at, confirmed),
             None => self.view.replace(changes.items, changes.at, MissingKeys::Removed, confirmed),
         };
         self.publish(&changed, &grace);
-        self.note_synced();
-        if is_young && self.followed != Some(relay) {
+        self.report_synced();
+        if is_fresh && self.followed_relay != Some(relay) {
             record(LogEvent::RelayFollowed, &[Field::text("relay", relay), Field::number("age_ms", age.0)]);
-            self.followed = Some(relay);
-        } else if !is_young && self.followed == Some(relay) {
-            self.log_left(
+            self.followed_relay = Some(relay);
+        } else if !is_fresh && self.followed_relay == Some(relay) {
+            self.log_relay_left(
                 relay,
                 &format!("its view is {} ms old, the store out of its reach for {} ms", age.0, away.0),
             );
         }
     }
 
-    fn leave(&mut self, relay: NodeId, now: Timestamp, why: &str) {
+    fn handle_relay_failure(&mut self, relay: NodeId, now: Timestamp, reason: &str) {
         if self.view.state().at.is_none() {
             return self.policy.first_view_failed(relay, now);
         }
         self.policy.relay_failed(relay, now);
-        if self.followed == Some(relay) {
-            self.log_left(relay, why);
+        if self.followed_relay == Some(relay) {
+            self.log_relay_left(relay, reason);
         }
     }
 
-    fn log_left(&mut self, relay: NodeId, why: &str) {
+    fn log_relay_left(&mut self, relay: NodeId, reason: &str) {
         let age = self.view.state().age.unwrap_or_default();
-        let fields = [Field::text("relay", relay), Field::text("detail", why), Field::number("age_ms", age.0)];
+        let fields = [Field::text("relay", relay), Field::text("detail", reason), Field::number("age_ms", age.0)];
         record(LogEvent::RelayLeft, &fields);
-        self.followed = None;
+        self.followed_relay = None;
     }
 
     async fn list_store(&mut self) {
@@ -182,14 +182,14 @@
                 self.store_answered();
                 let changed = self.view.replace(items, at, grace.missing_keys(), begun);
                 self.publish(&changed, &grace);
-                self.note_synced();
+                self.report_synced();
             }
             Err(failure) => self.store_failed(failure, begun),
         }
     }
 
-    /// All that the store holds is known; says so the first time.
-    fn note_synced(&mut self) {
+    /// Sends [`FleetUpdate::Synced`] after the first complete read of the store.
+    fn report_synced(&mut self) {
         if !self.is_synced {
             self.is_synced = true;
             self.send(FleetUpdate::Synced);
@@ -200,7 +200,7 @@
         let begun = self.fleet.clock.now();
         measures::store_call("watch");
         let store = self.store.clone();
-        let Some(result) = self.until_asked(store.changes(since, wait)).await else { return };
+        let Some(result) = self.run_until_requested(store.changes(since, wait)).await else { return };
         match result {
             Ok(ItemSnapshot { items, at }) => {
                 let grace = self.policy.record_grace(self.view.state());
@@ -242,7 +242,7 @@
     }
 
     fn send(&self, update: FleetUpdate) {
-        // The receiver is gone only when the process ends.
+        // The receiver is dropped only at shutdown.
         let _ = self.updates.send(update);
     }
 }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,15 +1,15 @@
-//! What this node knows of the fleet, and how it keeps that up to date.
+//! This node's view of the fleet and the tasks that keep it up to date.
 //!
-//! Relies on the adapter for the store's calls and the meaning of its items, on [`crate::peers`] for relays, and on
-//! [`stallmoor_core::serving::relay`] for each decision.
+//! Uses the adapter to call the store and interpret its items, [`crate::peers`] to call relays, and
+//! [`stallmoor_core::serving::relay`] for decisions.
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! |---|---|
-//! | [`crash_reports`] | telling other nodes under which requests workers died |
-//! | [`fleet_view`] | the configuration in force, the workers, the storing nodes |
-//! | [`metadata_view`] | the metadata store's contents as this node knows them, which other nodes may ask for |
-//! | `relay_calls` | calls of relays, of this version and the one before |
-//! | [`metadata_watch`] | following the store, itself or through a relay |
+//! | [`crash_reports`] | publishing this machine's record of worker crashes |
+//! | [`fleet_view`] | the active configuration, the workers and the storage nodes |
+//! | [`metadata_view`] | this node's mirror of the metadata store, which it serves to other nodes |
+//! | `relay_calls` | requests to relays of this version and the previous one |
+//! | [`metadata_watch`] | following the store, directly or through a relay |
 
 pub mod crash_reports;
 pub mod fleet_view;
--- a/crates/gateway/src/fleet/relay_calls.rs
+++ b/crates/gateway/src/fleet/relay_calls.rs
@@ -1,7 +1,7 @@
-//! Calls of relays, of this version and the one before.
+//! Requests to relays of this version and the previous one.
 //!
-//! Owns the links to relays, and which of them know only the older question. A relay of the version before closes the
-//! connection on a question that it can't read; it is then asked the older one for a while.
+//! Owns the links to relays and the set of those that support only the legacy request. A relay of the previous version
+//! closes the connection on a request that it can't decode; it then gets the legacy request for a while.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,61 +15,60 @@
 use crate::clock::NodeClock;
 use crate::peers::peer_link::{FollowAnswer, FollowRequest, PeerCallError, PeerLinks};
 
-/// A relay that gave no answer is asked the older question for this long, in milliseconds: it may be of the version
-/// before, and will be replaced.
-const OLDER_QUESTION_FOR: Millis = Millis(60_000);
+/// How long a relay that did not answer gets the legacy request, as it may still run the previous version.
+const LEGACY_REQUEST_PERIOD: Millis = Millis(60_000);
 
-/// The calls of one node.
+/// Client for this node's requests to relays.
 pub(super) struct RelayCalls {
     links: PeerLinks,
     clock: NodeClock,
-    /// Relays that are asked the older question, and until when.
-    older: Mutex<BTreeMap<NodeId, Timestamp>>,
+    /// Relays that get the legacy request, and until when.
+    legacy_relays: Mutex<BTreeMap<NodeId, Timestamp>>,
 }
 
 impl RelayCalls {
     pub(super) fn new(id: NodeId, clock: NodeClock) -> Self {
-        Self { links: PeerLinks::new(id), clock, older: Mutex::default() }
+        Self { links: PeerLinks::new(id), clock, legacy_relays: Mutex::default() }
     }
 
-    /// Asks a relay for changes.
+    /// Requests changes from a relay.
     ///
     /// # Errors
     ///
-    /// Why there is no answer, for the log.
+    /// The reason for the missing answer, as a text for the log.
     pub(super) async fn send_request(
         &self,
         relay: NodeId,
         address: SocketAddr,
         request: ChangesRequest,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<ChangesAnswer, String> {
         let now = self.clock.now();
-        if self.older().get(&relay).is_some_and(|until| now < *until) {
-            return self.links.send_request(address, request, within).await.map_err(describe);
+        if self.legacy_relays().get(&relay).is_some_and(|until| now < *until) {
+            return self.links.send_request(address, request, timeout).await.map_err(describe);
         }
-        match self.links.send_request(address, FollowRequest(request), within).await {
+        match self.links.send_request(address, FollowRequest(request), timeout).await {
             Ok(FollowAnswer::Changes(answer)) => Ok(answer),
             Ok(FollowAnswer::Contents(contents)) => contents.unpack().map_err(|error| error.to_string()),
-            Err(failure) => {
-                if failure == PeerCallError::NoAnswer {
-                    self.older().insert(relay, now + OLDER_QUESTION_FOR);
+            Err(error) => {
+                if error == PeerCallError::NoAnswer {
+                    self.legacy_relays().insert(relay, now + LEGACY_REQUEST_PERIOD);
                 }
-                Err(describe(failure))
+                Err(describe(error))
             }
         }
     }
 }
 
 impl RelayCalls {
-    fn older(&self) -> MutexGuard<'_, BTreeMap<NodeId, Timestamp>> {
-        self.older.lock().unwrap_or_else(PoisonError::into_inner)
+    fn legacy_relays(&self) -> MutexGuard<'_, BTreeMap<NodeId, Timestamp>> {
+        self.legacy_relays.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn describe(failure: PeerCallError) -> String {
-    match failure {
+fn describe(error: PeerCallError) -> String {
+    match error {
         PeerCallError::Refused(refusal) => format!("{refusal:?}"),
-        failure => format!("{failure:?}"),
+        error => format!("{error:?}"),
     }
 }
--- a/crates/gateway/src/leader/load_exchange.rs
+++ b/crates/gateway/src/leader/load_exchange.rs
@@ -21,17 +21,17 @@
     let mut schedule = LoadSchedule::default();
     let exchange = LoadExchange { view: view.clone(), jobs, links: PeerLinks::new(id) };
     loop {
-        let own = local_report(&view, &mut rate);
+        let local_load = local_report(&view, &mut rate);
         let partner = schedule.partner(&view.storage(), &view.zone, id, view.clock.now());
-        match exchange.exchange(partner, own.clone()).await {
-            Some(gathered) => {
-                schedule.answered(partner, &gathered);
-                view.workers().apply_report(&gathered, view.clock.now());
-                view.record_gateway_count(gathered.nodes + 1);
+        match exchange.exchange(partner, local_load.clone()).await {
+            Some(loads) => {
+                schedule.answered(partner, &loads);
+                view.workers().apply_report(&loads, view.clock.now());
+                view.record_gateway_count(loads.nodes + 1);
             }
             None => schedule.failed(partner, view.clock.now()),
         }
-        tokio::time::sleep(Duration::from_millis(schedule.wait_after(&own).0)).await;
+        tokio::time::sleep(Duration::from_millis(schedule.wait_after(&local_load).0)).await;
     }
 }
 
@@ -52,28 +52,28 @@
 
 impl LoadExchange {
     /// Reports this node's loads. Returns those of all others; `None` if there is no answer.
-    async fn exchange(&self, partner: LoadPartner, own: LoadReport) -> Option<LoadReport> {
+    async fn exchange(&self, partner: LoadPartner, local_load: LoadReport) -> Option<LoadReport> {
         match partner {
-            LoadPartner::Leader => self.ask_leader(own).await,
-            LoadPartner::Aggregator(aggregator) => self.ask_aggregator(aggregator, own).await,
+            LoadPartner::Leader => self.report_to_leader(local_load).await,
+            LoadPartner::Aggregator(aggregator) => self.report_to_aggregator(aggregator, local_load).await,
         }
     }
 
-    async fn ask_leader(&self, own: LoadReport) -> Option<LoadReport> {
+    async fn report_to_leader(&self, local_load: LoadReport) -> Option<LoadReport> {
         let until = self.view.clock.now() + EXCHANGE_TIMEOUT;
-        match self.jobs.client.send_request(JobsRequest::ReportLoad(own), until).await {
-            Ok(JobsAnswer::Loads(gathered)) => Some(gathered),
+        match self.jobs.client.send_request(JobsRequest::ReportLoad(local_load), until).await {
+            Ok(JobsAnswer::Loads(loads)) => Some(loads),
             // The client has logged a wrong answer; without a leader loads age out.
             Ok(_) | Err(_) => None,
         }
     }
 
-    async fn ask_aggregator(&self, aggregator: NodeId, own: LoadReport) -> Option<LoadReport> {
+    async fn report_to_aggregator(&self, aggregator: NodeId, local_load: LoadReport) -> Option<LoadReport> {
         let address = self.view.storage().of_node(aggregator).map(|record| record.address)?;
-        let within = Duration::from_millis(EXCHANGE_TIMEOUT.0);
-        let request = JobsRequest::AggregateLoad(own);
-        match self.links.send_request(address, request.clone(), within).await {
-            Ok(JobsAnswer::Loads(gathered)) => Some(gathered),
+        let timeout = Duration::from_millis(EXCHANGE_TIMEOUT.0);
+        let request = JobsRequest::AggregateLoad(local_load);
+        match self.links.send_request(address, request.clone(), timeout).await {
+            Ok(JobsAnswer::Loads(loads)) => Some(loads),
             Ok(answer) => {
                 log_unexpected(address, &request, &answer);
                 None
--- a/crates/gateway/src/leader/rate_limits.rs
+++ b/crates/gateway/src/leader/rate_limits.rs
@@ -53,7 +53,7 @@
         }
         match admission {
             Admission::Admitted | Admission::AwaitLevel => Ok(()),
-            Admission::Refused(over) => Err(refuse(tenant, over)),
+            Admission::Refused(over_limit) => Err(rate_refusal(tenant, over_limit)),
         }
     }
 
@@ -62,12 +62,12 @@
     }
 
     fn decide(&self, tenant: &TenantName, limit: RateLimit, has_waited: bool) -> Admission {
-        let drawn = self.view.random().random();
-        let ask = AdmissionRequest { tenant, limit, has_waited };
+        let random = self.view.random().random();
+        let request = AdmissionRequest { tenant, limit, has_waited };
         let now = self.view.clock.now();
         let mut limiter = self.limiter();
         limiter.record_gateway_count(self.view.gateways(), now);
-        limiter.admit(&ask, drawn, now)
+        limiter.admit(&request, random, now)
     }
 
     fn limiter(&self) -> MutexGuard<'_, RateLimiter> {
@@ -75,13 +75,13 @@
     }
 
     /// The report that is due, if there is one.
-    fn due_report(&self, last: Timestamp) -> Option<QuotaReport> {
+    fn due_report(&self, last_report_at: Timestamp) -> Option<QuotaReport> {
         let now = self.view.clock.now();
-        self.limiter().due_report(last, now)
+        self.limiter().due_report(last_report_at, now)
     }
 
     /// Waits until a report may be due.
-    async fn rest(&self) {
+    async fn wait_until_report_due(&self) {
         let is_idle = self.limiter().is_idle();
         tokio::select! {
             () = self.report_needed.notified() => {}
@@ -93,13 +93,13 @@
 /// Exchanges with the leader until the process ends.
 pub async fn exchange_limits(limits: Arc<RateLimits>, jobs: Arc<JobCalls>) {
     let clock = limits.view.clock;
-    let mut last = Timestamp::default();
+    let mut last_report_at = Timestamp::default();
     loop {
-        limits.rest().await;
-        let Some(report) = limits.due_report(last) else { continue };
-        last = clock.now();
+        limits.wait_until_report_due().await;
+        let Some(report) = limits.due_report(last_report_at) else { continue };
+        last_report_at = clock.now();
         let request = JobsRequest::ReportQuota(report.clone());
-        match jobs.client.send_request(request, last + REPORT_TIMEOUT).await {
+        match jobs.client.send_request(request, last_report_at + REPORT_TIMEOUT).await {
             // Its levels count from the answer's arrival.
             Ok(JobsAnswer::Quota(levels)) => limits.limiter().apply(&report, &levels, clock.now()),
             // The gateway's own part of the limits has to do. The client has logged a wrong answer.
@@ -109,9 +109,9 @@
     }
 }
 
-fn refuse(tenant: &TenantName, over: OverLimit) -> Refusal {
+fn rate_refusal(tenant: &TenantName, over_limit: OverLimit) -> Refusal {
     measures::rate_refused();
-    let age = over.age.map_or_else(|| "never told".to_owned(), |age| format!("told {} ms ago", age.0));
-    let detail = format!("the tenant {tenant} has {:.2} requests left at this gateway, {age}", over.remaining);
-    Refusal::new(ErrorKind::RateExceeded, detail).with_retry_after(over.retry_after.0)
+    let age = over_limit.age.map_or_else(|| "never told".to_owned(), |age| format!("told {} ms ago", age.0));
+    let detail = format!("the tenant {tenant} has {:.2} requests left at this gateway, {age}", over_limit.remaining);
+    Refusal::new(ErrorKind::RateExceeded, detail).with_retry_after(over_limit.retry_after.0)
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,28 +1,28 @@
-//! The programs `stallmoor gateway` and `stallmoor storage`: serving requests and batch jobs that pass through
-//! unchanged, on the platform of the users.
+//! The programs `stallmoor gateway` and `stallmoor storage`, which serve online requests and batch jobs on the users'
+//! platform and forward their contents unchanged.
 //!
-//! A gateway takes callers' requests and passes them to workers; a storing node keeps batch jobs and, while it leads,
-//! runs their items. Decisions are in [`stallmoor_core::serving`]; this crate has the sockets, clocks and disks. How
-//! callers, workers and the metadata store spell things is known to an adapter alone ([`adapter`]).
+//! A gateway forwards callers' requests to workers. A storage node stores batch jobs and, while it is the leader, runs
+//! their items. [`stallmoor_core::serving`] makes the decisions; this crate performs the I/O on sockets, clocks and
+//! disks. Only an [`adapter`] knows the formats of callers, workers and the metadata store.
 //!
-//! A room relies only on those above it, but for one: the exchanges of [`leader`] use the way to the leader that
-//! [`batch`] keeps ([`batch::job_calls::JobCalls`]).
+//! Each module depends only on those above it in the table, with one exception: [`leader`] uses the leader client of
+//! [`batch`] ([`batch::job_calls::JobCalls`]).
 //!
-//! | room | owns |
+//! | module | responsibility |
 //! |---|---|
-//! | [`sockets`], [`clock`] | how sockets are set up and connections accepted; the two clocks of a node |
-//! | [`http`] | answers, refusals and plain listeners |
+//! | [`sockets`], [`clock`] | socket options, listening and accepting; a node's clocks |
+//! | [`http`] | answers, refusals and plain HTTP listeners |
 //! | [`observe`] | log lines and metrics |
-//! | [`adapter`] | what an adapter to a platform brings |
+//! | [`adapter`] | the interface that a platform adapter implements |
 //! | [`peers`] | messages between nodes |
-//! | [`fleet`] | what this node knows of the fleet |
-//! | [`leader`] | what a node exchanges with the leader of the job table |
-//! | [`workers`] | talking to workers |
-//! | [`online`] | a request from its admission to the last byte of its answer |
-//! | [`batch`] | callers' calls about batch jobs |
-//! | [`callers`] | the callers' listener |
-//! | [`storage`] | a storing node at work |
-//! | [`process`] | a process put together: settings, signals, start, stop, reload |
+//! | [`fleet`] | this node's view of the fleet |
+//! | [`leader`] | exchanges with the leader of the job table |
+//! | [`workers`] | connections and requests to workers |
+//! | [`online`] | online requests, from admission to the last byte of the answer |
+//! | [`batch`] | callers' requests about batch jobs |
+//! | [`callers`] | the listener for callers |
+//! | [`storage`] | the storage node |
+//! | [`process`] | process setup: settings, signals, startup, shutdown, reload |
 
 pub mod adapter;
 pub mod batch;
--- a/crates/gateway/src/peers/frames.rs
+++ b/crates/gateway/src/peers/frames.rs
@@ -29,8 +29,8 @@
     }
     // Read piece by piece, so that a length without bytes behind it costs no memory.
     let mut frame = Vec::new();
-    let mut limited = reader.take(length as u64);
-    limited.read_to_end(&mut frame).await?;
+    let mut limited_reader = reader.take(length as u64);
+    limited_reader.read_to_end(&mut frame).await?;
     if frame.len() < length {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
--- a/crates/gateway/src/peers/peer_link.rs
+++ b/crates/gateway/src/peers/peer_link.rs
@@ -29,7 +29,7 @@
 pub const JOBS_GROUP: GroupId = GroupId(0);
 /// Most messages that wait for one peer: bounds memory. What doesn't fit is dropped, and sent again by whoever needs
 /// it.
-const QUEUE: usize = 1_024;
+const QUEUE_CAPACITY: usize = 1_024;
 /// How long a connection attempt may take, in milliseconds: messages to a machine that is gone are given up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long a write may take before the connection is given up, in seconds: messages to a machine that stands still.
@@ -57,7 +57,7 @@
     fn into_body(self) -> GroupRequestBody;
 
     /// The answer in a message's body; `None` if it is of another kind.
-    fn answer_of(body: GroupAnswerBody) -> Option<Self::Answer>;
+    fn answer_from_body(body: GroupAnswerBody) -> Option<Self::Answer>;
 }
 
 impl PeerRequest for JobsRequest {
@@ -67,7 +67,7 @@
         GroupRequestBody::Jobs(self)
     }
 
-    fn answer_of(body: GroupAnswerBody) -> Option<JobsAnswer> {
+    fn answer_from_body(body: GroupAnswerBody) -> Option<JobsAnswer> {
         if let GroupAnswerBody::Jobs(answer) = body { Some(answer) } else { None }
     }
 }
@@ -92,7 +92,7 @@
         GroupRequestBody::Follow(self.0)
     }
 
-    fn answer_of(body: GroupAnswerBody) -> Option<FollowAnswer> {
+    fn answer_from_body(body: GroupAnswerBody) -> Option<FollowAnswer> {
         match body {
             GroupAnswerBody::Changes(answer) => Some(FollowAnswer::Changes(answer)),
             GroupAnswerBody::Contents(answer) => Some(FollowAnswer::Contents(answer)),
@@ -108,7 +108,7 @@
         GroupRequestBody::Changes(self)
     }
 
-    fn answer_of(body: GroupAnswerBody) -> Option<ChangesAnswer> {
+    fn answer_from_body(body: GroupAnswerBody) -> Option<ChangesAnswer> {
         if let GroupAnswerBody::Changes(answer) = body { Some(answer) } else { None }
     }
 }
@@ -194,10 +194,10 @@
         &self,
         to: SocketAddr,
         request: R,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<R::Answer, PeerCallError> {
-        let body = self.exchange(to, request.into_body(), within).await?;
-        R::answer_of(body).ok_or_else(|| {
+        let body = self.exchange(to, request.into_body(), timeout).await?;
+        R::answer_from_body(body).ok_or_else(|| {
             // It counts as none; the line tells a faulty peer from a silent one.
             let detail = "an answer that does not belong to its request";
             record(LogEvent::MessageRefused, &[Field::text("peer", to), Field::text("detail", detail)]);
@@ -209,7 +209,7 @@
         &self,
         to: SocketAddr,
         body: GroupRequestBody,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<GroupAnswerBody, PeerCallError> {
         let id = self.next_id();
         let message = PeerMessage::GroupRequest(GroupRequest { id, from: self.id, group: JOBS_GROUP, body });
@@ -218,11 +218,11 @@
         let (answer_sender, answer) = oneshot::channel();
         let (sent_sender, mut sent) = oneshot::channel();
         lock(&link.pending).insert(id, answer_sender);
-        let _forget = ForgetPending { pending: link.pending.clone(), id };
+        let _pending_guard = PendingGuard { pending: link.pending.clone(), id };
         if link.queue.try_send(Outgoing { frame, sent: Some(sent_sender) }).is_err() {
             return Err(PeerCallError::NotSent);
         }
-        match tokio::time::timeout(within, answer).await {
+        match tokio::time::timeout(timeout, answer).await {
             Ok(Ok(GroupAnswer { result, .. })) => result.map_err(PeerCallError::Refused),
             _ => {
                 // Refuse to send it any more, unless it has gone already.
@@ -254,12 +254,12 @@
 }
 
 /// Forgets a request whose asker does not wait any more.
-struct ForgetPending {
+struct PendingGuard {
     pending: Pending,
     id: u64,
 }
 
-impl Drop for ForgetPending {
+impl Drop for PendingGuard {
     fn drop(&mut self) {
         lock(&self.pending).remove(&self.id);
     }
@@ -270,7 +270,7 @@
 }
 
 fn open_link(key: LinkKey) -> Arc<Link> {
-    let (queue, receiver) = mpsc::channel(QUEUE);
+    let (queue, receiver) = mpsc::channel(QUEUE_CAPACITY);
     let pending = Pending::default();
     tokio::spawn(run_link(key, receiver, pending.clone()));
     Arc::new(Link { queue, pending })
@@ -295,10 +295,10 @@
 async fn read_answers(mut reader: BufReader<tokio::net::tcp::OwnedReadHalf>, pending: Pending) {
     while let Ok(message) = read_message(&mut reader).await {
         if let PeerMessage::GroupAnswer(answer) = message
-            && let Some(waiting) = lock(&pending).remove(&answer.id)
+            && let Some(sender) = lock(&pending).remove(&answer.id)
         {
             // Whoever waited may have left.
-            let _ = waiting.send(answer);
+            let _ = sender.send(answer);
         }
     }
 }
@@ -313,8 +313,8 @@
             let mut next = Some(first);
             while let Some(outgoing) = next {
                 // One that is not awaited any more must not be sent: its asker counts it as not sent.
-                let is_awaited = outgoing.sent.is_none_or(|sent| sent.send(()).is_ok());
-                if is_awaited {
+                let is_pending = outgoing.sent.is_none_or(|sent| sent.send(()).is_ok());
+                if is_pending {
                     write_frame(&mut writer, &outgoing.frame).await?;
                 }
                 next = queue.try_recv().ok();
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -1,40 +1,38 @@
-//! How the sockets of a node are set up, so that a peer that is gone without a word is found out by the system, and how
-//! connections are accepted.
+//! Socket options by which the operating system detects unresponsive peers, and accepting connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// How long sent bytes may stay unacknowledged before the connection counts as dead, in milliseconds: requests on a
-/// connection whose peer is gone end.
-const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// A connection without traffic is probed after this long, and as often, in seconds: idle connections whose peer is
-/// gone are closed.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a connection counts as dead.
-const PROBES: u32 = 2;
-/// Connections that wait to be accepted: a burst of callers isn't refused.
+/// How long sent data may remain unacknowledged before the connection is closed, so that requests to an unreachable peer
+/// fail.
+const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Idle time before the first keepalive probe, and the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered keepalive probes after which a connection is closed.
+const KEEPALIVE_PROBES: u32 = 2;
+/// Maximum number of connections waiting to be accepted, large enough for bursts of callers.
 const BACKLOG: u32 = 1_024;
-/// The wait after a failed accept, so that a process that is out of descriptors doesn't spin.
-const ACCEPT_WAIT: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, so that a process without free file descriptors doesn't spin.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A connection that finds out by itself that its peer is silent.
+/// Opens a connection that is closed by the operating system when the peer stops responding.
 ///
 /// # Errors
 ///
-/// The peer can't be reached.
+/// The peer is unreachable or refuses the connection.
 pub async fn connect_tuned(address: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = new_socket(address)?;
-    tune(&socket)?;
+    set_options(&socket)?;
     socket.connect(address).await
 }
 
-/// A listener whose address may be taken again right after the process ends.
+/// Opens a listener whose address can be reused immediately after the process ends.
 ///
 /// # Errors
 ///
-/// The address is in use, or not this machine's.
+/// The address is in use or does not belong to this machine.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = new_socket(address)?;
     socket.set_reuseaddr(true)?;
@@ -42,21 +40,21 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts the next connection. Where that fails, since the process is out of descriptors or the connection broke before,
-/// it is tried again after a short wait, for as long as it takes.
+/// Accepts the next connection. Failures, for example a lack of file descriptors or a connection that was already reset,
+/// are retried indefinitely after a short delay.
 pub async fn accept_next(listener: &TcpListener) -> TcpStream {
     let mut has_failed = false;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
             Err(error) => {
-                // None of the numbered events is about the process's own limits, so this is a plain line. One of a row
-                // is enough: without descriptors each try fails.
+                // A plain log line, as there is no numbered event for process limits. Only the first failure in a row
+                // is logged, since every accept fails while no descriptors are free.
                 if !has_failed {
-                    log::warn!("a connection could not be accepted, and further tries are not logged: {error}");
+                    log::warn!("failed to accept a connection, retrying without further log lines: {error}");
                 }
                 has_failed = true;
-                tokio::time::sleep(ACCEPT_WAIT).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -66,10 +64,13 @@
     if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }
 }
 
-fn tune(socket: &TcpSocket) -> std::io::Result<()> {
+fn set_options(socket: &TcpSocket) -> std::io::Result<()> {
     socket.set_nodelay(true)?;
     let reference = socket2::SockRef::from(socket);
-    reference.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
-    let probes = socket2::TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_AFTER).with_retries(PROBES);
-    reference.set_tcp_keepalive(&probes)
+    reference.set_tcp_user_timeout(Some(UNACKNOWLEDGED_DATA_TIMEOUT))?;
+    let keepalive = socket2::TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
+    reference.set_tcp_keepalive(&keepalive)
 }
--- a/crates/gateway/src/workers/attempt.rs
+++ b/crates/gateway/src/workers/attempt.rs
@@ -110,11 +110,11 @@
     /// Counts a request as being at the worker that was chosen for it. This must come right after the
     /// choice: of many requests that are placed in one moment, each must see those before it.
     pub fn place(&self, choice: &Choice, service: &str, prefix: &[PrefixBlock], is_batch: bool) -> InFlight {
-        let memory = self.view.worker_cache_tokens(service);
+        let cache_tokens = self.view.worker_cache_tokens(service);
         let now = self.view.clock.now();
         let mut workers = self.view.workers();
         let incarnation = choice.incarnation();
-        workers.started(&incarnation, prefix, memory, now);
+        workers.started(&incarnation, prefix, cache_tokens, now);
         if is_batch {
             workers.batch_started(&incarnation);
         }
@@ -159,10 +159,10 @@
         let response = send_within(&mut connection, request, timeout).await?;
         let (parts, body) = response.into_parts();
         let facts = self.dialect.answer_facts(parts.status, &parts.headers);
-        match marks_of(parts.status, &facts).check(&request_id) {
+        match answer_metadata(parts.status, &facts).check(&request_id) {
             Ok(()) => {}
             Err(end @ AttemptEnd::NotRun { .. }) => {
-                keep_after_refusal(&mut connection, &facts, &parts.headers, body).await;
+                reuse_after_refusal(&mut connection, &facts, &parts.headers, body).await;
                 return Err(end);
             }
             Err(end) => return Err(end),
@@ -182,13 +182,13 @@
     /// How many connections this node may have to a worker of a service.
     pub(super) fn max_connections_per_worker(&self, service: &str) -> usize {
         let configuration = self.view.configuration();
-        let service = configuration.as_ref().and_then(|known| known.services.get(service));
-        connection_limit(service.map(|found| found.max_connections))
+        let service = configuration.as_ref().and_then(|configuration| configuration.services.get(service));
+        connection_limit(service.map(|service| service.max_connections))
     }
 
     async fn connect(&self, attempt: &Attempt) -> Result<WorkerConnection, AttemptEnd> {
-        let most = self.max_connections_per_worker(&attempt.service);
-        self.connections.take(WorkerEndpoint::of(&attempt.choice), most).await.map_err(|error| match error {
+        let max_connections = self.max_connections_per_worker(&attempt.service);
+        self.connections.take(WorkerEndpoint::of(&attempt.choice), max_connections).await.map_err(|error| match error {
             NoConnection::AllInUse => AttemptEnd::NotRun { other_instance: false },
             NoConnection::Unreachable => AttemptEnd::NotConnected,
         })
@@ -208,7 +208,7 @@
     }
 }
 
-fn marks_of(status: StatusCode, facts: &AnswerFacts) -> AnswerMetadata<'_> {
+fn answer_metadata(status: StatusCode, facts: &AnswerFacts) -> AnswerMetadata<'_> {
     AnswerMetadata {
         status: status.as_u16(),
         request_id: facts.request_id.as_deref(),
@@ -219,15 +219,15 @@
 }
 
 /// Keeps the connection of a worker that did not run the request, if the rest of its answer comes soon.
-async fn keep_after_refusal(
+async fn reuse_after_refusal(
     connection: &mut WorkerConnection,
     facts: &AnswerFacts,
     headers: &HeaderMap,
     body: Incoming,
 ) {
     let keep_alive = facts.keep_alive.map(|span| Duration::from_millis(span.0));
-    let rest = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, body.collect()).await;
-    if matches!(rest, Ok(Ok(_))) && !wants_close(headers) {
+    let remainder = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, body.collect()).await;
+    if matches!(remainder, Ok(Ok(_))) && !wants_close(headers) {
         connection.keep(keep_alive);
     }
 }
--- a/crates/gateway/src/workers/connections.rs
+++ b/crates/gateway/src/workers/connections.rs
@@ -25,10 +25,10 @@
 /// How long a connection attempt may take, for a request that meets a worker whose machine is gone.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle connections are reused for this long where the worker does not say how long it keeps them.
-const DEFAULT_IDLE: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// The share of the worker's own idle time for which a connection is reused, in percent, so that none is used after the
 /// worker closed it.
-const IDLE_PERCENT: u32 = 75;
+const IDLE_TIMEOUT_PERCENT: u32 = 75;
 /// How long a connection may take to become free after an answer, before it is closed.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -59,7 +59,7 @@
 struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 #[derive(Default)]
@@ -70,10 +70,10 @@
 
 impl EndpointConnections {
     /// Counts a connection that is about to be opened, if there may be one more.
-    fn reserve(&mut self, most: usize) -> bool {
-        let has_room = self.open < most;
-        self.open += usize::from(has_room);
-        has_room
+    fn reserve(&mut self, max_connections: usize) -> bool {
+        let has_capacity = self.open < max_connections;
+        self.open += usize::from(has_capacity);
+        has_capacity
     }
 }
 
@@ -103,7 +103,7 @@
         Self { clock, endpoints: Mutex::default() }
     }
 
-    /// A connection that is idle, or a new one while there are fewer than `most`.
+    /// A connection that is idle, or a new one while there are fewer than `max_connections`.
     ///
     /// # Errors
     ///
@@ -111,9 +111,9 @@
     pub async fn take(
         self: &Arc<Self>,
         endpoint: WorkerEndpoint,
-        most: usize,
+        max_connections: usize,
     ) -> Result<WorkerConnection, NoConnection> {
-        if let Some(IdleConnection { sender, task, .. }) = self.reuse_or_reserve(endpoint, most)? {
+        if let Some(IdleConnection { sender, task, .. }) = self.reuse_or_reserve(endpoint, max_connections)? {
             return Ok(WorkerConnection { sender: Some(sender), endpoint, task, pool: self.clone(), keep: None });
         }
         self.open(endpoint).await
@@ -123,13 +123,13 @@
     pub fn has_idle(&self, endpoint: WorkerEndpoint) -> bool {
         let endpoints = self.lock();
         let connections = endpoints.get(&endpoint);
-        connections.is_some_and(|known| known.idle.iter().any(|idle| !idle.sender.is_closed()))
+        connections.is_some_and(|connections| connections.idle.iter().any(|idle| !idle.sender.is_closed()))
     }
 
     /// Whether a worker takes a new connection, which is kept for the next request. `None` if the worker's share of
     /// connections is in use, so that nothing was tried.
-    pub async fn probe(self: &Arc<Self>, endpoint: WorkerEndpoint, most: usize) -> Option<bool> {
-        if !self.lock().entry(endpoint).or_default().reserve(most) {
+    pub async fn probe(self: &Arc<Self>, endpoint: WorkerEndpoint, max_connections: usize) -> Option<bool> {
+        if !self.lock().entry(endpoint).or_default().reserve(max_connections) {
             return None;
         }
         let opened = self.open(endpoint).await;
@@ -138,7 +138,7 @@
 
     /// Opens a connection that was counted before.
     async fn open(self: &Arc<Self>, endpoint: WorkerEndpoint) -> Result<WorkerConnection, NoConnection> {
-        let slot = OpenSlot { pool: self.clone(), endpoint, kept: false };
+        let slot = ReservedSlot { pool: self.clone(), endpoint, is_connected: false };
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, connect(endpoint.address)).await;
         let Ok(Ok(NewConnection { sender, task })) = connected else { return Err(NoConnection::Unreachable) };
         slot.keep();
@@ -146,17 +146,21 @@
     }
 
     /// An idle connection that can be used; `None` if a new one may be opened, which is counted from now on.
-    fn reuse_or_reserve(&self, endpoint: WorkerEndpoint, most: usize) -> Result<Option<IdleConnection>, NoConnection> {
+    fn reuse_or_reserve(
+        &self,
+        endpoint: WorkerEndpoint,
+        max_connections: usize,
+    ) -> Result<Option<IdleConnection>, NoConnection> {
         let mut endpoints = self.lock();
         let connections = endpoints.entry(endpoint).or_default();
         while let Some(idle) = connections.idle.pop() {
-            if !idle.sender.is_closed() && idle.sender.is_ready() && self.clock.now() < idle.until {
+            if !idle.sender.is_closed() && idle.sender.is_ready() && self.clock.now() < idle.expires_at {
                 return Ok(Some(idle));
             }
             idle.task.abort();
             connections.open = connections.open.saturating_sub(1);
         }
-        if connections.reserve(most) { Ok(None) } else { Err(NoConnection::AllInUse) }
+        if connections.reserve(max_connections) { Ok(None) } else { Err(NoConnection::AllInUse) }
     }
 
     /// Closes idle connections that are over their time.
@@ -166,7 +170,7 @@
         for connections in endpoints.values_mut() {
             let before = connections.idle.len();
             connections.idle.retain(|idle| {
-                let is_live = now < idle.until && !idle.sender.is_closed();
+                let is_live = now < idle.expires_at && !idle.sender.is_closed();
                 if !is_live {
                     idle.task.abort();
                 }
@@ -181,37 +185,43 @@
         self.endpoints.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn released(&self, endpoint: WorkerEndpoint) {
+    fn release_slot(&self, endpoint: WorkerEndpoint) {
         if let Some(connections) = self.lock().get_mut(&endpoint) {
             connections.open = connections.open.saturating_sub(1);
         }
     }
 
     /// Keeps a connection for `idle`.
-    fn put_back(&self, endpoint: WorkerEndpoint, sender: SendRequest<Full<Bytes>>, task: AbortHandle, idle: Duration) {
-        let until = self.clock.now() + Millis(idle.as_millis() as u64);
-        let idle = IdleConnection { sender, task, until };
+    fn return_idle(
+        &self,
+        endpoint: WorkerEndpoint,
+        sender: SendRequest<Full<Bytes>>,
+        task: AbortHandle,
+        idle: Duration,
+    ) {
+        let expires_at = self.clock.now() + Millis(idle.as_millis() as u64);
+        let idle = IdleConnection { sender, task, expires_at };
         self.lock().entry(endpoint).or_default().idle.push(idle);
     }
 }
 
 /// Counts a connection attempt until it has become a connection.
-struct OpenSlot {
+struct ReservedSlot {
     pool: Arc<ConnectionPool>,
     endpoint: WorkerEndpoint,
-    kept: bool,
+    is_connected: bool,
 }
 
-impl OpenSlot {
+impl ReservedSlot {
     fn keep(mut self) {
-        self.kept = true;
+        self.is_connected = true;
     }
 }
 
-impl Drop for OpenSlot {
+impl Drop for ReservedSlot {
     fn drop(&mut self) {
-        if !self.kept {
-            self.pool.released(self.endpoint);
+        if !self.is_connected {
+            self.pool.release_slot(self.endpoint);
         }
     }
 }
@@ -242,7 +252,7 @@
     /// The answer was whole: the connection may serve another request within `keep_alive`, where the
     /// worker stated that.
     pub fn keep(&mut self, keep_alive: Option<Duration>) {
-        self.keep = Some(keep_alive.map_or(DEFAULT_IDLE, |span| span * IDLE_PERCENT / 100));
+        self.keep = Some(keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |span| span * IDLE_TIMEOUT_PERCENT / 100));
     }
 }
 
@@ -252,11 +262,11 @@
         let sender = self.sender.take().filter(|sender| !sender.is_closed());
         let (Some(sender), Some(idle)) = (sender, self.keep.filter(|idle| !idle.is_zero())) else {
             task.abort();
-            pool.released(endpoint);
+            pool.release_slot(endpoint);
             return;
         };
         if sender.is_ready() {
-            pool.put_back(endpoint, sender, task, idle);
+            pool.return_idle(endpoint, sender, task, idle);
             return;
         }
         tokio::spawn(return_when_ready(sender, endpoint, pool, task, idle));
@@ -272,10 +282,10 @@
 ) {
     let ready = tokio::time::timeout(RELEASE_TIMEOUT, sender.ready()).await;
     if matches!(ready, Ok(Ok(()))) {
-        pool.put_back(endpoint, sender, task, idle);
+        pool.return_idle(endpoint, sender, task, idle);
     } else {
         task.abort();
-        pool.released(endpoint);
+        pool.release_slot(endpoint);
     }
 }
 
--- a/crates/gateway/src/workers/crash_check.rs
+++ b/crates/gateway/src/workers/crash_check.rs
@@ -18,7 +18,7 @@
 
 /// The wait between the end of a run and the first look at its worker, in milliseconds: a process that ends closes its
 /// connections and its listener one after the other.
-const CHECK_DELAY: Duration = Duration::from_millis(20);
+const FIRST_CHECK_DELAY: Duration = Duration::from_millis(20);
 /// The wait before the second look, in milliseconds, so that a worker that dies a moment later is known soon.
 const SECOND_CHECK_DELAY: Duration = Duration::from_millis(80);
 /// The wait before the last look, in milliseconds. A worker stops a run within half a second after its connection closed.
@@ -64,17 +64,17 @@
 
     /// The run broke off, or the worker was left. Returns the first look at the worker, while it lasts.
     pub fn interrupted(mut self) -> Option<JoinHandle<()>> {
-        self.check()
+        self.start_check()
     }
 
-    fn check(&mut self) -> Option<JoinHandle<()>> {
+    fn start_check(&mut self) -> Option<JoinHandle<()>> {
         let run = self.run.take()?;
         let client = self.client.clone();
         // There is none while the process ends.
         let runtime = Handle::try_current().ok()?;
         Some(runtime.spawn(async move {
-            if !client.check_crash(&run, CHECK_DELAY).await {
-                tokio::spawn(async move { client.check_later(&run).await });
+            if !client.check_crash(&run, FIRST_CHECK_DELAY).await {
+                tokio::spawn(async move { client.check_again(&run).await });
             }
         }))
     }
@@ -82,12 +82,12 @@
 
 impl Drop for RunWatch {
     fn drop(&mut self) {
-        self.check();
+        self.start_check();
     }
 }
 
 impl WorkerClient {
-    async fn check_later(&self, run: &WorkerRun) {
+    async fn check_again(&self, run: &WorkerRun) {
         for delay in [SECOND_CHECK_DELAY, LAST_CHECK_DELAY] {
             if self.check_crash(run, delay).await {
                 return;
@@ -98,8 +98,8 @@
     /// Looks at the worker of a run that ended, and notes it if the worker died. Returns whether it did.
     async fn check_crash(&self, run: &WorkerRun, delay: Duration) -> bool {
         tokio::time::sleep(delay).await;
-        let has_died = self.has_died(run).await;
-        if has_died {
+        let has_crashed = self.has_crashed(run).await;
+        if has_crashed {
             self.view.record_crash(&ObservedCrash {
                 request: run.request_id.clone(),
                 keys: run.keys,
@@ -107,12 +107,12 @@
                 progress: run.progress,
             });
         }
-        has_died
+        has_crashed
     }
 
     /// Whether the worker can't be reached. Nothing is known, and so nothing is held against the request, where nothing
     /// may go to the worker's zone and where this node may open no further connection.
-    async fn has_died(&self, run: &WorkerRun) -> bool {
+    async fn has_crashed(&self, run: &WorkerRun) -> bool {
         if self.view.workers().is_in_evacuated_zone(&run.choice.id) {
             return false;
         }
--- a/crates/gateway/src/workers/permits.rs
+++ b/crates/gateway/src/workers/permits.rs
@@ -22,13 +22,13 @@
 use crate::workers::attempt::WorkerClient;
 
 /// The wait after a question without an answer, in milliseconds: there is no leader, or it knows no permits.
-const NO_LEADER_WAIT: Millis = Millis(500);
+const NO_LEADER_RETRY_INTERVAL: Millis = Millis(500);
 
 /// The permits that this node's requests want.
 pub struct PermitRequests {
     wanted: Mutex<BTreeSet<WorkerId>>,
     /// Notified when permits are wanted.
-    needed: Notify,
+    permits_wanted: Notify,
     /// Counts the questions that were answered, or not in time.
     answered: watch::Sender<u64>,
     /// The last question got no answer, so waiting for the next would be in vain.
@@ -39,7 +39,7 @@
     fn default() -> Self {
         Self {
             wanted: Mutex::default(),
-            needed: Notify::new(),
+            permits_wanted: Notify::new(),
             answered: watch::Sender::new(0),
             has_no_leader: AtomicBool::new(false),
         }
@@ -58,7 +58,7 @@
                 wanted.insert(worker);
             }
         }
-        self.needed.notify_one();
+        self.permits_wanted.notify_one();
     }
 
     /// Waits until the leader has answered, for a moment at most, and not while it is out of reach.
@@ -82,15 +82,15 @@
     let view = workers.view.clone();
     let client = LeaderClient::new(view.clone(), id);
     loop {
-        workers.permits.needed.notified().await;
-        let asked_at = view.clock.now();
+        workers.permits.permits_wanted.notified().await;
+        let requested_at = view.clock.now();
         // Counted from the question on, so that a late answer prolongs no permit.
-        let until = asked_at + PERMIT_LIFETIME;
+        let until = requested_at + PERMIT_LIFETIME;
         let wanted = workers.permits.take_wanted();
         // Without a leader, or with one that knows no permits, there are none, and cold workers are passed over.
         let answer = client.send_request(JobsRequest::RequestPermits(wanted), until).await;
         workers.permits.has_no_leader.store(answer.is_err(), Ordering::Relaxed);
-        let wait = if answer.is_ok() { PERMIT_INTERVAL } else { NO_LEADER_WAIT };
+        let wait = if answer.is_ok() { PERMIT_INTERVAL } else { NO_LEADER_RETRY_INTERVAL };
         if let Ok(JobsAnswer::Permits(granted)) = answer {
             view.workers().add_permits(&granted, until);
         }
--- a/crates/gateway/tests/metadata_relay.rs
+++ b/crates/gateway/tests/metadata_relay.rs
@@ -43,13 +43,13 @@
 }
 
 /// One node's way to the store.
-struct Way {
+struct StoreConnection {
     contents: Arc<Contents>,
     is_refused: AtomicBool,
     calls: AtomicU64,
 }
 
-impl Way {
+impl StoreConnection {
     fn new(contents: Arc<Contents>) -> Arc<Self> {
         Arc::new(Self { contents, is_refused: AtomicBool::new(false), calls: AtomicU64::new(0) })
     }
@@ -66,7 +66,7 @@
     }
 }
 
-impl MetadataStore for Way {
+impl MetadataStore for StoreConnection {
     fn put(&self, _key: String, _value: Vec<u8>, _expected: Revision) -> BoxFuture<'_, PutOutcome> {
         Box::pin(async { PutOutcome::Unknown })
     }
@@ -101,10 +101,10 @@
 }
 
 struct Node {
-    way: Arc<Way>,
+    store: Arc<StoreConnection>,
     fleet: Arc<FleetView>,
     /// The newest revision that was told.
-    told: Arc<Mutex<u64>>,
+    latest_revision: Arc<Mutex<u64>>,
     address: SocketAddr,
 }
 
@@ -119,41 +119,41 @@
         tokio::spawn(accept_peers(listener, events, view.clone()));
         tokio::spawn(async move { while ignored.recv().await.is_some() {} });
         let (updates, mut received) = mpsc::unbounded_channel();
-        let way = Way::new(contents);
-        tokio::spawn(MetadataWatch::new(id, way.clone(), fleet.clone(), view, BOUNDS, updates).run());
-        let told = Arc::new(Mutex::new(0));
-        let telling = told.clone();
+        let store = StoreConnection::new(contents);
+        tokio::spawn(MetadataWatch::new(id, store.clone(), fleet.clone(), view, BOUNDS, updates).run());
+        let latest_revision = Arc::new(Mutex::new(0));
+        let recorded_revision = latest_revision.clone();
         tokio::spawn(async move {
             while let Some(update) = received.recv().await {
                 if let FleetUpdate::InternalItem(item) = update {
-                    *telling.lock().expect("not poisoned") = item.revision.0;
+                    *recorded_revision.lock().expect("not poisoned") = item.revision.0;
                 }
             }
         });
-        Self { way, fleet, told, address }
+        Self { store, fleet, latest_revision, address }
     }
 
     /// The node learns of a storing node, which may be its relay.
-    fn learn(&self, node: NodeId, address: SocketAddr) {
+    fn add_storage_node(&self, node: NodeId, address: SocketAddr) {
         let (name, zone) = (Arc::from(format!("storage-{node}")), Arc::from("zone-a"));
         self.fleet.storage().upsert(StorageRecord { name, node, address, zone });
     }
 
-    fn told(&self) -> u64 {
-        *self.told.lock().expect("not poisoned")
+    fn latest_revision(&self) -> u64 {
+        *self.latest_revision.lock().expect("not poisoned")
     }
 
     fn calls(&self) -> u64 {
-        self.way.calls.load(Ordering::SeqCst)
+        self.store.calls.load(Ordering::SeqCst)
     }
 
     async fn wait_for(&self, revision: u64, within: Duration) {
-        let known = async {
-            while self.told() < revision {
+        let reached = async {
+            while self.latest_revision() < revision {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(within, known).await.expect("the change is known in time");
+        tokio::time::timeout(within, reached).await.expect("the change is known in time");
     }
 }
 
@@ -161,7 +161,7 @@
 async fn relay_and_follower(contents: &Arc<Contents>) -> (Node, Node) {
     let relay = Node::start(RELAY, contents.clone()).await;
     let follower = Node::start(FOLLOWER, contents.clone()).await;
-    follower.learn(RELAY, relay.address);
+    follower.add_storage_node(RELAY, relay.address);
     relay.wait_for(1, Duration::from_secs(5)).await;
     follower.wait_for(1, Duration::from_secs(5)).await;
     // Its first watch waits for the contact bound and a margin; a change ends that.
@@ -174,7 +174,7 @@
 async fn a_follower_learns_through_its_relay_while_the_store_refuses_it() {
     let contents = Arc::new(Contents(watch::Sender::new(1)));
     let (_relay, follower) = relay_and_follower(&contents).await;
-    follower.way.is_refused.store(true, Ordering::SeqCst);
+    follower.store.is_refused.store(true, Ordering::SeqCst);
     for revision in 3..6 {
         contents.write();
         follower.wait_for(revision, Duration::from_secs(3)).await;
@@ -185,12 +185,12 @@
 async fn a_follower_asks_the_store_itself_when_its_relay_has_lost_it() {
     let contents = Arc::new(Contents(watch::Sender::new(1)));
     let (relay, follower) = relay_and_follower(&contents).await;
-    relay.way.is_refused.store(true, Ordering::SeqCst);
+    relay.store.is_refused.store(true, Ordering::SeqCst);
     for revision in 3..6 {
         contents.write();
         follower.wait_for(revision, Duration::from_secs(3)).await;
     }
-    assert!(relay.told() < 5, "the relay could not know of all");
+    assert!(relay.latest_revision() < 5, "the relay could not know of all");
 }
 
 #[tokio::test]
--- a/crates/gateway/tests/missing_records.rs
+++ b/crates/gateway/tests/missing_records.rs
@@ -28,10 +28,10 @@
 /// How long a call may take beyond its wait.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 const SERVICE: &str = "service";
-const STAYS: &str = "stays";
-const LEAVES: &str = "leaves";
+const REMAINING: &str = "stays";
+const DEPARTING: &str = "leaves";
 /// Plays of each test, with other pauses between the node's calls.
-const PLAYS: u64 = 40;
+const RUNS: u64 = 40;
 
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -46,20 +46,20 @@
     history: Vec<(u64, &'static str, bool)>,
 }
 
-/// The store as one node reaches it: not at all in `silent`, counted from its start.
+/// The store as one node reaches it: not at all in `outage`, counted from its start.
 struct Store {
     started: Instant,
-    silent: Range<Duration>,
+    outage: Range<Duration>,
     contents: Mutex<Contents>,
     changed: watch::Sender<u64>,
 }
 
 impl Store {
-    fn new(silent: Range<Duration>) -> Arc<Self> {
+    fn new(outage: Range<Duration>) -> Arc<Self> {
         let (contents, changed) = (Mutex::default(), watch::Sender::new(0));
-        let store = Arc::new(Self { started: Instant::now(), silent, contents, changed });
-        store.write(STAYS);
-        store.write(LEAVES);
+        let store = Arc::new(Self { started: Instant::now(), outage, contents, changed });
+        store.write(REMAINING);
+        store.write(DEPARTING);
         store
     }
 
@@ -89,16 +89,16 @@
         self.changed.send_replace(revision);
     }
 
-    fn is_silent(&self) -> bool {
-        self.silent.contains(&self.started.elapsed())
+    fn is_unreachable(&self) -> bool {
+        self.outage.contains(&self.started.elapsed())
     }
 
     /// Waits until the store's answer arrives, which it does not if the way is cut at either end of the call.
     async fn call<T>(&self, within: Duration, answer: impl Future<Output = T>) -> Result<T, ReadFailure> {
         let begun = Instant::now();
-        if !self.is_silent()
+        if !self.is_unreachable()
             && let Ok(answer) = timeout(within, answer).await
-            && !self.is_silent()
+            && !self.is_unreachable()
         {
             return Ok(answer);
         }
@@ -198,18 +198,18 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_worker_that_left_during_a_cut_gets_nothing_once_the_contact_bound_has_passed() {
-    for seed in 0..PLAYS {
-        let healed = seconds(14.0 + 0.037 * seed as f64);
-        let store = Store::new(seconds(5.0)..healed);
+    for seed in 0..RUNS {
+        let recovered_at = seconds(14.0 + 0.037 * seed as f64);
+        let store = Store::new(seconds(5.0)..recovered_at);
         let fleet = start_node(&store, seed);
         sleep_until(store.started + seconds(4.0)).await;
         assert_eq!(ready_count(&fleet), 2, "both serve before the cut (seed {seed})");
         sleep_until(store.started + seconds(7.0)).await;
-        store.remove(LEAVES);
-        sleep_until(store.started + healed + Duration::from_millis(BOUNDS.contact.0)).await;
-        let held_from = Instant::now();
-        while held_from.elapsed() < seconds(4.0) {
-            let after = held_from.elapsed();
+        store.remove(DEPARTING);
+        sleep_until(store.started + recovered_at + Duration::from_millis(BOUNDS.contact.0)).await;
+        let checked_from = Instant::now();
+        while checked_from.elapsed() < seconds(4.0) {
+            let after = checked_from.elapsed();
             assert_eq!(ready_count(&fleet), 1, "{after:?} after the contact bound it still serves (seed {seed})");
             sleep(Duration::from_millis(20)).await;
         }
@@ -218,34 +218,34 @@
 
 #[tokio::test(start_paused = true)]
 async fn workers_whose_records_lapsed_with_the_store_serve_on_while_they_may_come_back() {
-    for seed in 0..PLAYS {
-        let returned = seconds(9.5 + 0.037 * seed as f64);
-        let store = Store::new(seconds(5.0)..returned);
+    for seed in 0..RUNS {
+        let recovered_at = seconds(9.5 + 0.037 * seed as f64);
+        let store = Store::new(seconds(5.0)..recovered_at);
         let fleet = start_node(&store, seed);
         sleep_until(store.started + seconds(8.6)).await;
-        store.remove(STAYS);
-        store.remove(LEAVES);
-        sleep_until(store.started + returned).await;
-        while store.started.elapsed() < returned + seconds(1.0) {
-            let after = store.started.elapsed() - returned;
+        store.remove(REMAINING);
+        store.remove(DEPARTING);
+        sleep_until(store.started + recovered_at).await;
+        while store.started.elapsed() < recovered_at + seconds(1.0) {
+            let after = store.started.elapsed() - recovered_at;
             assert_eq!(ready_count(&fleet), 2, "{after:?} after the store's return (seed {seed})");
             sleep(Duration::from_millis(20)).await;
         }
-        store.write(STAYS);
-        sleep_until(store.started + returned + seconds(6.0)).await;
+        store.write(REMAINING);
+        sleep_until(store.started + recovered_at + seconds(6.0)).await;
         assert_eq!(ready_count(&fleet), 1, "only the one whose record is back serves on (seed {seed})");
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_record_that_does_not_come_back_with_the_store_is_gone_when_the_contact_bound_has_passed() {
-    for seed in 0..PLAYS {
-        let returned = seconds(9.5 + 0.037 * seed as f64);
-        let store = Store::new(seconds(5.0)..returned);
+    for seed in 0..RUNS {
+        let recovered_at = seconds(9.5 + 0.037 * seed as f64);
+        let store = Store::new(seconds(5.0)..recovered_at);
         let fleet = start_node(&store, seed);
         sleep_until(store.started + seconds(8.6)).await;
-        store.remove(LEAVES);
-        sleep_until(store.started + returned + Duration::from_millis(BOUNDS.contact.0)).await;
+        store.remove(DEPARTING);
+        sleep_until(store.started + recovered_at + Duration::from_millis(BOUNDS.contact.0)).await;
         assert_eq!(ready_count(&fleet), 1, "it still serves (seed {seed})");
     }
 }
--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -11,7 +11,7 @@
 use stallmoor_gateway::workers::connections::{ConnectionPool, WorkerEndpoint};
 use tokio::net::TcpListener;
 
-const MOST_CONNECTIONS: usize = 4;
+const MAX_CONNECTIONS: usize = 4;
 /// A connection to a listener of this process is there long before.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longer than a connection is kept.
@@ -65,18 +65,18 @@
     let pool = Arc::new(ConnectionPool::new(clock));
     let mut accepted = Vec::new();
     for _ in 0..2 {
-        let opened = async { tokio::join!(pool.take(endpoint, MOST_CONNECTIONS), listener.accept()) };
+        let opened = async { tokio::join!(pool.take(endpoint, MAX_CONNECTIONS), listener.accept()) };
         let (connection, stream) = tokio::time::timeout(OPEN_TIMEOUT, opened).await.expect("a new connection");
         accepted.push(stream.expect("a connection"));
         connection.expect("it is open").keep(None);
-        until_idle(&pool, endpoint).await;
-        pool.take(endpoint, MOST_CONNECTIONS).await.expect("the same one").keep(None);
-        until_idle(&pool, endpoint).await;
+        wait_until_idle(&pool, endpoint).await;
+        pool.take(endpoint, MAX_CONNECTIONS).await.expect("the same one").keep(None);
+        wait_until_idle(&pool, endpoint).await;
         SUSPENDED.fetch_add(SUSPENSION.as_millis() as u64, Ordering::SeqCst);
     }
 }
 
-async fn until_idle(pool: &ConnectionPool, endpoint: WorkerEndpoint) {
+async fn wait_until_idle(pool: &ConnectionPool, endpoint: WorkerEndpoint) {
     while !pool.has_idle(endpoint) {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
