--- a/crates/gateway/src/leader/client.rs
+++ b/crates/gateway/src/leader/client.rs
@@ -1,5 +1,4 @@
-//! Requests to the job table's leader, wherever it is. Which node is asked, and when it is given up, is decided by
-//! [`LeaderSearch`].
+//! Client for requests to the job table's leader. [`LeaderSearch`] decides which node to try and when to time out.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,30 +15,30 @@
 use crate::leader::log_unexpected;
 use crate::peers::peer_link::{PeerCallError, PeerLinks};
 
-/// Finds the leader and asks it.
+/// Finds the leader and sends requests to it.
 pub struct LeaderClient {
     view: Arc<FleetView>,
     links: PeerLinks,
-    /// Who led last. All requests share it.
+    /// The last known leader, shared by all requests.
     leader: Mutex<Option<NodeId>>,
-    /// Tries of all searches, so that each goes on where the one before ended.
+    /// Number of tries of all searches, so that each search continues where the previous one ended.
     tries: AtomicUsize,
 }
 
 impl LeaderClient {
-    /// A client that knows no leader yet.
+    /// Creates a client for the node `id` without a known leader.
     pub fn new(view: Arc<FleetView>, id: NodeId) -> Self {
         Self { view, links: PeerLinks::new(id), leader: Mutex::default(), tries: AtomicUsize::new(0) }
     }
 
-    /// Asks until there is an answer or the time is over.
+    /// Sends a request to the leader, with retries until there is an answer or the deadline has passed.
     ///
-    /// A refusal says that nothing was taken by the try that it answers. Where an earlier try may have reached
-    /// a leader, it is answered as [`JobsAnswer::Indeterminate`]: that try may yet take effect.
+    /// A refusal applies only to the try that it answers. If an earlier try may have reached a leader and may still take
+    /// effect, [`JobsAnswer::Indeterminate`] is returned instead.
     ///
     /// # Errors
     ///
-    /// [`NoLeader`]: nobody answered in time.
+    /// [`NoLeader`]: no leader answered before the deadline.
     pub async fn send_request(&self, request: JobsRequest, until: Timestamp) -> Result<JobsAnswer, NoLeader> {
         let mut search = LeaderSearch::new(&request, until).with_previous_tries(self.tries.load(Ordering::Relaxed));
         loop {
@@ -83,12 +82,12 @@
         }
     }
 
-    /// Who led last, as far as this client knows.
+    /// Returns the last known leader.
     pub fn leader(&self) -> Option<NodeId> {
         *self.leader.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends the leader a request whose answer nobody waits for.
+    /// Sends a request to the last known leader, if any, without waiting for the answer.
     pub fn notify_leader(&self, request: JobsRequest) {
         let leader = self.leader();
         let address = leader.and_then(|leader| self.view.storage().of_node(leader).map(|record| record.address));
--- a/crates/gateway/src/leader/load_exchange.rs
+++ b/crates/gateway/src/leader/load_exchange.rs
@@ -1,6 +1,5 @@
-//! Reporting this node's online requests, and learning those of all others: from the table's leader, or, where there
-//! are many nodes, from an aggregator, a storing node of the zone. With whom and how often is decided by
-//! [`LoadSchedule`].
+//! Reports this node's online load and receives the load of all other nodes. The partner is the job table's leader or, in
+//! large fleets, an aggregator, which is a storage node of the zone. [`LoadSchedule`] decides on partner and interval.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +14,7 @@
 use crate::leader::log_unexpected;
 use crate::peers::peer_link::PeerLinks;
 
-/// Exchanges loads until the process ends.
+/// Exchanges load reports until the process ends.
 pub async fn exchange_loads(view: Arc<FleetView>, jobs: Arc<JobCalls>, id: NodeId) {
     let mut rate = PlacementRate::new(view.clock.now());
     let mut schedule = LoadSchedule::default();
@@ -43,7 +42,6 @@
     LoadReport { workers: workers.local_report(now), placed_per_s, reporters, ..LoadReport::default() }
 }
 
-/// The calls of an exchange.
 struct LoadExchange {
     view: Arc<FleetView>,
     jobs: Arc<JobCalls>,
@@ -51,7 +49,7 @@
 }
 
 impl LoadExchange {
-    /// Reports this node's loads. Returns those of all others; `None` if there is no answer.
+    /// Reports this node's load. Returns the load of all other nodes; `None` if there is no valid answer.
     async fn exchange(&self, partner: LoadPartner, local_load: LoadReport) -> Option<LoadReport> {
         match partner {
             LoadPartner::Leader => self.report_to_leader(local_load).await,
@@ -63,7 +61,7 @@
         let until = self.view.clock.now() + EXCHANGE_TIMEOUT;
         match self.jobs.client.send_request(JobsRequest::ReportLoad(local_load), until).await {
             Ok(JobsAnswer::Loads(loads)) => Some(loads),
-            // The client has logged a wrong answer; without a leader loads age out.
+            // The client has logged an unexpected answer. Without a leader, loads age out.
             Ok(_) | Err(_) => None,
         }
     }
@@ -78,7 +76,7 @@
                 log_unexpected(address, &request, &answer);
                 None
             }
-            // One that refuses or is silent is avoided for a while, which needs no line: another one is asked.
+            // Not logged: the schedule avoids this aggregator for a while and uses another one.
             Err(_) => None,
         }
     }
--- a/crates/gateway/src/leader/mod.rs
+++ b/crates/gateway/src/leader/mod.rs
@@ -1,15 +1,15 @@
-//! What a node exchanges with the leader of the job table, which every gateway depends on besides the metadata store.
+//! Exchanges between a node and the leader of the job table.
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! |---|---|
-//! | [`client`] | finding the leader, and asking it |
-//! | [`load_exchange`] | reporting this gateway's load, and learning that of all others |
-//! | [`rate_limits`] | admitting requests within tenants' limits, and reporting what was admitted |
+//! | [`client`] | finding the leader and sending it requests |
+//! | [`load_exchange`] | reporting this gateway's load and receiving the load of the others |
+//! | [`rate_limits`] | admitting requests within tenants' limits and reporting admissions |
 //!
-//! Each of them has a fallback for the time without a leader: loads age out, and a gateway goes on with its part of
-//! a tenant's limit. A wrong answer counts as none, and is logged. The decisions are in
-//! [`stallmoor_core::serving::leader`] and [`stallmoor_core::serving::quota`]; the room relies on [`crate::peers`] for
-//! the calls and on [`crate::fleet`] for the storing nodes.
+//! Each exchange has a fallback for times without a leader: loads age out, and a gateway applies its share of a tenant's
+//! limit. Unexpected answers are logged and handled as missing ones. [`stallmoor_core::serving::leader`] and
+//! [`stallmoor_core::serving::quota`] make the decisions; calls go through [`crate::peers`], and [`crate::fleet`] provides
+//! the storage nodes.
 
 pub mod client;
 pub mod load_exchange;
@@ -23,8 +23,8 @@
 
 use crate::observe::journal::{Field, record};
 
-/// Logs an answer to an exchange that is not of the kind that was asked for: its sender runs another version, or is
-/// faulty. The exchange then goes on as without an answer, which the line tells from a peer that is silent.
+/// Logs an answer whose kind does not match the request, because the peer runs another version or is faulty. The caller
+/// handles it as a missing answer; the log line distinguishes it from an unresponsive peer.
 fn log_unexpected(peer: SocketAddr, request: &JobsRequest, answer: &JobsAnswer) {
     if !is_expected(request, answer) {
         let fields =
--- a/crates/gateway/src/leader/rate_limits.rs
+++ b/crates/gateway/src/leader/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Keeping to tenants' limits: each request is put to [`RateLimiter`], and its reports go to the job table's leader.
+//! Enforces tenants' rate limits: admits requests through [`RateLimiter`] and sends its reports to the job table's leader.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -18,28 +18,28 @@
 use crate::fleet::fleet_view::FleetView;
 use crate::observe::measures;
 
-/// The limits at one gateway.
+/// Rate limits of one gateway.
 pub struct RateLimits {
     view: Arc<FleetView>,
     limiter: Mutex<RateLimiter>,
-    /// Notified when a request waits for a report.
+    /// Notified when a request waits for the answer to a report.
     report_needed: Notify,
-    /// Counts the reports that were answered, or not in time.
+    /// Counts completed reports, including failed ones.
     reports_done: watch::Sender<u64>,
 }
 
 impl RateLimits {
-    /// Limits of a gateway on a machine of that name, which have admitted nothing yet.
+    /// Creates the limits of the gateway on `machine`, with no admissions recorded.
     pub fn new(view: Arc<FleetView>, machine: &str) -> Self {
         let limiter = Mutex::new(RateLimiter::new(Arc::from(machine)));
         Self { view, limiter, report_needed: Notify::new(), reports_done: watch::Sender::new(0) }
     }
 
-    /// Decides on a request.
+    /// Admits or refuses a request of a caller.
     ///
     /// # Errors
     ///
-    /// A refusal: the tenant has used up its limit.
+    /// A refusal of the kind [`ErrorKind::RateExceeded`]: the tenant has reached its limit.
     pub async fn admit(&self, identity: &CallerIdentity) -> Result<(), Refusal> {
         let Some(tenant) = identity.tenant() else { return Ok(()) };
         let Some(limit) = self.limit_of(tenant) else { return Ok(()) };
@@ -47,7 +47,7 @@
         let mut admission = self.decide(tenant, limit, false);
         if admission == Admission::AwaitLevel {
             self.report_needed.notify_one();
-            // Without an answer this gateway's own part of the limit has to do.
+            // After a timeout, this gateway's share of the limit applies.
             let _ = tokio::time::timeout(Duration::from_millis(FIRST_ANSWER_TIMEOUT.0), reports.changed()).await;
             admission = self.decide(tenant, limit, true);
         }
@@ -74,7 +74,7 @@
         self.limiter.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The report that is due, if there is one.
+    /// Returns the report that is due, if any.
     fn due_report(&self, last_report_at: Timestamp) -> Option<QuotaReport> {
         let now = self.view.clock.now();
         self.limiter().due_report(last_report_at, now)
@@ -90,7 +90,7 @@
     }
 }
 
-/// Exchanges with the leader until the process ends.
+/// Sends reports to the leader and applies its answers until the process ends.
 pub async fn exchange_limits(limits: Arc<RateLimits>, jobs: Arc<JobCalls>) {
     let clock = limits.view.clock;
     let mut last_report_at = Timestamp::default();
@@ -100,9 +100,9 @@
         last_report_at = clock.now();
         let request = JobsRequest::ReportQuota(report.clone());
         match jobs.client.send_request(request, last_report_at + REPORT_TIMEOUT).await {
-            // Its levels count from the answer's arrival.
+            // The age of the levels counts from the arrival of the answer.
             Ok(JobsAnswer::Quota(levels)) => limits.limiter().apply(&report, &levels, clock.now()),
-            // The gateway's own part of the limits has to do. The client has logged a wrong answer.
+            // This gateway's share of the limits applies. The client has logged an unexpected answer.
             Ok(_) | Err(_) => limits.limiter().report_failed(),
         }
         limits.reports_done.send_modify(|count| *count += 1);
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,12 +1,12 @@
 //! Messages between nodes over TCP.
 //!
-//! Relies on `stallmoor_wire` for the form of messages and on [`crate::sockets`] for connections. What arrives from
-//! other nodes unasked is the listener's (`crate::storage::peer_listener`).
+//! Uses `stallmoor_wire` to encode messages and [`crate::sockets`] to connect. Incoming connections are handled by
+//! `crate::storage::peer_listener`.
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! |---|---|
-//! | [`frames`] | one message on the wire, with its length |
-//! | [`peer_link`] | connections to other nodes: messages sent, questions asked |
+//! | [`frames`] | framing of messages on a stream |
+//! | [`peer_link`] | connections to other nodes, for one-way messages and requests |
 
 pub mod frames;
 pub mod peer_link;
--- a/crates/gateway/src/peers/peer_link.rs
+++ b/crates/gateway/src/peers/peer_link.rs
@@ -1,7 +1,7 @@
-//! Connections to other nodes: messages that may be lost, and requests that are answered.
+//! Connections to other nodes, for one-way messages that may be lost and for requests with answers.
 //!
-//! Owns one connection for each node and use, and the requests that wait on it. Relies on [`super::frames`]; who is
-//! asked and for how long is the caller's. A link is never repaired: the next message opens another.
+//! Owns one connection per node and use, with its pending requests. The caller determines the peer and the timeout. A
+//! broken link is not reconnected; the next message opens a new one.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,38 +25,37 @@
 use crate::peers::frames::{read_message, write_frame};
 use crate::sockets::connect_tuned;
 
-/// The group that holds the job table, and to which every request between gateways and storing nodes is addressed.
+/// The group of the job table, to which all requests between gateways and storage nodes are addressed.
 pub const JOBS_GROUP: GroupId = GroupId(0);
-/// Most messages that wait for one peer: bounds memory. What doesn't fit is dropped, and sent again by whoever needs
-/// it.
+/// Maximum number of messages queued for one peer. Messages beyond it are dropped; senders retry those they need.
 const QUEUE_CAPACITY: usize = 1_024;
-/// How long a connection attempt may take, in milliseconds: messages to a machine that is gone are given up.
+/// Maximum time to connect to a peer before the queued messages are dropped.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a write may take before the connection is given up, in seconds: messages to a machine that stands still.
+/// Maximum time for a write before the connection is closed, in case the peer is stalled.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The same for a snapshot, in seconds: a large one on a thin link.
+/// The same for snapshots, which may be large and sent over a slow link.
 const SNAPSHOT_WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Why a request brought no answer.
+/// Why a request to a peer failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerCallError {
-    /// The node answered that it won't serve the request.
+    /// The node refused the request.
     Refused(GroupRefusal),
     /// The request was not sent.
     NotSent,
-    /// The request may have arrived.
+    /// The request was sent, but no valid answer was received in time.
     NoAnswer,
 }
 
-/// A kind of request that nodes answer.
+/// A request to another node that has an answer.
 pub trait PeerRequest {
-    /// Its answer.
+    /// The answer to this kind of request.
     type Answer;
 
-    /// The request as a message's body.
+    /// Converts the request into a message body.
     fn into_body(self) -> GroupRequestBody;
 
-    /// The answer in a message's body; `None` if it is of another kind.
+    /// Extracts the answer from a message body. Returns `None` if the body is of another kind.
     fn answer_from_body(body: GroupAnswerBody) -> Option<Self::Answer>;
 }
 
@@ -72,16 +71,17 @@
     }
 }
 
-/// What changed in the metadata store, or all that it holds where that is shorter to tell.
+/// Requests the changes of the metadata store since a revision, or its full contents if the relay no longer has these
+/// changes.
 #[derive(Clone, Copy, Debug)]
 pub struct FollowRequest(pub ChangesRequest);
 
 /// The answer to a [`FollowRequest`].
 #[derive(Clone, Debug)]
 pub enum FollowAnswer {
-    /// What changed.
+    /// The changes since the requested revision.
     Changes(ChangesAnswer),
-    /// All that the store holds, packed.
+    /// The full contents of the store, packed.
     Contents(ContentsAnswer),
 }
 
@@ -117,11 +117,11 @@
 
 struct Outgoing {
     frame: Vec<u8>,
-    /// Resolved once the frame is about to be written.
+    /// Notified right before the frame is written.
     sent: Option<oneshot::Sender<()>>,
 }
 
-/// What a connection carries. A snapshot must not hold up heartbeats, so it has one of its own.
+/// The use of a connection. Snapshots have a separate connection so that they don't delay heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum LinkUse {
     Messages,
@@ -165,20 +165,20 @@
 }
 
 impl PeerLinks {
-    /// No connections yet.
+    /// Creates a client without connections for the node `id`.
     pub fn new(id: NodeId) -> Self {
         Self { id, links: Mutex::default(), next: Mutex::new(1) }
     }
 
-    /// Sends a message that may be lost.
+    /// Sends a message without confirmation. It is lost if the queue is full or the connection breaks.
     pub fn send(&self, to: SocketAddr, message: &PeerMessage) {
         let frame = encode(message);
-        // A full queue loses the message, which its sender must bear.
+        // If the queue is full, the message is dropped; senders tolerate that.
         let key = LinkKey { to, link_use: LinkUse::of(message) };
         let _ = self.link(key).queue.try_send(Outgoing { frame, sent: None });
     }
 
-    /// Sends a request whose answer nobody waits for.
+    /// Sends a request without waiting for its answer.
     pub fn notify(&self, to: SocketAddr, request: JobsRequest) {
         let id = self.next_id();
         let body = GroupRequestBody::Jobs(request);
@@ -189,7 +189,7 @@
     ///
     /// # Errors
     ///
-    /// [`PeerCallError`]: the node refused, or there is no answer.
+    /// [`PeerCallError`]: the node refused the request, or there was no valid answer.
     pub async fn send_request<R: PeerRequest>(
         &self,
         to: SocketAddr,
@@ -198,7 +198,7 @@
     ) -> Result<R::Answer, PeerCallError> {
         let body = self.exchange(to, request.into_body(), timeout).await?;
         R::answer_from_body(body).ok_or_else(|| {
-            // It counts as none; the line tells a faulty peer from a silent one.
+            // Handled as a missing answer; the log line distinguishes a faulty peer from an unresponsive one.
             let detail = "an answer that does not belong to its request";
             record(LogEvent::MessageRefused, &[Field::text("peer", to), Field::text("detail", detail)]);
             PeerCallError::NoAnswer
@@ -225,7 +225,7 @@
         match tokio::time::timeout(timeout, answer).await {
             Ok(Ok(GroupAnswer { result, .. })) => result.map_err(PeerCallError::Refused),
             _ => {
-                // Refuse to send it any more, unless it has gone already.
+                // Prevents a later send, unless the request has been sent already.
                 sent.close();
                 let was_sent = sent.try_recv().is_ok();
                 Err(if was_sent { PeerCallError::NoAnswer } else { PeerCallError::NotSent })
@@ -246,14 +246,14 @@
     }
 }
 
-/// Encodes a message that is about to be sent, and counts it.
+/// Encodes a message for sending and updates the metrics of sent messages.
 pub fn encode(message: &PeerMessage) -> Vec<u8> {
     let frame = stallmoor_wire::encode(message);
     measures::peer_sent(message.name(), frame.len());
     frame
 }
 
-/// Forgets a request whose asker does not wait any more.
+/// Removes a pending request when its caller stops waiting.
 struct PendingGuard {
     pending: Pending,
     id: u64,
@@ -276,7 +276,7 @@
     Arc::new(Link { queue, pending })
 }
 
-/// Keeps one connection until it breaks; then the link is over, and the next message opens another.
+/// Runs one connection until it breaks, then closes the link, so that the next message opens a new one.
 async fn run_link(key: LinkKey, mut queue: mpsc::Receiver<Outgoing>, pending: Pending) {
     if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, connect_tuned(key.to)).await {
         let (reader, writer) = stream.into_split();
@@ -288,7 +288,7 @@
         }
     }
     queue.close();
-    // Dropping the senders ends the wait of those who asked: no answer comes.
+    // Dropping the senders makes all pending requests fail.
     lock(&pending).clear();
 }
 
@@ -297,7 +297,7 @@
         if let PeerMessage::GroupAnswer(answer) = message
             && let Some(sender) = lock(&pending).remove(&answer.id)
         {
-            // Whoever waited may have left.
+            // The caller may have stopped waiting.
             let _ = sender.send(answer);
         }
     }
@@ -312,7 +312,7 @@
         let write = async {
             let mut next = Some(first);
             while let Some(outgoing) = next {
-                // One that is not awaited any more must not be sent: its asker counts it as not sent.
+                // A request that timed out must not be sent, since its caller was told that it was not.
                 let is_pending = outgoing.sent.is_none_or(|sent| sent.send(()).is_ok());
                 if is_pending {
                     write_frame(&mut writer, &outgoing.frame).await?;
--- a/crates/gateway/src/workers/attempt.rs
+++ b/crates/gateway/src/workers/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt at one worker: from a connection to the head of the answer.
+//! A single attempt to run a request at a worker, from connecting to the head of the answer.
 //!
-//! Owns the count of requests at each worker and reports to the worker table how an attempt ended; what follows from that
-//! is decided there.
+//! Tracks the number of requests at each worker and reports the result of each attempt to the worker table, which decides
+//! on the consequences.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,41 +22,41 @@
 use crate::workers::connections::{ConnectionPool, NoConnection, SendFailure, WorkerConnection, WorkerEndpoint};
 use crate::workers::permits::PermitRequests;
 
-/// How long the rest of a refusal may take before its connection is closed instead of kept.
+/// Maximum time to read the body of a refusal before its connection is closed instead of reused.
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(50);
-/// What it takes to talk to workers.
+/// Client for sending requests to workers.
 pub struct WorkerClient {
-    /// What is known of the fleet.
+    /// The fleet that the workers belong to.
     pub view: Arc<FleetView>,
-    /// The spelling of the wire.
+    /// The wire format of the platform's workers.
     pub dialect: Arc<dyn Dialect>,
-    /// Kept connections.
+    /// Idle connections for reuse.
     pub connections: Arc<ConnectionPool>,
     /// Permits to send requests to workers that have just started.
     pub permits: Arc<PermitRequests>,
 }
 
-/// A request for one worker.
+/// A request to be sent to one worker.
 pub struct Attempt {
-    /// The worker.
+    /// The selected worker.
     pub choice: Choice,
     /// The service that the worker belongs to.
     pub service: Arc<str>,
-    /// The request's id.
+    /// The id that the worker's answer must repeat.
     pub request_id: Arc<str>,
-    /// The request's method.
+    /// The HTTP method.
     pub method: Method,
-    /// The request's path and query.
+    /// The path and query.
     pub target: Uri,
-    /// The request's head as it is sent.
+    /// The headers in the form sent to the worker.
     pub headers: HeaderMap,
-    /// The request's body.
+    /// The request body.
     pub body: Bytes,
-    /// Counts the request as being at the worker.
+    /// Guard by which the worker's load includes this request.
     pub in_flight: InFlight,
 }
 
-/// Counts a request as being at a worker for as long as it lives.
+/// Guard that counts a request towards a worker's load until it is dropped.
 pub struct InFlight {
     view: Arc<FleetView>,
     worker: WorkerIncarnation,
@@ -73,26 +73,26 @@
     }
 }
 
-/// An answer whose head has come. Dropping it stops the worker.
+/// An answer whose head has been received. Dropping it closes the connection, which makes the worker stop the request.
 pub struct OpenAnswer {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The head.
+    /// The HTTP headers.
     pub headers: HeaderMap,
-    /// What the head says besides the content.
+    /// Information about the answer and the worker that the adapter extracted from the headers.
     pub facts: AnswerFacts,
-    /// The body.
+    /// The body, which is still being received.
     pub body: Incoming,
-    /// The worker.
+    /// The incarnation of the worker that answers.
     pub worker: WorkerIncarnation,
-    /// When the request left.
+    /// When the attempt started, before connecting.
     pub sent_at: Timestamp,
     connection: WorkerConnection,
     _in_flight: InFlight,
 }
 
 impl OpenAnswer {
-    /// The whole body was read: the connection may be used again.
+    /// Makes the connection available for reuse. To be called only after the complete body was read.
     pub fn release(mut self) {
         let keep_alive = self.facts.keep_alive.map(|span| Duration::from_millis(span.0));
         if !wants_close(&self.headers) {
@@ -107,8 +107,8 @@
 }
 
 impl WorkerClient {
-    /// Counts a request as being at the worker that was chosen for it. This must come right after the
-    /// choice: of many requests that are placed in one moment, each must see those before it.
+    /// Counts a request towards the load of its selected worker. Must be called right after the selection, so that
+    /// concurrent selections take it into account.
     pub fn place(&self, choice: &Choice, service: &str, prefix: &[PrefixBlock], is_batch: bool) -> InFlight {
         let cache_tokens = self.view.worker_cache_tokens(service);
         let now = self.view.clock.now();
@@ -122,12 +122,12 @@
         InFlight { view: self.view.clone(), worker: incarnation, is_batch }
     }
 
-    /// Sends a request and waits up to `timeout` for the head of its answer. What was learned of the
-    /// worker is noted.
+    /// Sends a request and waits up to `timeout` for the head of its answer. Updates the worker table with the worker's
+    /// reported load or the failure.
     ///
     /// # Errors
     ///
-    /// [`AttemptEnd`]: how the attempt ended. Nothing of it may be passed on.
+    /// [`AttemptEnd`]: why the attempt failed. No part of an answer may be forwarded to the caller.
     pub async fn open(&self, attempt: Attempt, timeout: Duration) -> Result<OpenAnswer, AttemptEnd> {
         let worker = attempt.choice.incarnation();
         let result = self.try_open(attempt, timeout).await;
@@ -147,7 +147,7 @@
         result
     }
 
-    /// Sends a request and takes the head of its answer, if the answer is this request's.
+    /// Sends a request, receives the head of the answer and checks that the answer belongs to the request.
     async fn try_open(&self, attempt: Attempt, timeout: Duration) -> Result<OpenAnswer, AttemptEnd> {
         let sent_at = self.view.clock.now();
         let mut connection = self.connect(&attempt).await?;
@@ -179,7 +179,7 @@
         })
     }
 
-    /// How many connections this node may have to a worker of a service.
+    /// Returns the maximum number of connections from this node to each worker of a service.
     pub(super) fn max_connections_per_worker(&self, service: &str) -> usize {
         let configuration = self.view.configuration();
         let service = configuration.as_ref().and_then(|configuration| configuration.services.get(service));
@@ -218,7 +218,7 @@
     }
 }
 
-/// Keeps the connection of a worker that did not run the request, if the rest of its answer comes soon.
+/// Keeps the connection for reuse after a refusal, if the rest of the answer arrives within [`REFUSAL_BODY_TIMEOUT`].
 async fn reuse_after_refusal(
     connection: &mut WorkerConnection,
     facts: &AnswerFacts,
--- a/crates/gateway/src/workers/connections.rs
+++ b/crates/gateway/src/workers/connections.rs
@@ -1,8 +1,7 @@
-//! Kept connections to workers.
+//! Connection pool for workers.
 //!
-//! Owns every connection of this node to a worker and their number; how many there may be is decided in
-//! `stallmoor_core::serving::workers::connection_limit`. A connection serves one request at a time and is kept only after
-//! an answer that was read whole.
+//! Owns all connections from this node to workers; `stallmoor_core::serving::workers::connection_limit` defines their
+//! maximum number. A connection serves one request at a time and is reused only after the complete answer was read.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,17 +21,17 @@
 use crate::clock::NodeClock;
 use crate::sockets::connect_tuned;
 
-/// How long a connection attempt may take, for a request that meets a worker whose machine is gone.
+/// Maximum time to connect, which delays requests that select an unreachable worker.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle connections are reused for this long where the worker does not say how long it keeps them.
+/// How long idle connections are reused if the worker does not state its keep-alive time.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// The share of the worker's own idle time for which a connection is reused, in percent, so that none is used after the
-/// worker closed it.
+/// Percentage of the worker's keep-alive time for which an idle connection is reused, so that the worker doesn't close it
+/// first.
 const IDLE_TIMEOUT_PERCENT: u32 = 75;
-/// How long a connection may take to become free after an answer, before it is closed.
+/// Maximum time for a connection to become ready after an answer before it is closed.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Where a worker is reached in one of its lives. A connection to an earlier life is of no use to a later one.
+/// Address of one incarnation of a worker. Connections to an earlier incarnation can't be reused for a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct WorkerEndpoint {
     address: SocketAddr,
@@ -40,20 +39,20 @@
 }
 
 impl WorkerEndpoint {
-    /// Where the worker that was chosen is reached.
+    /// Returns the endpoint of a selected worker.
     pub fn of(choice: &Choice) -> Self {
         Self { address: choice.address, started_at: choice.started_at }
     }
 }
 
-/// A connection that serves one request now.
+/// A connection that serves one request. Returned to the pool on drop after [`WorkerConnection::keep`], closed otherwise.
 pub struct WorkerConnection {
-    /// `None` only while the connection is given back.
+    /// `None` only while the connection is being dropped.
     sender: Option<SendRequest<Full<Bytes>>>,
     endpoint: WorkerEndpoint,
     task: AbortHandle,
     pool: Arc<ConnectionPool>,
-    keep: Option<Duration>,
+    idle_timeout: Option<Duration>,
 }
 
 struct IdleConnection {
@@ -69,7 +68,7 @@
 }
 
 impl EndpointConnections {
-    /// Counts a connection that is about to be opened, if there may be one more.
+    /// Reserves a slot for a new connection. Returns false if the limit is reached.
     fn reserve(&mut self, max_connections: usize) -> bool {
         let has_capacity = self.open < max_connections;
         self.open += usize::from(has_capacity);
@@ -82,12 +81,12 @@
     task: AbortHandle,
 }
 
-/// Why there is no connection. Nothing was sent.
+/// Why no connection is available. Nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoConnection {
-    /// The worker's share of connections is in use.
+    /// The maximum number of connections to the worker is in use.
     AllInUse,
-    /// The worker can't be reached.
+    /// Connecting to the worker failed or timed out.
     Unreachable,
 }
 
@@ -98,36 +97,42 @@
 }
 
 impl ConnectionPool {
-    /// No connections yet.
+    /// Creates an empty pool.
     pub fn new(clock: NodeClock) -> Self {
         Self { clock, endpoints: Mutex::default() }
     }
 
-    /// A connection that is idle, or a new one while there are fewer than `max_connections`.
+    /// Returns an idle connection, or opens a new one if there are fewer than `max_connections`.
     ///
     /// # Errors
     ///
-    /// [`NoConnection`]: nothing was sent.
+    /// [`NoConnection`]: the limit is reached or the worker is unreachable.
     pub async fn take(
         self: &Arc<Self>,
         endpoint: WorkerEndpoint,
         max_connections: usize,
     ) -> Result<WorkerConnection, NoConnection> {
         if let Some(IdleConnection { sender, task, .. }) = self.reuse_or_reserve(endpoint, max_connections)? {
-            return Ok(WorkerConnection { sender: Some(sender), endpoint, task, pool: self.clone(), keep: None });
+            return Ok(WorkerConnection {
+                sender: Some(sender),
+                endpoint,
+                task,
+                pool: self.clone(),
+                idle_timeout: None,
+            });
         }
         self.open(endpoint).await
     }
 
-    /// Whether a connection to a worker is kept that the worker has not closed.
+    /// Returns whether there is an idle connection that the worker has not closed.
     pub fn has_idle(&self, endpoint: WorkerEndpoint) -> bool {
         let endpoints = self.lock();
         let connections = endpoints.get(&endpoint);
         connections.is_some_and(|connections| connections.idle.iter().any(|idle| !idle.sender.is_closed()))
     }
 
-    /// Whether a worker takes a new connection, which is kept for the next request. `None` if the worker's share of
-    /// connections is in use, so that nothing was tried.
+    /// Checks whether a worker accepts a new connection, which is kept for the next request. Returns `None` without
+    /// trying if the maximum number of connections is in use.
     pub async fn probe(self: &Arc<Self>, endpoint: WorkerEndpoint, max_connections: usize) -> Option<bool> {
         if !self.lock().entry(endpoint).or_default().reserve(max_connections) {
             return None;
@@ -136,16 +141,16 @@
         Some(opened.map(|mut connection| connection.keep(None)).is_ok())
     }
 
-    /// Opens a connection that was counted before.
+    /// Opens a connection for which a slot was reserved.
     async fn open(self: &Arc<Self>, endpoint: WorkerEndpoint) -> Result<WorkerConnection, NoConnection> {
         let slot = ReservedSlot { pool: self.clone(), endpoint, is_connected: false };
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, connect(endpoint.address)).await;
         let Ok(Ok(NewConnection { sender, task })) = connected else { return Err(NoConnection::Unreachable) };
-        slot.keep();
-        Ok(WorkerConnection { sender: Some(sender), endpoint, task, pool: self.clone(), keep: None })
+        slot.commit();
+        Ok(WorkerConnection { sender: Some(sender), endpoint, task, pool: self.clone(), idle_timeout: None })
     }
 
-    /// An idle connection that can be used; `None` if a new one may be opened, which is counted from now on.
+    /// Returns a usable idle connection, or `None` after reserving a slot for a new one.
     fn reuse_or_reserve(
         &self,
         endpoint: WorkerEndpoint,
@@ -163,7 +168,7 @@
         if connections.reserve(max_connections) { Ok(None) } else { Err(NoConnection::AllInUse) }
     }
 
-    /// Closes idle connections that are over their time.
+    /// Closes idle connections whose idle timeout has passed or that the worker has closed.
     pub fn close_stale(&self) {
         let now = self.clock.now();
         let mut endpoints = self.lock();
@@ -191,7 +196,7 @@
         }
     }
 
-    /// Keeps a connection for `idle`.
+    /// Makes a connection available for reuse for the duration of `idle`.
     fn return_idle(
         &self,
         endpoint: WorkerEndpoint,
@@ -205,7 +210,7 @@
     }
 }
 
-/// Counts a connection attempt until it has become a connection.
+/// Reserved slot for a connection attempt, released on drop unless the connection was opened.
 struct ReservedSlot {
     pool: Arc<ConnectionPool>,
     endpoint: WorkerEndpoint,
@@ -213,7 +218,7 @@
 }
 
 impl ReservedSlot {
-    fn keep(mut self) {
+    fn commit(mut self) {
         self.is_connected = true;
     }
 }
@@ -226,12 +231,12 @@
     }
 }
 
-/// Why a request brought no answer.
+/// Why a request got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendFailure {
-    /// No byte of it left.
+    /// No part of the request was sent.
     NotSent,
-    /// It may have arrived.
+    /// The worker may have received the request.
     MayHaveArrived,
 }
 
@@ -240,7 +245,7 @@
     ///
     /// # Errors
     ///
-    /// [`SendFailure`]: there was no answer.
+    /// [`SendFailure`]: the connection broke before the answer.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, SendFailure> {
         let Some(sender) = self.sender.as_mut() else { return Err(SendFailure::NotSent) };
         sender
@@ -249,10 +254,10 @@
             .map_err(|error| if error.message().is_some() { SendFailure::NotSent } else { SendFailure::MayHaveArrived })
     }
 
-    /// The answer was whole: the connection may serve another request within `keep_alive`, where the
-    /// worker stated that.
+    /// Marks the connection as reusable after a complete answer. `keep_alive` is the keep-alive time that the worker
+    /// stated, if any.
     pub fn keep(&mut self, keep_alive: Option<Duration>) {
-        self.keep = Some(keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |span| span * IDLE_TIMEOUT_PERCENT / 100));
+        self.idle_timeout = Some(keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |span| span * IDLE_TIMEOUT_PERCENT / 100));
     }
 }
 
@@ -260,7 +265,7 @@
     fn drop(&mut self) {
         let (endpoint, pool, task) = (self.endpoint, self.pool.clone(), self.task.clone());
         let sender = self.sender.take().filter(|sender| !sender.is_closed());
-        let (Some(sender), Some(idle)) = (sender, self.keep.filter(|idle| !idle.is_zero())) else {
+        let (Some(sender), Some(idle)) = (sender, self.idle_timeout.filter(|idle| !idle.is_zero())) else {
             task.abort();
             pool.release_slot(endpoint);
             return;
@@ -293,7 +298,7 @@
     let stream = connect_tuned(address).await?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
     let task = tokio::spawn(async move {
-        // How it ended shows at the requests that it carried.
+        // Errors are reported to the requests on the connection.
         let _ = connection.await;
     });
     Ok(NewConnection { sender, task: task.abort_handle() })
--- a/crates/gateway/src/workers/crash_check.rs
+++ b/crates/gateway/src/workers/crash_check.rs
@@ -1,8 +1,8 @@
-//! Whether a worker died under a request that ended there without a whole answer.
+//! Checks whether a worker crashed after a request ended there without a complete answer.
 //!
-//! A connection breaks for many reasons. Only a worker that can't be reached counts as dead: the difference between a
-//! request that crashes its workers and one whose connection was reset. A worker goes on for a moment with a request that
-//! was taken away from it, so it is looked at for as long.
+//! Connections break for many reasons, so only a worker that accepts no new connection counts as crashed. This
+//! distinguishes requests that crash workers from those whose connection was reset. As a worker may run a canceled request
+//! for a moment longer, the check is repeated over that time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,53 +16,53 @@
 use crate::workers::attempt::WorkerClient;
 use crate::workers::connections::WorkerEndpoint;
 
-/// The wait between the end of a run and the first look at its worker, in milliseconds: a process that ends closes its
-/// connections and its listener one after the other.
+/// Delay between the end of a run and the first check: an exiting process closes its connections before its listener, or
+/// the other way round.
 const FIRST_CHECK_DELAY: Duration = Duration::from_millis(20);
-/// The wait before the second look, in milliseconds, so that a worker that dies a moment later is known soon.
+/// Delay between the first and the second check, short enough to detect a slightly later crash early.
 const SECOND_CHECK_DELAY: Duration = Duration::from_millis(80);
-/// The wait before the last look, in milliseconds. A worker stops a run within half a second after its connection closed.
+/// Delay before the last check. Workers stop a run within 500 ms after its connection was closed.
 const LAST_CHECK_DELAY: Duration = Duration::from_millis(400);
 
 /// A run of a request at a worker.
 pub struct WorkerRun {
-    /// Where it runs.
+    /// The worker that runs the request.
     pub choice: Choice,
-    /// The worker's service.
+    /// The worker's service, which determines the limit on connections.
     pub service: Arc<str>,
     /// The request's id.
     pub request_id: Arc<str>,
-    /// The request's names.
+    /// The digests by which the request's crashes are counted.
     pub keys: RequestKeys,
-    /// The last event of its answer, 0 for none.
+    /// Number of the last event received from the worker, 0 for none.
     pub progress: u64,
 }
 
-/// Watches a run until it ends. One that is dropped was given up while the worker had it.
+/// Guard that checks the worker when a run is interrupted. Dropping it counts as an interruption.
 pub struct RunWatch {
     client: Arc<WorkerClient>,
     run: Option<WorkerRun>,
 }
 
 impl RunWatch {
-    /// The request is sent to the worker.
+    /// Starts watching a request that is being sent to a worker.
     pub fn new(client: Arc<WorkerClient>, run: WorkerRun) -> Self {
         Self { client, run: Some(run) }
     }
 
-    /// The answer came up to this event.
+    /// Records the number of the last event received.
     pub fn record_progress(&mut self, event: u64) {
         if let Some(run) = &mut self.run {
             run.progress = event;
         }
     }
 
-    /// The worker answered, or certainly did not begin to run the request.
+    /// Ends the watch without a check: the worker answered or did not start the request.
     pub fn ended(mut self) {
         self.run = None;
     }
 
-    /// The run broke off, or the worker was left. Returns the first look at the worker, while it lasts.
+    /// Starts the checks after a run was interrupted or abandoned. Returns the task of the first check.
     pub fn interrupted(mut self) -> Option<JoinHandle<()>> {
         self.start_check()
     }
@@ -70,7 +70,7 @@
     fn start_check(&mut self) -> Option<JoinHandle<()>> {
         let run = self.run.take()?;
         let client = self.client.clone();
-        // There is none while the process ends.
+        // No runtime is available during shutdown.
         let runtime = Handle::try_current().ok()?;
         Some(runtime.spawn(async move {
             if !client.check_crash(&run, FIRST_CHECK_DELAY).await {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Looks at the worker of a run that ended, and notes it if the worker died. Returns whether it did.
+    /// Checks the worker after `delay` and records a crash. Returns whether the worker crashed.
     async fn check_crash(&self, run: &WorkerRun, delay: Duration) -> bool {
         tokio::time::sleep(delay).await;
         let has_crashed = self.has_crashed(run).await;
@@ -110,8 +110,8 @@
         has_crashed
     }
 
-    /// Whether the worker can't be reached. Nothing is known, and so nothing is held against the request, where nothing
-    /// may go to the worker's zone and where this node may open no further connection.
+    /// Returns whether the worker is unreachable. Without evidence, that is if the worker's zone is evacuated or the
+    /// connection limit is reached, it does not count as crashed.
     async fn has_crashed(&self, run: &WorkerRun) -> bool {
         if self.view.workers().is_in_evacuated_zone(&run.choice.id) {
             return false;
--- a/crates/gateway/src/workers/mod.rs
+++ b/crates/gateway/src/workers/mod.rs
@@ -1,11 +1,11 @@
-//! Talking to workers, for online requests and batch items alike.
+//! Sending online requests and batch items to workers.
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! |---|---|
-//! | [`attempt`] | one attempt at one worker: from a connection to the head of the answer |
-//! | [`crash_check`] | whether a worker died under a request that broke off |
+//! | [`attempt`] | a single attempt at a worker, from connecting to the head of the answer |
+//! | [`crash_check`] | detecting worker crashes after interrupted requests |
 //! | [`permits`] | permits to send requests to workers that have just started |
-//! | [`connections`] | kept connections, and how many a worker may have from this node |
+//! | [`connections`] | the connection pool and its limit per worker |
 
 pub mod attempt;
 pub mod connections;
--- a/crates/gateway/src/workers/permits.rs
+++ b/crates/gateway/src/workers/permits.rs
@@ -1,8 +1,8 @@
-//! Asking the job table's leader for permits to send requests to workers that have just started.
+//! Requests permits from the job table's leader for sending requests to workers that have just started.
 //!
-//! Owns which workers permits are wanted for since the last question. When a worker is cold, and what a permit is good
-//! for, is decided by the worker table; what is granted, by the leader. Nodes of a version that knows no permits close
-//! the connection on such a question, so it has a connection of its own.
+//! Collects the workers for which permits are wanted between two requests to the leader. The worker table decides when a
+//! worker is cold and what a permit allows; the leader decides on the grants. Nodes of versions without permits close the
+//! connection on such a request, so a separate connection is used.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,17 +21,17 @@
 use crate::leader::client::LeaderClient;
 use crate::workers::attempt::WorkerClient;
 
-/// The wait after a question without an answer, in milliseconds: there is no leader, or it knows no permits.
+/// Delay after a failed request: there is no leader, or it does not support permits.
 const NO_LEADER_RETRY_INTERVAL: Millis = Millis(500);
 
-/// The permits that this node's requests want.
+/// The permits wanted by this node's requests.
 pub struct PermitRequests {
     wanted: Mutex<BTreeSet<WorkerId>>,
     /// Notified when permits are wanted.
     permits_wanted: Notify,
-    /// Counts the questions that were answered, or not in time.
+    /// Counts completed requests to the leader, including failed ones.
     answered: watch::Sender<u64>,
-    /// The last question got no answer, so waiting for the next would be in vain.
+    /// The last request to the leader failed, so requests don't wait for the next answer.
     has_no_leader: AtomicBool,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl PermitRequests {
-    /// A request could go to these workers if there were permits.
+    /// Adds workers to the next request for permits.
     pub fn want(&self, workers: Vec<WorkerId>) {
         if workers.is_empty() {
             return;
@@ -61,13 +61,13 @@
         self.permits_wanted.notify_one();
     }
 
-    /// Waits until the leader has answered, for a moment at most, and not while it is out of reach.
+    /// Waits up to [`MAX_PERMIT_WAIT`] for the leader's answer. Returns immediately while the leader is unreachable.
     pub async fn answered(&self) {
         if self.has_no_leader.load(Ordering::Relaxed) {
             return;
         }
         let mut answers = self.answered.subscribe();
-        // Without an answer there are no permits, which the next choice shows.
+        // After a timeout, the next selection finds no permits.
         let _ = tokio::time::timeout(Duration::from_millis(MAX_PERMIT_WAIT.0), answers.changed()).await;
     }
 
@@ -77,17 +77,17 @@
     }
 }
 
-/// Asks for permits when they are wanted, until the process ends.
+/// Requests wanted permits from the leader until the process ends.
 pub async fn exchange_permits(workers: Arc<WorkerClient>, id: NodeId) {
     let view = workers.view.clone();
     let client = LeaderClient::new(view.clone(), id);
     loop {
         workers.permits.permits_wanted.notified().await;
         let requested_at = view.clock.now();
-        // Counted from the question on, so that a late answer prolongs no permit.
+        // The lifetime starts with the request, so that a late answer doesn't prolong a permit.
         let until = requested_at + PERMIT_LIFETIME;
         let wanted = workers.permits.take_wanted();
-        // Without a leader, or with one that knows no permits, there are none, and cold workers are passed over.
+        // Without an answer no permits are added, and cold workers are skipped.
         let answer = client.send_request(JobsRequest::RequestPermits(wanted), until).await;
         workers.permits.has_no_leader.store(answer.is_err(), Ordering::Relaxed);
         let wait = if answer.is_ok() { PERMIT_INTERVAL } else { NO_LEADER_RETRY_INTERVAL };
--- a/crates/gateway/tests/metadata_relay.rs
+++ b/crates/gateway/tests/metadata_relay.rs
@@ -1,4 +1,5 @@
-//! A node that takes the metadata store's changes from another one, over a real connection.
+//! A follower must receive the metadata store's changes through its relay over TCP, and fall back to the store when the
+//! relay has lost it.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -27,7 +28,7 @@
 const RELAY: NodeId = NodeId(1);
 const FOLLOWER: NodeId = NodeId(2);
 
-/// What all stores of a test hold: one key, whose value is its revision.
+/// The store's contents, shared by all nodes of a test: one key whose value is its revision.
 struct Contents(watch::Sender<u64>);
 
 impl Contents {
@@ -42,7 +43,7 @@
     }
 }
 
-/// One node's way to the store.
+/// One node's connection to the store, which can be made to fail.
 struct StoreConnection {
     contents: Arc<Contents>,
     is_refused: AtomicBool,
@@ -103,7 +104,7 @@
 struct Node {
     store: Arc<StoreConnection>,
     fleet: Arc<FleetView>,
-    /// The newest revision that was told.
+    /// The latest revision that the node has published.
     latest_revision: Arc<Mutex<u64>>,
     address: SocketAddr,
 }
@@ -133,7 +134,7 @@
         Self { store, fleet, latest_revision, address }
     }
 
-    /// The node learns of a storing node, which may be its relay.
+    /// Adds a storage node to this node's view, as a candidate for its relay.
     fn add_storage_node(&self, node: NodeId, address: SocketAddr) {
         let (name, zone) = (Arc::from(format!("storage-{node}")), Arc::from("zone-a"));
         self.fleet.storage().upsert(StorageRecord { name, node, address, zone });
@@ -157,21 +158,21 @@
     }
 }
 
-/// A relay, and a follower that takes its changes from it.
+/// Starts a relay and a follower that receives its changes from it.
 async fn relay_and_follower(contents: &Arc<Contents>) -> (Node, Node) {
     let relay = Node::start(RELAY, contents.clone()).await;
     let follower = Node::start(FOLLOWER, contents.clone()).await;
     follower.add_storage_node(RELAY, relay.address);
     relay.wait_for(1, Duration::from_secs(5)).await;
     follower.wait_for(1, Duration::from_secs(5)).await;
-    // Its first watch waits for the contact bound and a margin; a change ends that.
+    // The change ends the follower's first watch of the store, after which it uses the relay.
     contents.write();
     follower.wait_for(2, Duration::from_secs(5)).await;
     (relay, follower)
 }
 
 #[tokio::test]
-async fn a_follower_learns_through_its_relay_while_the_store_refuses_it() {
+async fn a_follower_receives_changes_from_its_relay_while_its_own_store_calls_fail() {
     let contents = Arc::new(Contents(watch::Sender::new(1)));
     let (_relay, follower) = relay_and_follower(&contents).await;
     follower.store.is_refused.store(true, Ordering::SeqCst);
@@ -182,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn a_follower_asks_the_store_itself_when_its_relay_has_lost_it() {
+async fn a_follower_reads_from_the_store_when_its_relay_has_lost_it() {
     let contents = Arc::new(Contents(watch::Sender::new(1)));
     let (relay, follower) = relay_and_follower(&contents).await;
     relay.store.is_refused.store(true, Ordering::SeqCst);
@@ -190,11 +191,11 @@
         contents.write();
         follower.wait_for(revision, Duration::from_secs(3)).await;
     }
-    assert!(relay.latest_revision() < 5, "the relay could not know of all");
+    assert!(relay.latest_revision() < 5, "the relay received all changes although its store calls fail");
 }
 
 #[tokio::test]
-async fn a_follower_makes_no_calls_while_its_relay_serves_it() {
+async fn a_follower_does_not_call_the_store_while_its_relay_serves_it() {
     let contents = Arc::new(Contents(watch::Sender::new(1)));
     let (relay, follower) = relay_and_follower(&contents).await;
     contents.write();
@@ -205,7 +206,7 @@
         contents.write();
         follower.wait_for(revision, Duration::from_secs(3)).await;
     }
-    assert!(relay.calls() > served, "the relay watches the store");
-    // A relay that is held up by a busy machine may be asked too late once.
+    assert!(relay.calls() > served, "the relay did not watch the store");
+    // One call is tolerated: a delayed answer of the relay makes the follower call the store once.
     assert!(follower.calls() <= before + 1, "the follower made {} calls", follower.calls() - before);
 }
--- a/crates/gateway/tests/missing_records.rs
+++ b/crates/gateway/tests/missing_records.rs
@@ -1,5 +1,5 @@
-//! A node that finds workers' records missing when it reaches the metadata store again, on a paused clock: which of those
-//! workers may it still send requests?
+//! After an outage of the metadata store, workers whose records are missing must stay usable for the grace period and no
+//! longer. Runs on a paused clock.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,12 +25,12 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 const BOUNDS: WatchBounds = WatchBounds { change: Millis(2_000), contact: Millis(3_000), heartbeat: Millis(1_200) };
-/// How long a call may take beyond its wait.
+/// Timeout of a call, in addition to its wait.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 const SERVICE: &str = "service";
 const REMAINING: &str = "stays";
 const DEPARTING: &str = "leaves";
-/// Plays of each test, with other pauses between the node's calls.
+/// Number of runs of each test, each with another seed for the pauses between the node's calls.
 const RUNS: u64 = 40;
 
 fn seconds(seconds: f64) -> Duration {
@@ -40,13 +40,13 @@
 #[derive(Default)]
 struct Contents {
     revision: u64,
-    /// The revision of each record that stands.
+    /// The revision of each present record.
     records: BTreeMap<&'static str, u64>,
-    /// Each change: the record, and whether it was written.
+    /// All changes: revision, record, and whether it was written (true) or removed (false).
     history: Vec<(u64, &'static str, bool)>,
 }
 
-/// The store as one node reaches it: not at all in `outage`, counted from its start.
+/// The store as seen by one node: unreachable during `outage`, relative to the start of the store.
 struct Store {
     started: Instant,
     outage: Range<Duration>,
@@ -93,7 +93,7 @@
         self.outage.contains(&self.started.elapsed())
     }
 
-    /// Waits until the store's answer arrives, which it does not if the way is cut at either end of the call.
+    /// Runs a call, which times out if the store is unreachable at its start or its end.
     async fn call<T>(&self, within: Duration, answer: impl Future<Output = T>) -> Result<T, ReadFailure> {
         let begun = Instant::now();
         if !self.is_unreachable()
@@ -121,7 +121,7 @@
 
     async fn wait_for_changes(&self, since: Revision, wait: Duration) -> ItemSnapshot {
         let mut changes = self.changed.subscribe();
-        // Without changes the answer holds none.
+        // After a timeout the answer is empty.
         let _ = timeout(wait, changes.wait_for(|revision| *revision > since.0)).await;
         self.changes_after(since)
     }
@@ -176,7 +176,7 @@
     }
 }
 
-/// A node that follows the store. `seed` draws the pauses between its calls.
+/// Starts a node that follows the store. `seed` determines the pauses between its calls.
 fn start_node(store: &Arc<Store>, seed: u64) -> Arc<FleetView> {
     let clock = NodeClock::start();
     let fleet = Arc::new(FleetView::new(clock, Arc::from("zone-a"), seed));
@@ -197,27 +197,31 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_worker_that_left_during_a_cut_gets_nothing_once_the_contact_bound_has_passed() {
+async fn a_worker_removed_during_an_outage_gets_no_requests_after_the_contact_bound() {
     for seed in 0..RUNS {
         let recovered_at = seconds(14.0 + 0.037 * seed as f64);
         let store = Store::new(seconds(5.0)..recovered_at);
         let fleet = start_node(&store, seed);
         sleep_until(store.started + seconds(4.0)).await;
-        assert_eq!(ready_count(&fleet), 2, "both serve before the cut (seed {seed})");
+        assert_eq!(ready_count(&fleet), 2, "not all workers are ready before the outage (seed {seed})");
         sleep_until(store.started + seconds(7.0)).await;
         store.remove(DEPARTING);
         sleep_until(store.started + recovered_at + Duration::from_millis(BOUNDS.contact.0)).await;
         let checked_from = Instant::now();
         while checked_from.elapsed() < seconds(4.0) {
             let after = checked_from.elapsed();
-            assert_eq!(ready_count(&fleet), 1, "{after:?} after the contact bound it still serves (seed {seed})");
+            assert_eq!(
+                ready_count(&fleet),
+                1,
+                "not exactly one worker is ready {after:?} after the contact bound (seed {seed})"
+            );
             sleep(Duration::from_millis(20)).await;
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn workers_whose_records_lapsed_with_the_store_serve_on_while_they_may_come_back() {
+async fn workers_whose_records_expired_during_an_outage_stay_ready_while_the_records_may_reappear() {
     for seed in 0..RUNS {
         let recovered_at = seconds(9.5 + 0.037 * seed as f64);
         let store = Store::new(seconds(5.0)..recovered_at);
@@ -228,17 +232,17 @@
         sleep_until(store.started + recovered_at).await;
         while store.started.elapsed() < recovered_at + seconds(1.0) {
             let after = store.started.elapsed() - recovered_at;
-            assert_eq!(ready_count(&fleet), 2, "{after:?} after the store's return (seed {seed})");
+            assert_eq!(ready_count(&fleet), 2, "{after:?} after the end of the outage (seed {seed})");
             sleep(Duration::from_millis(20)).await;
         }
         store.write(REMAINING);
         sleep_until(store.started + recovered_at + seconds(6.0)).await;
-        assert_eq!(ready_count(&fleet), 1, "only the one whose record is back serves on (seed {seed})");
+        assert_eq!(ready_count(&fleet), 1, "only the worker with a rewritten record should be ready (seed {seed})");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_record_that_does_not_come_back_with_the_store_is_gone_when_the_contact_bound_has_passed() {
+async fn a_worker_whose_record_does_not_reappear_after_an_outage_is_removed_after_the_contact_bound() {
     for seed in 0..RUNS {
         let recovered_at = seconds(9.5 + 0.037 * seed as f64);
         let store = Store::new(seconds(5.0)..recovered_at);
@@ -246,6 +250,6 @@
         sleep_until(store.started + seconds(8.6)).await;
         store.remove(DEPARTING);
         sleep_until(store.started + recovered_at + Duration::from_millis(BOUNDS.contact.0)).await;
-        assert_eq!(ready_count(&fleet), 1, "it still serves (seed {seed})");
+        assert_eq!(ready_count(&fleet), 1, "the worker without a record is still ready (seed {seed})");
     }
 }
--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! A machine that is suspended for seconds: the runtime's clock stands still, while time passes for all others.
+//! Time during which the machine is suspended must count for the node's clock, although the runtime's clock omits it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,9 +12,9 @@
 use tokio::net::TcpListener;
 
 const MAX_CONNECTIONS: usize = 4;
-/// A connection to a listener of this process is there long before.
+/// Generous limit for a connection within this process.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longer than a connection is kept.
+/// Longer than the idle timeout of a connection.
 const SUSPENSION: Duration = Duration::from_secs(5);
 
 fn choice(address: SocketAddr) -> Choice {
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn steady_time_counts_suspensions_since_the_start() {
+async fn monotonic_time_includes_suspensions_since_the_start() {
     static SUSPENDED: AtomicU64 = AtomicU64::new(700);
     let clock = NodeClock::with_suspensions(|| Duration::from_millis(SUSPENDED.load(Ordering::SeqCst)));
     let started = clock.now();
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn the_machines_own_clock_never_goes_back() {
+async fn the_system_clock_never_goes_back() {
     let clock = NodeClock::start();
     let mut last = clock.now();
     for _ in 0..20_000 {
@@ -55,9 +55,9 @@
     }
 }
 
-/// Guards against a request that is sent over a connection which the worker closed while the machine was suspended.
+/// The worker may have closed idle connections while the machine was suspended.
 #[tokio::test]
-async fn a_connection_that_was_kept_before_a_suspension_is_not_used_after_it() {
+async fn an_idle_connection_is_not_reused_after_a_suspension() {
     static SUSPENDED: AtomicU64 = AtomicU64::new(0);
     let clock = NodeClock::with_suspensions(|| Duration::from_millis(SUSPENDED.load(Ordering::SeqCst)));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
