--- a/crates/gateway/src/fleet/fleet_view.rs
+++ b/crates/gateway/src/fleet/fleet_view.rs
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Merges a machine's crash report. `is_local` marks this machine's own report from an earlier run.
+    /// Merges a crash report from the store. `is_local` marks the report that this machine has written.
     pub fn merge_crashes(&self, report: &CrashReport, is_local: bool) {
         let quarantines = self.crashes().merge(report, is_local, self.clock.wall_time());
         for quarantine in quarantines {
--- a/crates/gateway/src/peers/peer_link.rs
+++ b/crates/gateway/src/peers/peer_link.rs
@@ -312,7 +312,7 @@
         let write = async {
             let mut next = Some(first);
             while let Some(outgoing) = next {
-                // A request that timed out must not be sent, since its caller was told that it was not.
+                // A request that timed out must not be sent, since its caller got `NotSent`.
                 let is_pending = outgoing.sent.is_none_or(|sent| sent.send(()).is_ok());
                 if is_pending {
                     write_frame(&mut writer, &outgoing.frame).await?;
--- a/crates/gateway/tests/metadata_relay.rs
+++ b/crates/gateway/tests/metadata_relay.rs
@@ -154,7 +154,7 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(within, reached).await.expect("the change is known in time");
+        tokio::time::timeout(within, reached).await.expect("the change was not received in time");
     }
 }
 
--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -61,16 +61,16 @@
     static SUSPENDED: AtomicU64 = AtomicU64::new(0);
     let clock = NodeClock::with_suspensions(|| Duration::from_millis(SUSPENDED.load(Ordering::SeqCst)));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let endpoint = WorkerEndpoint::of(&choice(listener.local_addr().expect("it is bound")));
+    let endpoint = WorkerEndpoint::of(&choice(listener.local_addr().expect("the listener has an address")));
     let pool = Arc::new(ConnectionPool::new(clock));
     let mut accepted = Vec::new();
     for _ in 0..2 {
         let opened = async { tokio::join!(pool.take(endpoint, MAX_CONNECTIONS), listener.accept()) };
         let (connection, stream) = tokio::time::timeout(OPEN_TIMEOUT, opened).await.expect("a new connection");
         accepted.push(stream.expect("a connection"));
-        connection.expect("it is open").keep(None);
+        connection.expect("the worker accepts connections").keep(None);
         wait_until_idle(&pool, endpoint).await;
-        pool.take(endpoint, MAX_CONNECTIONS).await.expect("the same one").keep(None);
+        pool.take(endpoint, MAX_CONNECTIONS).await.expect("the idle connection").keep(None);
         wait_until_idle(&pool, endpoint).await;
         SUSPENDED.fetch_add(SUSPENSION.as_millis() as u64, Ordering::SeqCst);
     }
