--- a/crates/gateway/tests/suspension.rs
+++ b/crates/gateway/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! A machine that is suspended for seconds: the runtime's clock stands still, while time passes for all others.
+//! Time during which the machine is suspended must count for the node's clock, although the runtime's clock omits it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 use stallmoor_gateway::workers::connections::{ConnectionPool, WorkerEndpoint};
 use tokio::net::TcpListener;
 
-const MOST_CONNECTIONS: usize = 4;
-/// A connection to a listener of this process is there long before.
+const MAX_CONNECTIONS: usize = 4;
+/// Generous limit for a connection within this process.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longer than a connection is kept.
+/// Longer than the idle timeout of a connection.
 const SUSPENSION: Duration = Duration::from_secs(5);
 
 fn choice(address: SocketAddr) -> Choice {
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn steady_time_counts_suspensions_since_the_start() {
+async fn monotonic_time_includes_suspensions_since_the_start() {
     static SUSPENDED: AtomicU64 = AtomicU64::new(700);
     let clock = NodeClock::with_suspensions(|| Duration::from_millis(SUSPENDED.load(Ordering::SeqCst)));
     let started = clock.now();
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn the_machines_own_clock_never_goes_back() {
+async fn the_system_clock_never_goes_back() {
     let clock = NodeClock::start();
     let mut last = clock.now();
     for _ in 0..20_000 {
@@ -55,28 +55,28 @@
     }
 }
 
-/// Guards against a request that is sent over a connection which the worker closed while the machine was suspended.
+/// The worker may have closed idle connections while the machine was suspended.
 #[tokio::test]
-async fn a_connection_that_was_kept_before_a_suspension_is_not_used_after_it() {
+async fn an_idle_connection_is_not_reused_after_a_suspension() {
     static SUSPENDED: AtomicU64 = AtomicU64::new(0);
     let clock = NodeClock::with_suspensions(|| Duration::from_millis(SUSPENDED.load(Ordering::SeqCst)));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let endpoint = WorkerEndpoint::of(&choice(listener.local_addr().expect("it is bound")));
+    let endpoint = WorkerEndpoint::of(&choice(listener.local_addr().expect("the listener has an address")));
     let pool = Arc::new(ConnectionPool::new(clock));
     let mut accepted = Vec::new();
     for _ in 0..2 {
-        let opened = async { tokio::join!(pool.take(endpoint, MOST_CONNECTIONS), listener.accept()) };
+        let opened = async { tokio::join!(pool.take(endpoint, MAX_CONNECTIONS), listener.accept()) };
         let (connection, stream) = tokio::time::timeout(OPEN_TIMEOUT, opened).await.expect("a new connection");
         accepted.push(stream.expect("a connection"));
-        connection.expect("it is open").keep(None);
-        until_idle(&pool, endpoint).await;
-        pool.take(endpoint, MOST_CONNECTIONS).await.expect("the same one").keep(None);
-        until_idle(&pool, endpoint).await;
+        connection.expect("the worker accepts connections").keep(None);
+        wait_until_idle(&pool, endpoint).await;
+        pool.take(endpoint, MAX_CONNECTIONS).await.expect("the idle connection").keep(None);
+        wait_until_idle(&pool, endpoint).await;
         SUSPENDED.fetch_add(SUSPENSION.as_millis() as u64, Ordering::SeqCst);
     }
 }
 
-async fn until_idle(pool: &ConnectionPool, endpoint: WorkerEndpoint) {
+async fn wait_until_idle(pool: &ConnectionPool, endpoint: WorkerEndpoint) {
     while !pool.has_idle(endpoint) {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
