--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -1,16 +1,16 @@
-//! A gateway or a storing node as a process: its parts put together, its stop and its reload.
+//! Runs a gateway or a storage node as a process: startup, planned stop and reload.
 //!
-//! Owns the tasks of the process and the channels between them. Relies on every other room; decides nothing but the
-//! order in which parts start and stop, and the times of a stop come from [`stallmoor_core::serving::stopping`].
+//! Owns the process's tasks and the channels between them, and determines the order in which components start and stop.
+//! The timeouts of a stop are defined in [`stallmoor_core::serving::stopping`].
 //!
 //! | module | owns |
 //! |---|---|
 //! | [`settings`] | the settings file |
-//! | [`signals`] | the signals that a process gets |
-//! | `parts` | the parts that both kinds of process have |
-//! | `gateway` | a gateway's start and planned stop |
-//! | `storage_node` | a storing node's start and planned stop |
-//! | `reload` | reading the settings again at a signal |
+//! | [`signals`] | signal handlers |
+//! | `parts` | components common to both kinds of process |
+//! | `gateway` | startup and planned stop of a gateway |
+//! | `storage_node` | startup and planned stop of a storage node |
+//! | `reload` | reloading the settings on a signal |
 
 mod gateway;
 mod parts;
@@ -24,31 +24,31 @@
 use stallmoor_storage::StorageError;
 pub use storage_node::run_storage;
 
-/// Why a process ends.
+/// Error that prevents a process from starting or makes it exit.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ProcessError {
-    /// The system refused something.
-    #[snafu(display("{what}: {source}"))]
+    /// An operating system call failed.
+    #[snafu(display("{operation}: {source}"))]
     System {
-        /// What it refused.
-        what: &'static str,
-        /// Why.
+        /// Operation that failed.
+        operation: &'static str,
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The disk refused something.
+    /// A disk operation failed.
     #[snafu(display("{source}"))]
     Disk {
-        /// Why.
+        /// Error of the storage layer.
         source: StorageError,
     },
-    /// The settings lack what this kind of process needs.
+    /// A setting that this kind of process requires is missing.
     #[snafu(display("the settings lack {field}"))]
-    Lacking {
-        /// The field.
+    MissingSetting {
+        /// Name of the missing setting, including its table.
         field: &'static str,
     },
-    /// The disk holds a table that this version can't read.
-    #[snafu(display("the job table on the disk can't be read"))]
+    /// This version can't decode the job table on disk.
+    #[snafu(display("job table on disk cannot be decoded by this version"))]
     UnreadableTable,
 }
--- a/crates/gateway/src/process/parts.rs
+++ b/crates/gateway/src/process/parts.rs
@@ -1,4 +1,4 @@
-//! The parts that both kinds of process have: the view of the fleet, the way to workers, the figures.
+//! Components common to gateways and storage nodes: the fleet view, the worker client, the metrics endpoint.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,18 +27,18 @@
 use crate::workers::connections::ConnectionPool;
 use crate::workers::permits::PermitRequests;
 
-/// What a node knows of the fleet, and its way to workers.
+/// Fleet view and worker client of a node.
 pub(super) struct NodeComponents {
-    /// The configuration in force, the workers, the storing nodes.
+    /// View of the active configuration, the workers and the storage nodes.
     pub(super) view: Arc<FleetView>,
-    /// The metadata store's contents, which other nodes may ask for.
+    /// Contents of the metadata store, served to other nodes on request.
     pub(super) metadata: Arc<MetadataView>,
-    /// The way to workers.
+    /// Client for sending requests to workers.
     pub(super) workers: Arc<WorkerClient>,
 }
 
 impl NodeComponents {
-    /// The parts of a node that knows nothing yet.
+    /// Creates the components with an empty fleet view.
     pub(super) fn new(settings: &ServingSettings, adapter: &dyn PlatformAdapter) -> Self {
         let zone = Arc::from(settings.node.zone.as_str());
         let view = Arc::new(FleetView::new(NodeClock::start(), zone, random_u64()).with_regions(settings.regions()));
@@ -49,42 +49,42 @@
         Self { view, metadata, workers }
     }
 
-    /// Starts to follow the metadata store, and to apply each update. Each goes to `further` too.
+    /// Starts watching the metadata store and applying its updates. Each update is also forwarded to `subscriber`.
     pub(super) fn follow_metadata(
         &self,
         id: NodeId,
         settings: &ServingSettings,
         adapter: &dyn PlatformAdapter,
-        further: Option<mpsc::UnboundedSender<FleetUpdate>>,
+        subscriber: Option<mpsc::UnboundedSender<FleetUpdate>>,
     ) {
-        // Not bounded: updates are applied in memory, so no more wait than one answer of the store or a relay has.
+        // Unbounded: updates are applied in memory, so at most those of one answer of the store or a relay are queued.
         let (updates, received) = mpsc::unbounded_channel();
         let (fleet, view) = (self.view.clone(), self.metadata.clone());
         let bounds = settings.metadata.watch_bounds();
         let watch = MetadataWatch::new(id, adapter.metadata(), fleet, view, bounds, updates);
         tokio::spawn(watch.run());
         tokio::spawn(report_crashes(self.view.clone(), adapter.metadata(), settings.node.name.clone()));
-        tokio::spawn(apply_updates(self.view.clone(), received, further));
+        tokio::spawn(apply_updates(self.view.clone(), received, subscriber));
     }
 }
 
-/// Applies updates of the fleet, and passes them on.
+/// Applies updates to the fleet view and forwards them to `subscriber`.
 async fn apply_updates(
     view: Arc<FleetView>,
     mut updates: mpsc::UnboundedReceiver<FleetUpdate>,
-    further: Option<mpsc::UnboundedSender<FleetUpdate>>,
+    subscriber: Option<mpsc::UnboundedSender<FleetUpdate>>,
 ) {
     while let Some(update) = updates.recv().await {
         view.apply(&update);
-        if let Some(further) = &further
-            && further.send(update).is_err()
+        if let Some(subscriber) = &subscriber
+            && subscriber.send(update).is_err()
         {
             return;
         }
     }
 }
 
-/// Serves figures where the settings name a port for them.
+/// Starts the metrics endpoint if the settings specify a port for it.
 pub(super) fn start_metrics(settings: &ServingSettings) -> Result<(), ProcessError> {
     if let Some(address) = settings.metrics_address() {
         measures::start();
@@ -93,23 +93,22 @@
     Ok(())
 }
 
-/// A listener on an address of the settings.
+/// Opens a TCP listener on an address from the settings.
 pub(super) fn open_listener(address: SocketAddr) -> Result<TcpListener, ProcessError> {
-    listen(address).context(SystemSnafu { what: "listening" })
+    listen(address).context(SystemSnafu { operation: "cannot open a TCP listener" })
 }
 
-/// A number from the system's source of randomness.
+/// Returns a random number seeded from the operating system.
 pub(super) fn random_u64() -> u64 {
     Xoshiro256PlusPlus::from_os_rng().random()
 }
 
-/// An identity that no other node has; 0 stands for none on the wire.
+/// Returns a random node ID. 0 is excluded because it means "no node" on the wire.
 pub(super) fn new_node_id() -> NodeId {
     NodeId(random_u64().max(1))
 }
 
-/// Logs that the node is up.
-pub(super) fn log_start(settings: &ServingSettings, role: &str) {
+pub(super) fn log_node_start(settings: &ServingSettings, role: &str) {
     let fields = [
         Field::text("machine", &settings.node.name),
         Field::text("role", role),
--- a/crates/gateway/src/process/reload.rs
+++ b/crates/gateway/src/process/reload.rs
@@ -1,4 +1,4 @@
-//! Reading the settings again at a signal, until the signal to stop.
+//! Reloads the settings on a signal, until the signal to stop.
 
 use std::path::Path;
 
@@ -8,14 +8,14 @@
 use super::signals::{ProcessSignals, SignalRequest};
 use crate::observe::journal::{Field, record};
 
-/// Waits for the signal to stop, and reads the settings again at each signal to reload.
+/// Waits for a stop signal. Reloads the settings on each reload signal.
 pub(super) async fn wait_for_stop(mut signals: ProcessSignals, settings_path: &Path) {
     while signals.next().await == SignalRequest::Reload {
         reload_settings(settings_path);
     }
 }
 
-/// Takes what may change while the process runs: the log level. Settings that can't be used change nothing.
+/// Applies the one setting that may change at runtime, the log level. Invalid settings are logged and ignored.
 fn reload_settings(settings_path: &Path) {
     match ServingSettings::read(settings_path) {
         Ok(settings) => {
--- a/crates/gateway/src/process/settings.rs
+++ b/crates/gateway/src/process/settings.rs
@@ -1,7 +1,7 @@
-//! The settings file of a gateway or storing node: read and checked once, at the start; at a reload only the log level
-//! is taken.
+//! The settings file of a gateway or a storage node. It is read and validated at startup; a reload applies only the log
+//! level.
 //!
-//! Owns the names of tables and fields, and their defaults. Deploy files fill it in.
+//! Defines the names of tables and fields, and their defaults.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -14,44 +14,44 @@
 use stallmoor_core::serving::relay::bounds::WatchBounds;
 use stallmoor_core::time::Millis;
 
-/// The bounds on a change of the configuration and on a draining worker where the file names none, in milliseconds.
+/// Default of `metadata.config_ms` and `metadata.drain_ms`.
 const DEFAULT_CHANGE_MS: f64 = 2_000.0;
-/// The contact bound where the file names none, in milliseconds.
+/// Default of `metadata.contact_ms`.
 const DEFAULT_CONTACT_MS: f64 = 3_000.0;
-/// The time between two writes of a worker's record where the file names none, in milliseconds.
+/// Default of `metadata.heartbeat_ms`.
 const DEFAULT_HEARTBEAT_MS: f64 = 1_200.0;
-/// How long results are kept where the file does not say, in seconds.
+/// Default of `jobs.results_kept_s`.
 const DEFAULT_RESULTS_KEPT_S: f64 = 600.0;
-/// How long a planned stop may take where the file does not say, in seconds.
+/// Default of `stop.grace_s`.
 const DEFAULT_GRACE_S: f64 = 8.0;
 
-/// Why settings can't be used.
+/// Error in reading or validating the settings file.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file can't be read.
     #[snafu(display("{}: {source}", path.display()))]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not a settings file. The library names line and field.
+    /// The file is not valid TOML, or a field is unknown, missing or of the wrong type.
     #[snafu(display("{}: {source}", path.display()))]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong, and where.
+        /// Error of the parser, with the position in the file.
         source: Box<toml::de::Error>,
     },
-    /// A field holds what it must not.
+    /// The value of a field is out of range or not allowed.
     #[snafu(display("{}: {field} {problem}", path.display()))]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The field.
+        /// Name of the field, including its table.
         field: &'static str,
-        /// What is wrong with it.
+        /// Constraint that the value violates.
         problem: &'static str,
     },
 }
@@ -60,25 +60,25 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServingSettings {
-    /// The node.
+    /// Identity and location of this node.
     pub node: NodeTable,
-    /// Where it listens.
+    /// Addresses and ports to listen on.
     pub listen: ListenTable,
-    /// The metadata store.
+    /// Address of the metadata store, and time limits for its updates.
     pub metadata: MetadataTable,
-    /// What the system must bear.
+    /// Losses that the deployment must tolerate.
     #[serde(default)]
     pub tolerance: ToleranceTable,
-    /// In which region each zone lies, by the zone's name.
+    /// Region of each zone, keyed by zone name.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// Batch jobs, at a storing node.
+    /// Batch jobs; used by storage nodes.
     #[serde(default)]
     pub jobs: JobsTable,
-    /// The planned stop.
+    /// Planned stop of the process.
     #[serde(default)]
     pub stop: StopTable,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogTable,
 }
@@ -87,13 +87,13 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeTable {
-    /// The machine's name.
+    /// Name of the machine.
     pub name: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Its address.
+    /// Address at which other nodes reach this one.
     pub address: IpAddr,
-    /// The folder of a storing node.
+    /// Folder for the replicated log; required by storage nodes.
     #[serde(default)]
     pub data_folder: Option<PathBuf>,
 }
@@ -102,15 +102,15 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenTable {
-    /// For callers; a gateway needs it.
+    /// Address for requests of callers; required by gateways.
     #[serde(default)]
     pub callers: Option<SocketAddr>,
-    /// For the question whether the node is ready; a gateway needs it.
+    /// Address for readiness checks; required by gateways.
     #[serde(default)]
     pub readiness: Option<SocketAddr>,
-    /// For other nodes, on the node's address.
+    /// Port for other nodes, on the node's address.
     pub peer_port: u16,
-    /// For the figures, on the node's address; without it none are gathered.
+    /// Port for metrics, on the node's address. If absent, metrics are disabled.
     #[serde(default)]
     pub metrics_port: Option<u16>,
 }
@@ -119,23 +119,22 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MetadataTable {
-    /// The address of the metadata store.
+    /// Address of the metadata store.
     pub address: SocketAddr,
-    /// A change of the configuration must be in force within this time, in milliseconds.
+    /// Maximum delay until a configuration change takes effect, in milliseconds.
     #[serde(default = "MetadataTable::default_config_ms")]
     pub config_ms: f64,
-    /// A worker that leaves must get no requests after this time, in milliseconds.
+    /// Maximum delay until a draining worker stops receiving requests, in milliseconds.
     #[serde(default = "MetadataTable::default_drain_ms")]
     pub drain_ms: f64,
-    /// The workers of a zone that is evacuated must get no requests after this time, in milliseconds; absent where it is
-    /// no shorter than the two bounds above.
+    /// Maximum delay until the workers of an evacuated zone stop receiving requests, in milliseconds. If absent, the
+    /// shorter of the two limits above applies.
     #[serde(default)]
     pub evacuate_ms: Option<f64>,
-    /// A node that had no way to the store must be up to date this long after it has one again, in
-    /// milliseconds.
+    /// Maximum delay until a node is up to date after it has reconnected to the store, in milliseconds.
     #[serde(default = "MetadataTable::default_contact_ms")]
     pub contact_ms: f64,
-    /// A worker writes its record about this often, in milliseconds.
+    /// Approximate interval at which a worker writes its record, in milliseconds.
     #[serde(default = "MetadataTable::default_heartbeat_ms")]
     pub heartbeat_ms: f64,
 }
@@ -157,7 +156,7 @@
         DEFAULT_HEARTBEAT_MS
     }
 
-    /// The times in which the node must know of changes.
+    /// Returns the time limits within which the node must learn of changes.
     pub fn watch_bounds(&self) -> WatchBounds {
         let millis = |value: f64| Millis(value.max(0.0) as u64);
         WatchBounds {
@@ -172,13 +171,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ToleranceTable {
-    /// How many storing machines may be lost at once.
+    /// Number of storage machines that may be lost at once.
     #[serde(default)]
     pub machines: usize,
-    /// How many zones may be lost at once.
+    /// Number of zones that may be lost at once.
     #[serde(default)]
     pub zones: usize,
-    /// How many regions may be lost at once.
+    /// Number of regions that may be lost at once.
     #[serde(default)]
     pub regions: usize,
 }
@@ -190,8 +189,8 @@
 }
 
 impl ToleranceTable {
-    /// How many replicas may be lost at once. Replicas lie in as many zones as there are, so each lost
-    /// zone or region costs one of those that are needed, at the least.
+    /// Returns the number of replicas that may be lost at once. Replicas are spread over as many zones as possible, so
+    /// each lost zone or region counts as one replica.
     pub fn replicas(&self) -> usize {
         self.machines.max(self.zones).max(self.regions)
     }
@@ -201,10 +200,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobsTable {
-    /// How long a job's results are kept, from its submission on, in seconds.
+    /// Retention period of results, counted from the submission of their job, in seconds.
     #[serde(default = "JobsTable::default_results_kept")]
     pub results_kept_s: f64,
-    /// Bytes of the disk, in megabytes (1,000,000 bytes); 0 if there is no known end.
+    /// Disk size in megabytes (1,000,000 bytes); 0 if unlimited.
     #[serde(default)]
     pub disk_mb: f64,
 }
@@ -214,12 +213,12 @@
         DEFAULT_RESULTS_KEPT_S
     }
 
-    /// How long results are kept, from the submission on.
+    /// Returns the retention period of results, counted from the submission of their job.
     pub fn results_kept(&self) -> Millis {
         Millis((self.results_kept_s * 1_000.0) as u64)
     }
 
-    /// Bytes of the disk, if it has a known end.
+    /// Returns the disk size in bytes, or `None` if it is unlimited.
     pub fn disk_bytes(&self) -> Option<u64> {
         (self.disk_mb > 0.0).then_some((self.disk_mb * 1e6) as u64)
     }
@@ -235,12 +234,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StopTable {
-    /// How long a planned stop may take, in seconds.
+    /// Maximum duration of a planned stop, in seconds.
     pub grace_s: f64,
 }
 
 impl StopTable {
-    /// How long a planned stop may take.
+    /// Returns the maximum duration of a planned stop.
     pub fn grace(&self) -> Millis {
         Millis((self.grace_s * 1_000.0) as u64)
     }
@@ -256,7 +255,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogTable {
-    /// The least level that is written: off, error, warn, info, debug or trace.
+    /// Minimum severity that is logged: off, error, warn, info, debug or trace.
     pub level: log::LevelFilter,
 }
 
@@ -267,21 +266,22 @@
 }
 
 impl ServingSettings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or holds what it must not; the error names the place.
+    /// Fails if the file can't be read, is malformed or contains an invalid value. The error names the file and the
+    /// offending line or field.
     pub fn read(path: &std::path::Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).context(UnreadableSnafu { path })?;
         Self::parse(&text, path)
     }
 
-    /// Checks the text of a file.
+    /// Parses and validates the contents of a settings file. `path` is used in error messages only.
     ///
     /// # Errors
     ///
-    /// As [`ServingSettings::read`].
+    /// Fails if the text is malformed or contains an invalid value.
     pub fn parse(text: &str, path: &std::path::Path) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(Box::new).context(MalformedSnafu { path })?;
         let invalid = |field, problem| Err(SettingsError::Invalid { path: path.to_owned(), field, problem });
@@ -321,18 +321,18 @@
         Ok(settings)
     }
 
-    /// In which region each zone lies.
+    /// Returns the region of each zone.
     pub fn regions(&self) -> RegionMap {
         let zones = self.zones.iter();
         RegionMap::new(zones.map(|(zone, region)| (Arc::from(zone.as_str()), RegionName::new(region))))
     }
 
-    /// Where the figures are served.
+    /// Returns the address of the metrics endpoint, or `None` if metrics are disabled.
     pub fn metrics_address(&self) -> Option<SocketAddr> {
         self.listen.metrics_port.map(|port| SocketAddr::new(self.node.address, port))
     }
 
-    /// Where other nodes reach this one.
+    /// Returns the address at which other nodes reach this one.
     pub fn peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.node.address, self.listen.peer_port)
     }
--- a/crates/gateway/src/process/signals.rs
+++ b/crates/gateway/src/process/signals.rs
@@ -1,32 +1,32 @@
-//! The signals that a process gets from whoever runs it. Owns their handlers; what follows is the process's.
+//! Handlers for the signals that stop the process or reload its settings.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The signals to stop and to read the settings again.
+/// Receives SIGTERM, SIGINT and SIGHUP.
 ///
-/// A signal without a handler ends the process, so this comes first of all: reading a disk may take seconds, and the
-/// settings may change meanwhile. What arrives before anybody waits for it is kept.
+/// Install the handlers before any other startup work: loading the disk may take seconds, and an unhandled signal would
+/// terminate the process meanwhile. Signals that arrive before [`ProcessSignals::next`] is called are not lost.
 pub struct ProcessSignals {
     terminate: Signal,
     interrupt: Signal,
     reload: Signal,
 }
 
-/// What a signal asks for.
+/// Action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalRequest {
-    /// A planned stop.
+    /// Start a planned stop.
     Stop,
-    /// The settings may have changed.
+    /// Reload the settings.
     Reload,
 }
 
 impl ProcessSignals {
-    /// Installs the handlers.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// The system refused one.
+    /// Fails if the operating system rejects a handler.
     pub fn install() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
--- a/crates/gateway/src/process/storage_node.rs
+++ b/crates/gateway/src/process/storage_node.rs
@@ -1,4 +1,4 @@
-//! A storing node's start and planned stop.
+//! Startup and planned stop of a storage node.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use stallmoor_storage::{FolderOwner, ReplicaFolder, ReplicaLog};
 use tokio::sync::{mpsc, watch};
 
-use super::parts::{NodeComponents, log_start, new_node_id, open_listener, random_u64, start_metrics};
+use super::parts::{NodeComponents, log_node_start, new_node_id, open_listener, random_u64, start_metrics};
 use super::reload::wait_for_stop;
 use super::settings::ServingSettings;
 use super::signals::ProcessSignals;
@@ -28,37 +28,38 @@
 use crate::storage::disk_writer::DiskWriter;
 use crate::storage::peer_listener::accept_peers;
 use crate::storage::registration;
-use crate::storage::service::{StorageInputs, StorageParts, StorageService};
+use crate::storage::service::{StorageComponents, StorageInputs, StorageService};
 
-/// Messages of peers that wait for the service: bounds memory. Further ones wait in their connections.
-const PEER_EVENTS: usize = 4_096;
+/// Maximum number of queued peer messages. When the queue is full, further messages stay in their connections.
+const PEER_EVENT_QUEUE_CAPACITY: usize = 4_096;
 
-/// Runs a storing node until it gets the signal to stop.
+/// Runs a storage node until it receives a stop signal.
 ///
 /// # Errors
 ///
-/// [`ProcessError`]: it can't start, or its disk failed.
+/// Returns a [`ProcessError`] if the node can't start or its disk fails.
 pub async fn run_storage(
     settings: &ServingSettings,
     settings_path: &Path,
     adapter: &dyn PlatformAdapter,
     signals: ProcessSignals,
 ) -> Result<(), ProcessError> {
-    let folder = settings.node.data_folder.as_deref().ok_or(ProcessError::Lacking { field: "node.data_folder" })?;
+    let folder =
+        settings.node.data_folder.as_deref().ok_or(ProcessError::MissingSetting { field: "node.data_folder" })?;
     start_metrics(settings)?;
-    let parts = NodeComponents::new(settings, adapter);
-    let replica = OpenReplica::open(folder, settings, parts.view.clock.now())?;
+    let components = NodeComponents::new(settings, adapter);
+    let replica = OpenReplica::open(folder, settings, components.view.clock.now())?;
     let (stop, stopping) = watch::channel(false);
-    let service = start_service(replica, parts, settings, adapter, stopping)?;
-    log_start(settings, "storage");
-    let service = StorageService::run(service.parts, service.inputs);
+    let service = start_service(replica, components, settings, adapter, stopping)?;
+    log_node_start(settings, "storage");
+    let service = StorageService::run(service.components, service.inputs);
     tokio::pin!(service);
     tokio::select! {
         ended = service.as_mut() => return ended.context(DiskSnafu),
         () = wait_for_stop(signals, settings_path) => {}
     }
     record(LogEvent::NodeStopping, &[]);
-    // The service holds the receiver until it ends.
+    // The service owns the receiver until it completes.
     let _ = stop.send(true);
     if let Ok(ended) = tokio::time::timeout(Duration::from_millis(LEADERSHIP_TRANSFER_TIMEOUT.0), service).await {
         ended.context(DiskSnafu)?;
@@ -67,7 +68,7 @@
     Ok(())
 }
 
-/// This node's replica of the job table, as its disk holds it.
+/// This node's replica of the job table, loaded from disk.
 struct OpenReplica {
     id: NodeId,
     node: JobsNode,
@@ -75,7 +76,7 @@
 }
 
 impl OpenReplica {
-    /// Reads the folder, or formats it if it is blank.
+    /// Opens the data folder, or formats it if it is empty.
     fn open(folder: &Path, settings: &ServingSettings, now: Timestamp) -> Result<Self, ProcessError> {
         let owner = FolderOwner {
             peer_address: settings.peer_address().to_string(),
@@ -94,49 +95,56 @@
     }
 }
 
-/// What the service is made of.
-struct ServiceStart {
-    parts: StorageParts,
+/// Components and input channels of the service.
+struct ServiceSetup {
+    components: StorageComponents,
     inputs: StorageInputs,
 }
 
-/// Starts the tasks that the service gets its inputs from.
+/// Starts the tasks that feed the service.
 fn start_service(
     replica: OpenReplica,
-    parts: NodeComponents,
+    components: NodeComponents,
     settings: &ServingSettings,
     adapter: &dyn PlatformAdapter,
     stop: watch::Receiver<bool>,
-) -> Result<ServiceStart, ProcessError> {
+) -> Result<ServiceSetup, ProcessError> {
     let OpenReplica { id, node, log } = replica;
-    // Not bounded: the disk's thread reports once for each of the service's own writes at most.
+    // Unbounded: the disk thread sends at most one report for each write of the service.
     let (results, writes) = mpsc::unbounded_channel();
-    let disk = DiskWriter::start(log, JOBS_GROUP, results).context(SystemSnafu { what: "the disk's thread" })?;
-    let (peer_events, peers) = mpsc::channel(PEER_EVENTS);
-    tokio::spawn(accept_peers(open_listener(settings.peer_address())?, peer_events, parts.metadata.clone()));
-    // Not bounded: no more wait than the store's changes since the service last took one, a few a second.
-    let (further, updates) = mpsc::unbounded_channel();
-    parts.follow_metadata(id, settings, adapter, Some(further));
-    tokio::spawn(registration::register(adapter.metadata(), own_record(settings, id)));
-    let tolerated = settings.tolerance.replicas();
-    // Not bounded: one message is sent in all.
-    let (founders, founding) = mpsc::unbounded_channel();
-    tokio::spawn(registration::bootstrap_group(parts.view.clone(), adapter.metadata(), id, tolerated, founders));
-    let parts = StorageParts {
+    let disk = DiskWriter::start(log, JOBS_GROUP, results)
+        .context(SystemSnafu { operation: "cannot start the disk thread" })?;
+    let (peer_events, peers) = mpsc::channel(PEER_EVENT_QUEUE_CAPACITY);
+    tokio::spawn(accept_peers(open_listener(settings.peer_address())?, peer_events, components.metadata.clone()));
+    // Unbounded: the queue holds only the changes of the store since the service last received one, a few per second.
+    let (update_sender, updates) = mpsc::unbounded_channel();
+    components.follow_metadata(id, settings, adapter, Some(update_sender));
+    tokio::spawn(registration::register(adapter.metadata(), local_record(settings, id)));
+    let tolerated_losses = settings.tolerance.replicas();
+    // Unbounded: only one message is ever sent.
+    let (founding_sender, founding) = mpsc::unbounded_channel();
+    tokio::spawn(registration::bootstrap_group(
+        components.view.clone(),
+        adapter.metadata(),
+        id,
+        tolerated_losses,
+        founding_sender,
+    ));
+    let components = StorageComponents {
         node,
         id,
-        tolerated,
-        workers: parts.workers,
+        tolerated_losses,
+        workers: components.workers,
         metadata: adapter.metadata(),
         disk,
         budget: DiskBudget::new(settings.jobs.disk_bytes()),
         results_kept: settings.jobs.results_kept(),
     };
-    Ok(ServiceStart { parts, inputs: StorageInputs { peers, writes, updates, founding, stop } })
+    Ok(ServiceSetup { components, inputs: StorageInputs { peers, writes, updates, founding, stop } })
 }
 
-/// This node's record in the metadata store.
-fn own_record(settings: &ServingSettings, id: NodeId) -> StorageRecord {
+/// Returns this node's record for the metadata store.
+fn local_record(settings: &ServingSettings, id: NodeId) -> StorageRecord {
     StorageRecord {
         name: Arc::from(settings.node.name.as_str()),
         node: id,
--- a/crates/gateway/src/storage/disk_writer.rs
+++ b/crates/gateway/src/storage/disk_writer.rs
@@ -1,8 +1,8 @@
-//! The thread that writes a replica to disk, so that nothing else waits for it.
+//! The thread that writes a replica's log to disk, so that async tasks never block on disk I/O.
 //!
-//! It owns the replica's log on disk, and numbers the writes. It relies on its driver to let nothing out that a write
-//! comes before until that write was reported. The queue to the thread has no bound of its own: the driver hands over
-//! one write and waits for it, so one is queued at most. Nor has the one back: one report for each batch of writes.
+//! Owns the log and numbers the writes. The caller must not release an effect that depends on a write until the write
+//! is reported as durable. The queue to the thread is unbounded because the caller has at most one write in flight;
+//! the channel back is unbounded because it carries one report per batch of writes.
 
 use std::sync::mpsc;
 
@@ -11,70 +11,71 @@
 use stallmoor_storage::{ReplicaLog, StorageError};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Numbers the writes of one replica, in order.
+/// Sequence number of a write of one replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WriteNumber(pub u64);
 
-struct Job {
+struct QueuedWrite {
     number: WriteNumber,
     write: LogWrite,
 }
 
-/// How far the disk is.
+/// Reports that writes up to a sequence number are durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Written {
-    /// The last write that is durable.
+pub struct WriteCompletion {
+    /// The last durable write.
     pub number: WriteNumber,
-    /// Bytes that the replica's files have.
+    /// Total size of the replica's files, in bytes.
     pub bytes: u64,
 }
 
-/// How writes ended.
-pub type WriteResult = Result<Written, StorageError>;
+/// Outcome of a batch of writes.
+pub type WriteResult = Result<WriteCompletion, StorageError>;
 
-/// Hands writes to the thread.
+/// Handle for submitting writes to the disk thread.
 pub struct DiskWriter {
-    jobs: mpsc::Sender<Job>,
+    queue: mpsc::Sender<QueuedWrite>,
     last: WriteNumber,
 }
 
 impl DiskWriter {
-    /// Starts the thread. It tells `results` how far the disk is.
+    /// Starts the disk thread, which sends the outcome of each batch of writes to `results`.
     ///
     /// # Errors
     ///
-    /// The system gives no thread.
+    /// Fails if the operating system can't create a thread.
     pub fn start(log: ReplicaLog, group: GroupId, results: UnboundedSender<WriteResult>) -> std::io::Result<Self> {
-        let (jobs, receiver) = mpsc::channel();
+        let (queue, receiver) = mpsc::channel();
         let thread = std::thread::Builder::new().name(format!("disk-{}", group.0));
         thread.spawn(move || write_all(log, &receiver, &results))?;
-        Ok(Self { jobs, last: WriteNumber(0) })
+        Ok(Self { queue, last: WriteNumber(0) })
     }
 
-    /// Hands a write over. It is durable once its number was reported.
+    /// Queues a write and returns its sequence number. The write is durable once that number is reported.
     pub fn write(&mut self, write: LogWrite) -> WriteNumber {
         self.last = WriteNumber(self.last.0 + 1);
-        // The thread ends only with a failed write, which ends the process.
-        let _ = self.jobs.send(Job { number: self.last, write });
+        // The thread exits early only after a failed write, which terminates the process.
+        let _ = self.queue.send(QueuedWrite { number: self.last, write });
         self.last
     }
 }
 
-/// Writes whatever waits at once, so that one sync serves many writes.
-fn write_all(mut log: ReplicaLog, jobs: &mpsc::Receiver<Job>, results: &UnboundedSender<WriteResult>) {
-    while let Ok(first) = jobs.recv() {
+/// Writes all queued entries as one batch, so that a single sync covers them.
+fn write_all(mut log: ReplicaLog, queue: &mpsc::Receiver<QueuedWrite>, results: &UnboundedSender<WriteResult>) {
+    while let Ok(first) = queue.recv() {
         let mut number = first.number;
         let mut writes = vec![first.write];
-        while let Ok(next) = jobs.try_recv() {
+        while let Ok(next) = queue.try_recv() {
             number = next.number;
             writes.push(next.write);
         }
-        let result = log.write(&writes).map(|()| Written { number, bytes: log.bytes() });
+        let result = log.write(&writes).map(|()| WriteCompletion { number, bytes: log.bytes() });
         let failed = result.is_err();
         if results.send(result).is_err() || failed {
             return;
         }
     }
-    // A planned stop: the next start has less to read. The log holds everything all the same.
+    // Finishing a pending snapshot shortens recovery at the next start. Errors are ignored: the log is complete without
+    // the snapshot.
     let _ = log.settle();
 }
--- a/crates/gateway/src/storage/item_run.rs
+++ b/crates/gateway/src/storage/item_run.rs
@@ -1,8 +1,7 @@
-//! One run of a batch item at a worker.
+//! One run of a batch item on a worker.
 //!
-//! It owns the attempt and its output while it lasts. What an answer means for the item, and how long it waits for one,
-//! is decided in `core/serving/jobs/dispatch`. It relies on the worker's client for connections and the count of
-//! requests in flight.
+//! Owns the attempt and its output while the run is active. Timeouts and the classification of responses are defined in
+//! `core/serving/jobs/dispatch`; connections and in-flight counts are managed by [`WorkerClient`].
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -22,32 +21,32 @@
 use crate::workers::attempt::{Attempt, InFlight, OpenAnswer, WorkerClient};
 use crate::workers::crash_check::{RunWatch, WorkerRun};
 
-/// An item and where it runs.
+/// An item and the worker it runs on.
 pub struct ItemRun {
-    /// The item.
+    /// The item to run.
     pub item: JobItem,
-    /// The host that its job came to.
+    /// Host name to which the job was submitted.
     pub host: Arc<str>,
-    /// On whose behalf it runs.
+    /// Identity of the caller that submitted the job.
     pub identity: CallerIdentity,
-    /// The service of its route.
+    /// Service that the item's route selected.
     pub service: Arc<str>,
-    /// The worker.
+    /// Worker selected for the run.
     pub choice: Choice,
-    /// What was put out so far, by earlier runs too. The service looks at it while the item runs.
+    /// Output accumulated so far, including that of earlier runs. The service reads it during the run.
     pub output: Arc<Mutex<PartialOutput>>,
-    /// Notified when the run should stop for online requests.
+    /// Notified to pause the run, for example to free capacity for online requests.
     pub pause: Arc<Notify>,
 }
 
 impl ItemRun {
-    /// Runs the item to its end. The output so far is handed back however that is.
+    /// Runs the item and returns how the run ended together with the output accumulated so far.
     pub async fn run(self, client: &Arc<WorkerClient>, in_flight: InFlight) -> (RunEnd, PartialOutput) {
         let mut watch = self.watch(client);
         let end = self.try_run(client, in_flight).await;
         watch.record_progress(self.output().last_event.unwrap_or(0));
         match end {
-            // The run's report doesn't wait for the look at the worker.
+            // Dropping the watch checks the worker in the background, so the report is not delayed.
             RunEnd::BrokenOff | RunEnd::Paused => drop(watch),
             RunEnd::Completed => {
                 watch.ended();
@@ -69,7 +68,8 @@
         RunWatch::new(client.clone(), run)
     }
 
-    /// Items are seldom the same one, so ends before any crash say little.
+    /// Records a completed run as evidence that the item does not crash workers. Skipped while no crashes are known,
+    /// since identical items are rare.
     fn record_completion(&self, client: &WorkerClient) {
         if !client.view.has_no_crashes() {
             client.view.record_completion(&self.item.id, self.keys(client));
@@ -86,7 +86,7 @@
 
     async fn try_run(&self, client: &WorkerClient, in_flight: InFlight) -> RunEnd {
         let Ok(target) = self.item.path.parse::<Uri>() else { return RunEnd::Impossible };
-        let terms = AttemptContext {
+        let context = AttemptContext {
             worker: &self.choice.id,
             remaining: None,
             after_event: self.output().last_event,
@@ -97,7 +97,7 @@
             request_id: self.item.id.clone(),
             method: Method::POST,
             target,
-            headers: client.dialect.item_headers(&self.item, &self.host, &terms),
+            headers: client.dialect.item_headers(&self.item, &self.host, &context),
             body: bytes::Bytes::copy_from_slice(&self.item.body),
             in_flight,
             choice: self.choice.clone(),
@@ -110,13 +110,13 @@
         match opened {
             Ok(answer) => match RunEnd::from_status(answer.status.as_u16()) {
                 Some(end) => end,
-                None => self.read(client, answer).await,
+                None => self.read_events(client, answer).await,
             },
             Err(end) => RunEnd::from_attempt(end),
         }
     }
 
-    async fn read(&self, client: &WorkerClient, mut answer: OpenAnswer) -> RunEnd {
+    async fn read_events(&self, client: &WorkerClient, mut answer: OpenAnswer) -> RunEnd {
         let mut splitter = EventSplitter::default();
         let pause = self.pause.clone();
         loop {
@@ -128,7 +128,7 @@
                 Ok(Some(Ok(frame))) => {
                     for event in splitter.push(&frame.into_data().unwrap_or_default()) {
                         if !self.output().append_event(&event.data(), event.id) {
-                            return self.broken(client, &answer);
+                            return self.interrupted(client, &answer);
                         }
                     }
                 }
@@ -136,18 +136,18 @@
                     answer.release();
                     return RunEnd::Completed;
                 }
-                _ => return self.broken(client, &answer),
+                _ => return self.interrupted(client, &answer),
             }
         }
     }
 
-    fn broken(&self, client: &WorkerClient, answer: &OpenAnswer) -> RunEnd {
+    fn interrupted(&self, client: &WorkerClient, answer: &OpenAnswer) -> RunEnd {
         client.view.workers().failed(&answer.worker, true, client.view.clock.now());
         RunEnd::BrokenOff
     }
 }
 
-/// An item's names, which don't depend on the id under which it was submitted.
+/// Returns the keys that identify the item's content for crash tracking, independent of the id it was submitted under.
 pub fn item_keys(item: &JobItem, identity: &CallerIdentity, dialect: &dyn Dialect) -> RequestKeys {
     RequestKeys::of(&RequestContent {
         identity,
--- a/crates/gateway/src/storage/mod.rs
+++ b/crates/gateway/src/storage/mod.rs
@@ -1,12 +1,12 @@
-//! A storing node: one replica of the job table, and the running of its items while this node leads.
+//! Storage node: holds one replica of the job table and runs batch items while this node is the leader.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`service`] | the replica at work: its log, its callers, its membership, the items that run |
-//! | [`item_run`] | one run of one item at a worker |
-//! | [`disk_writer`] | the thread that writes the log |
-//! | [`peer_listener`] | the listener for other nodes |
-//! | [`registration`] | this node's record in the metadata store, and the founding of the group |
+//! | [`service`] | the main task: replica, requests of other nodes, group membership, running items |
+//! | [`item_run`] | one run of one item on a worker |
+//! | [`disk_writer`] | the thread that writes the replicated log |
+//! | [`peer_listener`] | the listener for connections of other nodes |
+//! | [`registration`] | this node's record in the metadata store, and the bootstrap of the group |
 
 pub mod disk_writer;
 pub mod item_run;
--- a/crates/gateway/src/storage/peer_listener.rs
+++ b/crates/gateway/src/storage/peer_listener.rs
@@ -1,4 +1,4 @@
-//! The listener of a storing node for other nodes.
+//! Accepts connections of other nodes, on a storage node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,32 +20,31 @@
 use crate::peers::peer_link::encode;
 use crate::sockets::accept_next;
 
-/// Most answers that wait for one peer. Bounds memory; beyond it, answers wait in their tasks.
-const ANSWERS: usize = 4_096;
-/// How long one write may take before the connection is given up, in seconds. Frees answers to a peer that stands
-/// still.
+/// Maximum number of queued answers per connection. When the queue is full, the tasks that produce answers wait.
+const ANSWER_QUEUE_CAPACITY: usize = 4_096;
+/// Maximum duration of one write before the connection is closed; frees the answers queued for a stalled peer.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The answer to a request, or why there is none.
+/// Channel for the answer to a request, or for the reason of its refusal.
 pub type Reply = oneshot::Sender<Result<JobsAnswer, GroupRefusal>>;
 
-/// What arrives from other nodes.
+/// Message received from another node.
 pub enum PeerEvent {
-    /// A message between replicas.
+    /// A replication protocol message.
     Replication(ReplicationMessage),
-    /// A request to the leader.
+    /// A request to the leader or to a zone's aggregator.
     Request {
-        /// Who asks.
+        /// Node that sent the request.
         from: NodeId,
-        /// What is asked.
+        /// The request itself.
         request: JobsRequest,
-        /// Where the answer goes.
+        /// Receives the answer.
         reply: Reply,
     },
 }
 
-/// Accepts connections of other nodes and passes on what they say. Questions for changes of the metadata store
-/// are answered from the node's own view of it.
+/// Accepts connections of other nodes and forwards their messages to `events`. Requests for changes of the metadata
+/// store are answered from `view`.
 pub async fn accept_peers(listener: TcpListener, events: mpsc::Sender<PeerEvent>, view: Arc<MetadataView>) {
     loop {
         let stream = accept_next(&listener).await;
@@ -58,7 +57,7 @@
     let peer = stream.peer_addr().map_or_else(|_| String::new(), |address| address.to_string());
     let (reader, writer) = stream.into_split();
     let mut reader = BufReader::new(reader);
-    let (answers, queue) = mpsc::channel(ANSWERS);
+    let (answers, queue) = mpsc::channel(ANSWER_QUEUE_CAPACITY);
     tokio::spawn(write_answers(BufWriter::new(writer), queue));
     loop {
         match read_message(&mut reader).await {
@@ -68,7 +67,7 @@
                 }
             }
             Ok(PeerMessage::GroupRequest(request)) => {
-                if !take_request(request, &events, &answers, &view).await {
+                if !handle_request(request, &events, &answers, &view).await {
                     return;
                 }
             }
@@ -83,8 +82,8 @@
     }
 }
 
-/// Takes a request. Returns false once the process ends.
-async fn take_request(
+/// Dispatches a request. Returns false if the service has stopped.
+async fn handle_request(
     request: GroupRequest,
     events: &mpsc::Sender<PeerEvent>,
     answers: &mpsc::Sender<PeerMessage>,
@@ -100,23 +99,23 @@
             let answer = async move { Some(answer.await.ok()?.map(GroupAnswerBody::Jobs)) };
             send_answer(request.id, answers.clone(), answer);
         }
-        GroupRequestBody::Changes(asked) => {
+        GroupRequestBody::Changes(body) => {
             let view = view.clone();
-            let answer = async move { Some(view.answer(asked).await.map(GroupAnswerBody::Changes)) };
+            let answer = async move { Some(view.answer(body).await.map(GroupAnswerBody::Changes)) };
             send_answer(request.id, answers.clone(), answer);
         }
-        GroupRequestBody::Follow(asked) => {
+        GroupRequestBody::Follow(body) => {
             let view = view.clone();
-            let answer = async move { Some(view.follow(asked).await) };
+            let answer = async move { Some(view.follow(body).await) };
             send_answer(request.id, answers.clone(), answer);
         }
-        // Only nodes of the product's own interface hold such groups.
+        // These requests are addressed to groups that storage nodes do not host.
         GroupRequestBody::Command(_) | GroupRequestBody::Query(_) => {}
     }
     true
 }
 
-/// Sends an answer once it is there; `None` if there will be none.
+/// Sends an answer to the peer when `answer` resolves. Sends nothing if it resolves to `None`.
 fn send_answer(
     id: u64,
     answers: mpsc::Sender<PeerMessage>,
@@ -125,7 +124,7 @@
     tokio::spawn(async move {
         let Some(result) = answer.await else { return };
         let message = PeerMessage::GroupAnswer(GroupAnswer { id, group: GroupId(0), result });
-        // A peer that left asks another node.
+        // A peer that disconnected retries at another node.
         let _ = answers.send(message).await;
     });
 }
--- a/crates/gateway/src/storage/registration.rs
+++ b/crates/gateway/src/storage/registration.rs
@@ -1,4 +1,4 @@
-//! A storing node's record in the metadata store, and the founding of the job table's group.
+//! Registers a storage node in the metadata store and bootstraps the job table's replication group.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,17 +17,17 @@
 use crate::fleet::fleet_view::{FOUNDING_KEY, FleetView, STORAGE_KEY_PREFIX};
 use crate::observe::journal::{Field, record};
 
-/// The key of the record of a group of two.
+/// Key of the pair record, which a group of two voters uses to survive the loss of one.
 pub const PAIR_KEY: &str = "stallmoor/jobs/pair";
-/// The wait after a call that brought nothing, in milliseconds. Spares a store that is down.
-const RETRY_WAIT: Duration = Duration::from_millis(300);
-/// How long a founder waits for more storing nodes than the fewest that may found, in milliseconds. A group begins with
-/// all its voters where they come up together.
-const FOUNDING_WAIT: Millis = Millis(3_000);
-/// The wait of each further founder, in milliseconds, so that one goes first.
-const FOUNDING_STAGGER: Duration = Duration::from_millis(400);
+/// Delay between calls to the metadata store; limits the load on a store that is down.
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
+/// How long to wait for the target number of voters before bootstrapping with the minimum.
+const FULL_GROUP_TIMEOUT: Millis = Millis(3_000);
+/// Delay per position in the list of initial voters before a node tries to write the founding record; usually only the
+/// first one needs to.
+const BOOTSTRAP_STAGGER: Duration = Duration::from_millis(400);
 
-/// Writes the node's record until it is there.
+/// Writes the node's record to the metadata store, retrying until the store contains it.
 pub async fn register(metadata: Arc<dyn MetadataStore>, record: StorageRecord) {
     let key = format!("{STORAGE_KEY_PREFIX}{}", record.name);
     let Ok(value) = serde_json::to_vec(&record) else { return };
@@ -35,68 +35,74 @@
     loop {
         match metadata.put(key.clone(), value.clone(), expected).await {
             PutOutcome::Written(_) => return,
-            PutOutcome::Unknown => tokio::time::sleep(RETRY_WAIT).await,
+            PutOutcome::Unknown => tokio::time::sleep(RETRY_INTERVAL).await,
             PutOutcome::Conflict => {}
         }
         match metadata.get(key.clone()).await {
             Some(item) if item.value() == Some(&value[..]) => return,
             Some(item) if item.value().is_some() => expected = item.revision,
             Some(_) => expected = Revision(0),
-            None => tokio::time::sleep(RETRY_WAIT).await,
+            None => tokio::time::sleep(RETRY_INTERVAL).await,
         }
     }
 }
 
-/// Waits for the founding record, or writes it if this node is among the first. One conditional write
-/// decides, so that all founders begin with the same membership.
+/// Waits for the founding record and sends its membership to `membership_sender`. Tries to write the record once enough
+/// nodes are registered; the write is conditional, so all nodes start from the same membership.
 pub async fn bootstrap_group(
     view: Arc<FleetView>,
     metadata: Arc<dyn MetadataStore>,
     id: NodeId,
-    tolerated: usize,
-    founders: UnboundedSender<GroupMembership>,
+    tolerated_losses: usize,
+    membership_sender: UnboundedSender<GroupMembership>,
 ) {
     let started = view.clock.now();
-    let wanted = voters_tolerating(tolerated);
+    let target_voters = voters_tolerating(tolerated_losses);
     loop {
         if let Some(record) = view.founding() {
-            let _ = founders.send(GroupMembership::of_voters(record.voters));
+            let _ = membership_sender.send(GroupMembership::of_voters(record.voters));
             return;
         }
         if view.is_synced() {
-            let waited = view.clock.now().since(started) >= FOUNDING_WAIT;
-            if let Some(voters) = choose_founders(&view, wanted, tolerated, waited) {
-                let place = voters.iter().position(|voter| *voter == id).unwrap_or(voters.len());
-                tokio::time::sleep(FOUNDING_STAGGER * place as u32).await;
+            let timed_out = view.clock.now().since(started) >= FULL_GROUP_TIMEOUT;
+            if let Some(voters) = choose_initial_voters(&view, target_voters, tolerated_losses, timed_out) {
+                let position = voters.iter().position(|voter| *voter == id).unwrap_or(voters.len());
+                tokio::time::sleep(BOOTSTRAP_STAGGER * position as u32).await;
                 if view.founding().is_none() {
-                    write_founding(&*metadata, voters).await;
+                    write_founding_record(&*metadata, voters).await;
                 }
             }
         }
-        tokio::time::sleep(RETRY_WAIT).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Writes the founding record unless there is one. Whoever was first, the view tells the record.
-async fn write_founding(metadata: &dyn MetadataStore, voters: BTreeSet<NodeId>) {
+/// Writes the founding record unless one exists. The record that was written first reaches this node through the view.
+async fn write_founding_record(metadata: &dyn MetadataStore, voters: BTreeSet<NodeId>) {
     let Ok(value) = serde_json::to_vec(&FoundingRecord { voters }) else { return };
     let outcome = metadata.put(FOUNDING_KEY.to_owned(), value, Revision(0)).await;
     record(LogEvent::FoundingWritten, &[Field::text("outcome", format!("{outcome:?}"))]);
 }
 
-/// The nodes that found the group: from as many zones as there are.
-fn choose_founders(view: &FleetView, wanted: usize, tolerated: usize, waited: bool) -> Option<BTreeSet<NodeId>> {
+/// Selects the initial voters, spread over as many zones as possible. Returns `None` while too few nodes are
+/// registered.
+fn choose_initial_voters(
+    view: &FleetView,
+    target_voters: usize,
+    tolerated_losses: usize,
+    timed_out: bool,
+) -> Option<BTreeSet<NodeId>> {
     let storage = view.storage();
-    let enough = if waited { tolerated + 1 } else { wanted };
-    if storage.len() < enough {
+    let required_voters = if timed_out { tolerated_losses + 1 } else { target_voters };
+    if storage.len() < required_voters {
         return None;
     }
     let mut voters = BTreeSet::new();
     let mut zones = BTreeSet::new();
     let in_new_zone = storage.records().filter(|record| zones.insert(record.zone.clone()));
-    voters.extend(in_new_zone.take(wanted).map(|record| record.node));
+    voters.extend(in_new_zone.take(target_voters).map(|record| record.node));
     for record in storage.records() {
-        if voters.len() < wanted {
+        if voters.len() < target_voters {
             voters.insert(record.node);
         }
     }
--- a/crates/gateway/src/storage/service/answers.rs
+++ b/crates/gateway/src/storage/service/answers.rs
@@ -1,9 +1,8 @@
-//! Answers that are due to other nodes.
+//! Pending answers to other nodes.
 //!
-//! It owns the reply channels of the requests that wait: commands until they are committed, and reads until there is
-//! something to read. Each waits under a [`Waiter`]; a waiter is answered once. Their number needs no bound of its
-//! own: commands are bounded by the replica's uncommitted entries, reads by their deadlines, and each peer's requests
-//! come through one bounded queue.
+//! Owns the reply channels of pending requests: commands until they are committed, reads until there are results. Each
+//! is identified by a [`Waiter`] and answered once. No separate limit is needed: commands are bounded by the replica's
+//! uncommitted entries, reads by their deadlines, and the requests of all peers arrive through a bounded queue.
 
 use std::collections::HashMap;
 
@@ -15,7 +14,7 @@
 
 use crate::storage::peer_listener::Reply;
 
-/// The requests that wait.
+/// Requests that have not been answered yet.
 #[derive(Default)]
 pub(super) struct PendingAnswers {
     replies: HashMap<Waiter, Reply>,
@@ -24,18 +23,18 @@
 }
 
 impl PendingAnswers {
-    /// Keeps a reply channel until its answer is there.
-    pub(super) fn wait(&mut self, reply: Reply) -> Waiter {
+    /// Stores a reply channel until its answer is available.
+    pub(super) fn register(&mut self, reply: Reply) -> Waiter {
         self.last_waiter += 1;
         let waiter = Waiter(self.last_waiter);
         self.replies.insert(waiter, reply);
         waiter
     }
 
-    /// Answers a waiter.
+    /// Sends the answer to a waiter.
     pub(super) fn send(&mut self, waiter: Waiter, answer: Result<JobsAnswer, GroupRefusal>) {
         if let Some(reply) = self.replies.remove(&waiter) {
-            // An asker whose connection broke asks again.
+            // A requester whose connection broke retries.
             let _ = reply.send(answer);
         }
     }
@@ -50,12 +49,12 @@
         self.send(waiter, answer);
     }
 
-    /// Holds a read. [`PendingAnswers::answer_reads`] answers it if it need not wait.
-    pub(super) fn hold(&mut self, read: PendingRead) {
+    /// Adds a read. [`PendingAnswers::answer_reads`] answers it once it is due.
+    pub(super) fn add_read(&mut self, read: PendingRead) {
         self.reads.push(read);
     }
 
-    /// Answers the reads that have something to answer, or have waited long enough.
+    /// Answers the reads that have results or whose deadline has passed.
     pub(super) fn answer_reads(&mut self, node: &JobsNode, now: Timestamp) {
         for due in self.reads.take_due(node.table(), node.may_answer(now), now) {
             self.send(due.waiter, due.answer.ok_or_else(|| refusal_of(node)));
@@ -63,7 +62,7 @@
     }
 }
 
-/// Why a replica that may not answer refuses.
+/// Returns the reason for which a replica that may not answer refuses a request.
 pub(super) fn refusal_of(node: &JobsNode) -> GroupRefusal {
     let replica = node.replica();
     if replica.is_leader() {
--- a/crates/gateway/src/storage/service/item_runner.rs
+++ b/crates/gateway/src/storage/service/item_runner.rs
@@ -1,8 +1,8 @@
-//! The items that run while this node leads: where each runs, when it pauses, and how it ended.
+//! Runs batch items while this node is the leader: places, pauses and completes them.
 //!
-//! It owns the dispatcher, the tasks of the runs, and which results are proposed. All of that is empty while the node
-//! does not lead. It relies on the dispatcher for what runs next, on the worker table for where, and on the service to
-//! propose results and progress, and to tell which were committed.
+//! Owns the dispatcher, the tasks of active runs, and the set of proposed results; all are empty while the node is not
+//! the leader. The dispatcher selects the next item and the worker table selects the worker. The service proposes
+//! results and progress, and reports which were committed.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -27,7 +27,7 @@
 use crate::storage::item_run::{ItemRun, item_keys};
 use crate::workers::attempt::WorkerClient;
 
-/// A run that ended.
+/// Result of a run, sent by its task.
 pub(super) struct RunReport {
     pub(super) key: ItemKey,
     pub(super) run: u64,
@@ -35,22 +35,22 @@
     pub(super) output: PartialOutput,
 }
 
-/// A run under way.
+/// A run in progress.
 struct ActiveRun {
     run: u64,
     service: Arc<str>,
     worker: WorkerId,
     task: AbortHandle,
-    /// Asks the run to stop and hand back what it has.
+    /// Signals the run to stop and return its output so far.
     pause: Arc<Notify>,
     is_pausing: bool,
-    /// What the item has put out so far.
+    /// Output accumulated so far, shared with the run.
     output: Arc<Mutex<PartialOutput>>,
 }
 
 impl ActiveRun {
-    /// What the order of pauses depends on.
-    fn item(&self, key: &ItemKey) -> RunningItem {
+    /// Returns the properties by which items are selected for a pause.
+    fn running_item(&self, key: &ItemKey) -> RunningItem {
         let output = self.output.lock().unwrap_or_else(PoisonError::into_inner);
         RunningItem {
             key: key.clone(),
@@ -61,22 +61,22 @@
     }
 }
 
-/// Where an item goes.
+/// Service and worker selected for an item.
 struct Placement {
     service: Arc<str>,
     choice: Choice,
 }
 
-/// The items that run.
+/// Dispatches items to workers and tracks their runs.
 pub(super) struct ItemRunner {
     workers: Arc<WorkerClient>,
     dispatcher: Dispatcher,
     pacing: ItemPacing,
     active: BTreeMap<ItemKey, ActiveRun>,
     last_run: u64,
-    /// Items whose result is proposed and not committed.
+    /// Items whose result is proposed but not committed yet.
     proposed: HashSet<ItemKey>,
-    /// Without a bound, as each run sends one report, and runs are bounded by the workers' slots.
+    /// Unbounded: each run sends one report, and runs are bounded by the workers' slots.
     reports: mpsc::UnboundedSender<RunReport>,
 }
 
@@ -93,19 +93,19 @@
         }
     }
 
-    /// This node leads from now on: all open items of the table are to run.
-    pub(super) fn begin_leading(&mut self, table: &JobTable) {
+    /// Called when this node becomes the leader. Schedules all open items of the table.
+    pub(super) fn on_leadership_gained(&mut self, table: &JobTable) {
         self.dispatcher.restart(table);
         self.abort_all();
     }
 
-    /// This node leads no longer.
-    pub(super) fn end_leading(&mut self) {
+    /// Called when this node is no longer the leader. Aborts all runs.
+    pub(super) fn on_leadership_lost(&mut self) {
         self.dispatcher.clear();
         self.abort_all();
     }
 
-    /// How many items have no result.
+    /// Number of items without a result.
     pub(super) fn open_count(&self) -> usize {
         self.dispatcher.open_count()
     }
@@ -115,19 +115,19 @@
         self.dispatcher.add_job(job);
     }
 
-    /// An item's result is committed, whoever brought it.
+    /// Called when an item's result is committed, whichever leader proposed it.
     pub(super) fn result_committed(&mut self, key: &ItemKey) {
         self.remove(key);
         self.abort(key);
     }
 
-    /// Drops an item, to be added again with its job.
+    /// Removes an item, which may be added again with its job.
     pub(super) fn remove(&mut self, key: &ItemKey) {
         self.dispatcher.remove(key);
         self.proposed.remove(key);
     }
 
-    /// A job has ended: nothing of it runs on.
+    /// Called when a job has ended. Aborts its runs.
     pub(super) fn job_ended(&mut self, job: &JobKey) {
         for key in self.dispatcher.remove_job(job) {
             self.abort(&key);
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Takes batch items off workers that are full. They go on later, after their last event.
+    /// Pauses batch items on workers where online requests are waiting. They resume later, after their last event.
     pub(super) fn yield_to_online(&mut self, now: Timestamp) {
         let excess_batch_items = self.workers.view.workers().excess_batch_items(now);
         for count in excess_batch_items {
@@ -161,10 +161,10 @@
         }
     }
 
-    /// Pauses items at a worker until so many are on their way out.
+    /// Pauses items on a worker until `count` of them are pausing.
     fn pause_items(&mut self, worker: &WorkerId, count: usize) {
         let at_worker = self.active.iter().filter(|(_, run)| run.worker == *worker);
-        let at_worker = at_worker.map(|(key, run)| run.item(key)).collect();
+        let at_worker = at_worker.map(|(key, run)| run.running_item(key)).collect();
         for key in self.dispatcher.choose_pauses(at_worker, count, self.workers.view.clock.wall_time()) {
             if let Some(run) = self.active.get_mut(&key) {
                 run.is_pausing = true;
@@ -173,8 +173,9 @@
         }
     }
 
-    /// Takes items off workers whose zones are evacuated, where others serve. They go on there after their last event.
-    pub(super) fn leave_evacuated(&mut self, now: Timestamp) {
+    /// Pauses items on workers in evacuated zones if other workers of the service are ready. The items resume on those,
+    /// after their last event.
+    pub(super) fn pause_evacuated(&mut self, now: Timestamp) {
         let workers = self.workers.view.workers();
         if !workers.has_evacuated_zones() {
             return;
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Starts items while workers have room. Returns whether results may be due.
+    /// Starts items while workers have capacity. Returns whether results may be due.
     pub(super) fn dispatch(
         &mut self,
         table: &JobTable,
@@ -228,7 +229,7 @@
         true
     }
 
-    /// Whether an item is kept from all workers, since workers died of it.
+    /// Whether an item is quarantined because it crashed workers.
     fn is_quarantined(&self, start: &ItemStart) -> bool {
         let view = &self.workers.view;
         if view.has_no_crashes() {
@@ -238,7 +239,7 @@
         view.quarantined_for(keys).is_some()
     }
 
-    /// Starts an item at the worker with the most room. Returns false if none has any.
+    /// Starts an item on the worker with the most capacity. Returns false and requeues the item if there is none.
     fn start_run(
         &mut self,
         key: &ItemKey,
@@ -254,7 +255,7 @@
             self.dispatcher.requeue(key, output);
             return false;
         };
-        log_start(key, &choice, &output);
+        log_run_start(key, &choice, &output);
         self.last_run += 1;
         let run = self.last_run;
         let worker = choice.id.clone();
@@ -266,7 +267,7 @@
         let (client, reports, report_key) = (self.workers.clone(), self.reports.clone(), key.clone());
         let task = tokio::spawn(async move {
             let (end, output) = item_run.run(&client, in_flight).await;
-            // The service is gone only when the process ends.
+            // The receiver is dropped only when the process ends.
             let _ = reports.send(RunReport { key: report_key, run, end, output });
         });
         let active = ActiveRun {
@@ -292,7 +293,7 @@
     ) -> Option<Placement> {
         let view = &self.workers.view;
         let service = start.route.draw_service(&mut *view.random()).cloned()?;
-        let ask = WorkerQuery {
+        let query = WorkerQuery {
             service: &service,
             zone: &view.zone,
             prefix: &facts.prefix,
@@ -303,19 +304,19 @@
         };
         let mut random = view.random();
         let mut workers = view.workers();
-        let mut choice = workers.choose_for_batch(&ask, online_per_s, now, &mut *random);
-        if choice.is_none() && workers.needs_permit(&ask, now) {
-            // Only where no worker that is warm has room.
-            let wanted = workers.wanted_permits(&ask, now, &mut *random);
+        let mut choice = workers.choose_for_batch(&query, online_per_s, now, &mut *random);
+        if choice.is_none() && workers.needs_permit(&query, now) {
+            // Cold workers are used only if no warm one has capacity.
+            let wanted = workers.wanted_permits(&query, now, &mut *random);
             let granted = permits.grant(&wanted, |worker| workers.cold_start_of(worker), now);
             workers.add_permits(&granted, now + PERMIT_LIFETIME);
-            choice = workers.choose_for_batch(&ask, online_per_s, now, &mut *random);
+            choice = workers.choose_for_batch(&query, online_per_s, now, &mut *random);
         }
         let choice = choice?;
         Some(Placement { service, choice })
     }
 
-    /// A run ended. Returns whether a result is due.
+    /// Processes the end of a run. Returns whether a result is due.
     pub(super) fn run_ended(&mut self, report: RunReport, table: &JobTable, now: Timestamp) -> bool {
         let is_current = self.active.get(&report.key).is_some_and(|active| active.run == report.run);
         if !is_current {
@@ -335,7 +336,7 @@
         self.dispatcher.run_ended(&report.key, &report.end, report.output, max_attempts, now)
     }
 
-    /// The commands for results that are not proposed yet, with their items.
+    /// Returns the commands for results that have not been proposed yet.
     pub(super) fn unproposed_results(&self) -> Vec<JobCommand> {
         let is_new = |command: &JobCommand| match command {
             JobCommand::Finish { key, .. } => !self.proposed.contains(key),
@@ -344,14 +345,15 @@
         self.dispatcher.uncommitted_results().into_iter().filter(is_new).collect()
     }
 
-    /// A result was proposed.
+    /// Records that a result was proposed.
     pub(super) fn result_proposed(&mut self, command: &JobCommand) {
         if let JobCommand::Finish { key, .. } = command {
             self.proposed.insert(key.clone());
         }
     }
 
-    /// What running items have put out since it was last logged, if that is due. So another leader can go on from there.
+    /// Returns the output that running items produced since it was last logged, if a progress entry is due. A new
+    /// leader resumes the items from there.
     pub(super) fn progress_due(&mut self, now: Timestamp) -> Option<Vec<ItemProgress>> {
         if !self.pacing.poll_progress(now) {
             return None;
@@ -364,17 +366,17 @@
         (!progress.is_empty()).then_some(progress)
     }
 
-    /// Failed runs that are not logged yet. So another leader gives items up after as many as this one would.
+    /// Returns the failed runs that are not logged yet. Logging them makes a new leader apply the same retry limit.
     pub(super) fn failures_due(&self) -> Option<Vec<ItemFailures>> {
         self.dispatcher.unlogged_failures()
     }
 
-    /// Failed runs were proposed.
+    /// Records that failed runs were proposed.
     pub(super) fn failures_proposed(&mut self, failures: &[ItemFailures]) {
         self.dispatcher.failures_proposed(failures);
     }
 
-    /// Progress was proposed.
+    /// Records that progress was proposed.
     pub(super) fn progress_proposed(&mut self, progress: &[ItemProgress]) {
         for item in progress {
             self.dispatcher.progress_proposed(item);
@@ -382,7 +384,7 @@
     }
 }
 
-fn log_start(key: &ItemKey, choice: &Choice, output: &PartialOutput) {
+fn log_run_start(key: &ItemKey, choice: &Choice, output: &PartialOutput) {
     let fields = [
         Field::text("job", &key.job),
         Field::number("item", key.item),
--- a/crates/gateway/src/storage/service/joins.rs
+++ b/crates/gateway/src/storage/service/joins.rs
@@ -1,7 +1,7 @@
-//! A spare's join requests: they go to the leader alone, which a spare has to find first.
+//! Join requests of a spare, which go only to the leader; the spare has to locate the leader first.
 //!
-//! Owns the one request that is under way. What a spare knows of the leader it also tells nodes that ask it, so that
-//! whoever looks for the leader finds it in two steps, however many storing nodes there are.
+//! Owns the request in progress. A spare also reports the leader it found to nodes that query it, so that a search for
+//! the leader takes two steps regardless of the number of storage nodes.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,42 +14,43 @@
 
 use crate::leader::client::LeaderClient;
 
-/// How long the leader is looked for, in milliseconds, before the next request is due.
-const SEARCH_FOR: Millis = Millis(350);
+/// Maximum duration of a search for the leader; ends before the next join request is due.
+const LEADER_SEARCH_TIMEOUT: Millis = Millis(350);
 
-/// The join requests of a storing node.
+/// Sends the join requests of this node.
 pub(super) struct JoinRequests {
     client: Arc<LeaderClient>,
-    is_under_way: Arc<AtomicBool>,
+    is_in_progress: Arc<AtomicBool>,
 }
 
 impl JoinRequests {
     pub(super) fn new(client: Arc<LeaderClient>) -> Self {
-        Self { client, is_under_way: Arc::default() }
+        Self { client, is_in_progress: Arc::default() }
     }
 
-    /// Who leads, as far as this node has found out.
+    /// The leader that the last search found, if any.
     pub(super) fn leader(&self) -> Option<NodeId> {
         self.client.leader()
     }
 
-    /// Asks the leader to let this node join, unless an earlier request is under way.
+    /// Sends a join request to the leader, unless an earlier one is in progress.
     pub(super) fn request(&self, now: Timestamp) {
-        if self.is_under_way.swap(true, Ordering::Relaxed) {
+        if self.is_in_progress.swap(true, Ordering::Relaxed) {
             return;
         }
-        let (client, is_under_way) = (self.client.clone(), self.is_under_way.clone());
+        let (client, is_in_progress) = (self.client.clone(), self.is_in_progress.clone());
         tokio::spawn(async move {
-            // Only the leader says that there is no such job; any node takes a request to join.
-            if client.send_request(question_for_the_leader(), now + SEARCH_FOR).await.is_ok() {
+            // Any node accepts a join request, but only the leader answers this read, so it locates the leader.
+            if client.send_request(leader_probe(), now + LEADER_SEARCH_TIMEOUT).await.is_ok() {
                 client.notify_leader(JobsRequest::Join);
             }
-            is_under_way.store(false, Ordering::Relaxed);
+            is_in_progress.store(false, Ordering::Relaxed);
         });
     }
 }
 
-fn question_for_the_leader() -> JobsRequest {
+/// Returns a read of a job that does not exist, which only the leader answers.
+fn leader_probe() -> JobsRequest {
     let job = JobKey(Arc::from(""));
     JobsRequest::Read { job, first: 0, wait: Millis(0), caller: CallerIdentity::Unchecked }
 }
--- a/crates/gateway/src/storage/service/membership.rs
+++ b/crates/gateway/src/storage/service/membership.rs
@@ -1,7 +1,7 @@
-//! The members of the group: their founding, the record of a group of two, and reports of drained machines.
+//! Group membership: bootstrap, the pair record of a group of two voters, and drain reports.
 //!
-//! It owns the rules' state ([`MembershipPlanner`]) and the calls to the metadata store. It relies on the service to carry out
-//! what the rules ask of the replica, and to hand back what the store answered.
+//! Owns the [`MembershipPlanner`] and the calls to the metadata store. The service executes the planned actions on the
+//! replica and passes the store's answers back to the planner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,99 +18,96 @@
 use crate::observe::journal::{Field, record};
 use crate::storage::registration::PAIR_KEY;
 
-/// The wait before a drain is reported again, in milliseconds. Spares a store that is down.
-const DRAIN_RETRY: Duration = Duration::from_millis(250);
-/// The wait before the pair's record is read after a write that did not succeed, in milliseconds. Spares a store that
-/// is down.
-const PAIR_RETRY: Duration = Duration::from_millis(200);
+/// Delay before a failed drain report is retried; limits the load on a store that is down.
+const DRAIN_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Delay before the pair record is read after a failed write; limits the load on a store that is down.
+const PAIR_READ_DELAY: Duration = Duration::from_millis(200);
 
-/// What this node knows of the group's members, and the calls to the metadata store about them.
+/// This node's view of the group's members, and the related calls to the metadata store.
 pub(super) struct Membership {
     id: NodeId,
-    members: MembershipPlanner,
+    planner: MembershipPlanner,
     metadata: Arc<dyn MetadataStore>,
-    /// The founding membership, once it is known.
+    /// The initial membership, once it is known.
     founding: Option<GroupMembership>,
-    /// Without a bound, as one write of the pair's record is under way at most.
+    /// Unbounded: at most one write of the pair record is in progress.
     pair_reads: mpsc::UnboundedSender<Option<StoredPair>>,
 }
 
 impl Membership {
     pub(super) fn new(
         id: NodeId,
-        members: MembershipPlanner,
+        planner: MembershipPlanner,
         metadata: Arc<dyn MetadataStore>,
         pair_reads: mpsc::UnboundedSender<Option<StoredPair>>,
     ) -> Self {
-        Self { id, members, metadata, founding: None, pair_reads }
+        Self { id, planner, metadata, founding: None, pair_reads }
     }
 
-    /// This node.
     pub(super) fn id(&self) -> NodeId {
         self.id
     }
 
-    /// The rules of the membership.
-    pub(super) fn members(&mut self) -> &mut MembershipPlanner {
-        &mut self.members
+    pub(super) fn planner(&mut self) -> &mut MembershipPlanner {
+        &mut self.planner
     }
 
-    /// The founding membership is known.
+    /// Sets the initial membership, read from the founding record.
     pub(super) fn set_founding(&mut self, founding: GroupMembership) {
         self.founding = Some(founding);
     }
 
-    /// The membership to found the group with, if this node is a founder and its log is empty.
-    pub(super) fn due_founding(&self, replica: &Replica) -> Option<GroupMembership> {
+    /// Returns the membership to bootstrap with, if this node is an initial voter and its log is empty.
+    pub(super) fn due_bootstrap(&self, replica: &Replica) -> Option<GroupMembership> {
         let is_empty = replica.log().last_index().0 == 0;
         self.founding.clone().filter(|founding| is_empty && founding.voters.contains(&self.id))
     }
 
-    /// The metadata store reported a change.
+    /// Applies a change of the metadata store.
     pub(super) fn on_update(&mut self, update: &FleetUpdate) {
         match update {
-            FleetUpdate::DrainMachine { machine } => self.members.drain(machine.clone()),
+            FleetUpdate::DrainMachine { machine } => self.planner.drain(machine.clone()),
             FleetUpdate::InternalItem(item) if &*item.key == PAIR_KEY => {
-                self.members.apply_pair_record(read_pair(item))
+                self.planner.apply_pair_record(decode_pair(item))
             }
             _ => {}
         }
     }
 
-    /// Writes the pair's record if the store's revision of it is still `revision`, and reads it if that failed.
+    /// Writes the pair record if its revision in the store is still `revision`. Reads the record if the write fails.
     pub(super) fn write_pair(&self, pair: PairRecord, revision: u64) {
         record(LogEvent::PairRecorded, &[Field::text("record", format!("{pair:?}"))]);
         let (metadata, reads) = (self.metadata.clone(), self.pair_reads.clone());
         tokio::spawn(async move {
-            // Can't fail: the record is of numbers and names only.
+            // Serialization can't fail: the record holds only numbers and names.
             let value = serde_json::to_vec(&pair).unwrap_or_default();
             let read = match metadata.put(PAIR_KEY.to_owned(), value, Revision(revision)).await {
                 PutOutcome::Written(at) => Some(StoredPair { record: Some(pair), revision: at.0 }),
-                // Whatever became of it, the store knows.
+                // The outcome of the write is unclear or another node wrote first, so read the current record.
                 PutOutcome::Conflict | PutOutcome::Unknown => {
-                    tokio::time::sleep(PAIR_RETRY).await;
-                    metadata.get(PAIR_KEY.to_owned()).await.map(|item| read_pair(&item))
+                    tokio::time::sleep(PAIR_READ_DELAY).await;
+                    metadata.get(PAIR_KEY.to_owned()).await.map(|item| decode_pair(&item))
                 }
             };
             let _ = reads.send(read);
         });
     }
 
-    /// Reports how far a machine is drained, until the store has it.
+    /// Reports the drain state of a machine, retrying until the store accepts it.
     pub(super) fn report_drain(&self, machine: Arc<str>, state: DrainState) {
         let fields = [Field::text("machine", &machine), Field::text("state", format!("{state:?}"))];
         record(LogEvent::EmptyingReported, &fields);
         let metadata = self.metadata.clone();
         tokio::spawn(async move {
             while !metadata.report_drain(machine.clone(), state).await {
-                tokio::time::sleep(DRAIN_RETRY).await;
+                tokio::time::sleep(DRAIN_RETRY_INTERVAL).await;
             }
         });
     }
 }
 
-/// The pair's record as the store has it.
-fn read_pair(item: &MetadataItem) -> StoredPair {
+/// Decodes the pair record as stored in the metadata store.
+fn decode_pair(item: &MetadataItem) -> StoredPair {
     let record = item.value().and_then(|value| serde_json::from_slice(value).ok());
     StoredPair { record, revision: item.revision.0 }
 }
--- a/crates/gateway/src/storage/service/mod.rs
+++ b/crates/gateway/src/storage/service/mod.rs
@@ -1,19 +1,19 @@
-//! A storing node at work: one replica of the job table, and the running of items while it leads.
+//! Main task of a storage node: drives one replica of the job table and runs items while the node is the leader.
 //!
 //! | module | owns |
 //! |---|---|
-//! | this one | the composition: each event goes to the parts it concerns, in one order |
-//! | `replica_driver` | the replica, its disk and its links: effects in order, each after the writes ahead of it |
-//! | `answers` | answers that other nodes wait for, reads that wait for a result |
-//! | `requests` | which part answers which request |
-//! | `item_runner` | the items that run while this node leads |
-//! | `joins` | a spare's requests to the leader |
-//! | `membership` | founding, members, the record of a group of two, reports of drained machines |
-//! | `startup` | what the service is made of, and the channels that feed it |
-//! | `load_exchange` | load reports of gateways, and the exchange with the leader |
+//! | this one | the event loop, which routes each event to the components |
+//! | `replica_driver` | the replica, its disk and its links; executes effects in order, each after preceding writes |
+//! | `answers` | pending answers to other nodes, and reads that wait for results |
+//! | `requests` | handlers of the requests from other nodes |
+//! | `item_runner` | the items that run while this node is the leader |
+//! | `joins` | join requests of a spare to the leader |
+//! | `membership` | bootstrap, members, the pair record, drain reports |
+//! | `startup` | construction of the service and its input channels |
+//! | `load_exchange` | load reports of gateways, and their exchange with the leader |
 //!
-//! One task runs all of it, so no part sees another in the middle of an event. After each event, in this order:
-//! effects are carried out as far as the disk allows, leadership is looked at, items are dispatched.
+//! A single task runs all of it, so no component observes another in the middle of an event. After each event, effects
+//! are executed as far as the disk allows, then leadership is re-evaluated, then items are dispatched.
 
 mod answers;
 mod item_runner;
@@ -44,7 +44,7 @@
 
 use crate::observe::journal::{Field, record};
 use crate::observe::measures;
-use crate::storage::disk_writer::Written;
+use crate::storage::disk_writer::WriteCompletion;
 use crate::storage::peer_listener::PeerEvent;
 use crate::workers::attempt::WorkerClient;
 use answers::PendingAnswers;
@@ -54,13 +54,12 @@
 use membership::Membership;
 use replica_driver::ReplicaDriver;
 use startup::StartedService;
-pub use startup::{StorageInputs, StorageParts};
+pub use startup::{StorageComponents, StorageInputs};
 
-/// The time between two looks at the clock, in milliseconds. Bounds how late time is noticed, and the leader's
-/// processor time.
-const TICK: Duration = Duration::from_millis(40);
+/// Interval of the periodic work; bounds how late a timeout is noticed.
+const TICK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// A storing node at work.
+/// State of a running storage node.
 pub struct StorageService {
     workers: Arc<WorkerClient>,
     replica: ReplicaDriver,
@@ -69,13 +68,13 @@
     membership: Membership,
     joins: JoinRequests,
     loads: LoadExchange,
-    /// What tenants have left, while this node leads.
+    /// Remaining quota of tenants; in use while this node is the leader.
     quotas: RateCoordinator,
-    /// Permits for workers that have just started, while this node leads.
+    /// Permits for workers in cold start; in use while this node is the leader.
     permits: PermitGrants,
     retention: Retention,
-    /// Whether this node leads and has read what was committed before.
-    leads: bool,
+    /// Whether this node is the leader and has applied everything committed before its term.
+    is_leader: bool,
 }
 
 impl StorageService {
@@ -83,24 +82,27 @@
     ///
     /// # Errors
     ///
-    /// The disk failed: nothing more may be acknowledged.
-    pub async fn run(parts: StorageParts, mut inputs: StorageInputs) -> Result<(), stallmoor_storage::StorageError> {
-        let StartedService { mut service, mut results } = StartedService::new(parts);
-        let mut ticks = tokio::time::interval(TICK);
+    /// Returns the error of a failed disk write. Nothing may be acknowledged after it.
+    pub async fn run(
+        components: StorageComponents,
+        mut inputs: StorageInputs,
+    ) -> Result<(), stallmoor_storage::StorageError> {
+        let StartedService { mut service, mut results } = StartedService::new(components);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                Some(event) = inputs.peers.recv() => service.on_peer(event),
+                Some(event) = inputs.peers.recv() => service.on_peer_event(event),
                 Some(result) = inputs.writes.recv() => service.on_written(result?),
                 Some(report) = results.runs.recv() => service.on_run_ended(report),
                 Some(update) = inputs.updates.recv() => service.membership.on_update(&update),
                 Some(founding) = inputs.founding.recv() => service.membership.set_founding(founding),
-                Some(read) = results.pairs.recv() => service.membership.members().finish_pair_write(read),
+                Some(read) = results.pairs.recv() => service.membership.planner().finish_pair_write(read),
                 Some(loads) = results.loads.recv() => service.on_leader_loads(loads),
                 _ = ticks.tick() => service.tick(),
                 Ok(()) = inputs.stop.changed() => {}
             }
-            service.follow_leadership();
+            service.update_leadership();
             if *inputs.stop.borrow() {
                 if service.stop() {
                     return Ok(());
@@ -115,13 +117,13 @@
         self.workers.view.clock.now()
     }
 
-    /// Queues effects behind those that wait, and carries out what the disk allows.
-    fn take(&mut self, effects: Vec<JobsEffect>) {
+    /// Queues effects and executes those that don't wait for the disk.
+    fn execute_effects(&mut self, effects: Vec<JobsEffect>) {
         self.replica.enqueue(effects);
-        self.carry_out();
+        self.drive_replica();
     }
 
-    fn carry_out(&mut self) {
+    fn drive_replica(&mut self) {
         while let Some(changes) = self.replica.advance() {
             self.on_changes(changes);
         }
@@ -129,18 +131,18 @@
 
     // Events.
 
-    fn on_written(&mut self, written: Written) {
+    fn on_written(&mut self, written: WriteCompletion) {
         self.replica.on_written(written);
-        self.carry_out();
+        self.drive_replica();
     }
 
-    fn on_peer(&mut self, event: PeerEvent) {
+    fn on_peer_event(&mut self, event: PeerEvent) {
         match event {
             PeerEvent::Replication(message) => {
                 let now = self.now();
-                self.membership.members().record_contact(message.from, now);
+                self.membership.planner().record_contact(message.from, now);
                 let effects = self.replica.node_mut().step(message, now);
-                self.take(effects);
+                self.execute_effects(effects);
                 let changes = self.replica.node_mut().release_answers(now);
                 self.on_changes(changes);
             }
@@ -150,7 +152,7 @@
 
     fn on_leader_loads(&mut self, loads: Option<LoadReport>) {
         let now = self.now();
-        self.loads.on_leader_answer(loads, self.leads, now);
+        self.loads.on_leader_answer(loads, self.is_leader, now);
     }
 
     fn on_run_ended(&mut self, report: RunReport) {
@@ -161,9 +163,9 @@
     }
 
     fn on_changes(&mut self, changes: Vec<JobsChange>) {
-        let mut reads_may_go_on = false;
+        let mut may_complete_reads = false;
         for change in changes {
-            reads_may_go_on |= matches!(change, JobsChange::ResultCommitted(_) | JobsChange::Ended(_));
+            may_complete_reads |= matches!(change, JobsChange::ResultCommitted(_) | JobsChange::Ended(_));
             match change {
                 JobsChange::Answer { waiter, answer } => self.answers.send(waiter, Ok(answer)),
                 JobsChange::Accepted(job) => self.add_open_items(&job),
@@ -185,13 +187,13 @@
                 }
             }
         }
-        if reads_may_go_on {
+        if may_complete_reads {
             self.answer_reads();
         }
     }
 
     fn add_open_items(&mut self, job: &JobKey) {
-        if let Some(job) = self.replica.node().table().job(job).filter(|_| self.leads) {
+        if let Some(job) = self.replica.node().table().job(job).filter(|_| self.is_leader) {
             self.items.add_job(job);
         }
     }
@@ -208,12 +210,12 @@
         self.answers.answer_reads(self.replica.node(), now);
     }
 
-    // Items, while this node leads.
+    // Items, while this node is the leader.
 
     fn dispatch(&mut self) {
         let now = self.now();
         let table = self.replica.node().table();
-        if self.leads && self.items.dispatch(table, &mut self.loads, &mut self.permits, now) {
+        if self.is_leader && self.items.dispatch(table, &mut self.loads, &mut self.permits, now) {
             self.propose_results();
         }
     }
@@ -221,45 +223,45 @@
     fn propose_results(&mut self) {
         let now = self.now();
         for command in self.items.unproposed_results() {
-            // A leader that can't propose now tries again with the next tick.
+            // Retried with the next tick.
             let Ok(effects) = self.replica.node_mut().propose(&command, None, now) else { return };
             self.items.result_proposed(&command);
-            self.take(effects);
+            self.execute_effects(effects);
         }
     }
 
-    /// Logs what running items have put out, so that another leader can go on from there.
+    /// Proposes the output of running items, so that a new leader can resume them from there.
     fn propose_progress(&mut self) {
         let now = self.now();
         let Some(progress) = self.items.progress_due(now) else { return };
         let command = JobCommand::Progress(progress);
-        // A leader that can't propose now logs it with the next round.
+        // Retried after the next progress interval.
         let Ok(effects) = self.replica.node_mut().propose(&command, None, now) else { return };
         if let JobCommand::Progress(progress) = &command {
             self.items.progress_proposed(progress);
         }
-        self.take(effects);
+        self.execute_effects(effects);
     }
 
-    /// Logs how many runs of items have failed, so that a change of the leader does not allow them more.
+    /// Proposes the number of failed runs per item, so that a change of leader does not reset the retry limit.
     fn propose_failures(&mut self) {
         let Some(failures) = self.items.failures_due() else { return };
         let now = self.now();
         let command = JobCommand::Failures(failures);
-        // A leader that can't propose now logs them with the next tick.
+        // Retried with the next tick.
         let Ok(effects) = self.replica.node_mut().propose(&command, None, now) else { return };
         if let JobCommand::Failures(failures) = &command {
             self.items.failures_proposed(failures);
         }
-        self.take(effects);
+        self.execute_effects(effects);
     }
 
-    fn forget(&mut self) {
+    fn propose_forget(&mut self) {
         let now = self.now();
-        let Some(round) = self.retention.poll_forget(now, self.workers.view.clock.wall_time()) else { return };
-        // A leader that can't propose now forgets with the next round.
-        if let Ok(effects) = self.replica.node_mut().propose(&round, None, now) {
-            self.take(effects);
+        let Some(forget_command) = self.retention.poll_forget(now, self.workers.view.clock.wall_time()) else { return };
+        // If the proposal fails, the next round covers it.
+        if let Ok(effects) = self.replica.node_mut().propose(&forget_command, None, now) {
+            self.execute_effects(effects);
         }
     }
 
@@ -268,55 +270,55 @@
     fn tick(&mut self) {
         let now = self.now();
         let effects = self.replica.node_mut().tick(now);
-        self.take(effects);
+        self.execute_effects(effects);
         let mut changes = self.replica.node_mut().release_answers(now);
         changes.extend(self.replica.node_mut().abandon_lost_proposals());
         self.on_changes(changes);
         self.answer_reads();
-        self.found_if_due();
+        self.bootstrap_if_due();
         self.join_if_due();
-        self.keep_members();
-        if self.leads {
+        self.maintain_membership();
+        if self.is_leader {
             measures::open_items(self.items.open_count());
             let GatewayCount { reachable, known } = self.loads.gateways(now);
             self.quotas.record_gateway_count(reachable, known, now);
             self.quotas.tick(now);
             measures::exhausted_tenants(self.quotas.exhausted());
             self.permits.evict_unused(now);
-            self.items.leave_evacuated(now);
+            self.items.pause_evacuated(now);
             self.loads.eject_reported(now);
             self.propose_results();
             self.propose_progress();
             self.propose_failures();
-            self.forget();
+            self.propose_forget();
         }
         self.workers.connections.close_stale();
     }
 
     // Members.
 
-    fn found_if_due(&mut self) {
-        let Some(founding) = self.membership.due_founding(self.replica.node().replica()) else { return };
+    fn bootstrap_if_due(&mut self) {
+        let Some(founding) = self.membership.due_bootstrap(self.replica.node().replica()) else { return };
         record(LogEvent::GroupFounded, &[Field::text("members", format!("{founding:?}"))]);
         let now = self.now();
         let effects = self.replica.node_mut().bootstrap(founding, now);
-        self.take(effects);
+        self.execute_effects(effects);
     }
 
-    /// A node outside the membership asks the leader to join, so that it may be taken in.
+    /// Sends a join request to the leader if this node is a spare and the request is due.
     fn join_if_due(&mut self) {
         let now = self.now();
         let rank = {
             let view = &self.workers.view;
             spare_rank(&view.storage(), &view.zone, self.membership.id())
         };
-        if self.membership.members().poll_join(self.replica.node().replica(), rank, now) {
+        if self.membership.planner().poll_join(self.replica.node().replica(), rank, now) {
             self.joins.request(now);
         }
     }
 
-    /// Carries out what is due of the membership.
-    fn keep_members(&mut self) {
+    /// Executes the membership actions that are due.
+    fn maintain_membership(&mut self) {
         let now = self.now();
         let directory = self.workers.view.storage().clone();
         let replica = self.replica.node().replica();
@@ -324,63 +326,63 @@
         let configuration = view.configuration();
         let regions = |known: &Arc<GatewayConfiguration>| table_regions(self.replica.node().table(), known);
         let allowed = LazyCell::new(|| configuration.as_ref().map(regions).unwrap_or_default());
-        let may_hold = |record: &StorageRecord| view.regions.allows(&allowed, &record.zone);
-        let actions = self.membership.members().plan(replica, self.leads, &directory, may_hold, now);
+        let may_store = |record: &StorageRecord| view.regions.allows(&allowed, &record.zone);
+        let actions = self.membership.planner().plan(replica, self.is_leader, &directory, may_store, now);
         for action in actions {
             match action {
                 MembershipAction::Change(change) => {
                     record(LogEvent::MembershipChanging, &[Field::text("change", format!("{change:?}"))]);
                     let effects = self.replica.node_mut().change_membership(change, now);
-                    self.take(effects);
+                    self.execute_effects(effects);
                 }
                 MembershipAction::TransferLeadership(target) => {
                     let effects = self.replica.node_mut().transfer_leadership(target, now);
-                    self.take(effects);
+                    self.execute_effects(effects);
                 }
                 MembershipAction::WritePair { record, revision } => self.membership.write_pair(record, revision),
                 MembershipAction::ContinueAlone => {
                     let index = self.replica.node().replica().log().membership_index().0;
                     record(LogEvent::WentOnAlone, &[Field::number("membership", index)]);
                     let effects = self.replica.node_mut().become_sole_voter(now);
-                    self.take(effects);
+                    self.execute_effects(effects);
                 }
                 MembershipAction::ReportDrain { machine, state } => self.membership.report_drain(machine, state),
             }
         }
     }
 
-    fn follow_leadership(&mut self) {
+    fn update_leadership(&mut self) {
         let now = self.now();
         let node = self.replica.node();
-        let leads = node.may_answer(now) || (self.leads && node.replica().is_leader());
-        if leads == self.leads {
+        let is_leader = node.may_answer(now) || (self.is_leader && node.replica().is_leader());
+        if is_leader == self.is_leader {
             return;
         }
-        self.leads = leads;
-        measures::leads(leads);
+        self.is_leader = is_leader;
+        measures::leads(is_leader);
         let term = node.replica().term().0;
-        if leads {
+        if is_leader {
             record(LogEvent::LeaderElected, &[Field::number("term", term)]);
-            self.items.begin_leading(node.table());
+            self.items.on_leadership_gained(node.table());
         } else {
             record(LogEvent::LeaderStoodDown, &[Field::number("term", term)]);
-            self.items.end_leading();
+            self.items.on_leadership_lost();
         }
         self.loads.clear();
         self.quotas.reset(now);
         self.permits.reset(now);
     }
 
-    /// Begins or goes on with a planned stop. Returns whether the process may end.
+    /// Advances a planned stop by transferring leadership. Returns whether the process may exit.
     fn stop(&mut self) -> bool {
         let replica = self.replica.node().replica();
         if !replica.is_leader() {
-            return self.replica.is_settled();
+            return self.replica.is_idle();
         }
-        if let Some(target) = self.membership.members().successor(replica) {
+        if let Some(target) = self.membership.planner().successor(replica) {
             let now = self.now();
             let effects = self.replica.node_mut().transfer_leadership(target, now);
-            self.take(effects);
+            self.execute_effects(effects);
         }
         false
     }
--- a/crates/gateway/src/storage/service/replica_driver.rs
+++ b/crates/gateway/src/storage/service/replica_driver.rs
@@ -1,11 +1,11 @@
-//! One replica against its disk and its peers.
+//! Connects the replica to its disk and its peers.
 //!
-//! It owns the replica, the queue of its effects, and the write that the head of the queue waits for. The invariant:
-//! effects are carried out in the order in which the replica gave them, and none before all writes ahead of it are
-//! durable. So nothing is sent, applied or answered that a crash could take back.
+//! Owns the replica, the queue of its effects, and the write that blocks the queue. Invariant: effects are executed in
+//! the order in which the replica returned them, and none before all preceding writes are durable. Nothing is sent,
+//! applied or acknowledged that a crash could undo.
 //!
-//! It relies on the disk's thread to report each write, and on the service to call [`ReplicaDriver::advance`] after
-//! whatever may have let the queue move.
+//! The disk thread must report each write, and the service must call [`ReplicaDriver::advance`] after each event that
+//! may unblock the queue.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -21,19 +21,19 @@
 use crate::fleet::fleet_view::FleetView;
 use crate::observe::journal::{Field, record};
 use crate::peers::peer_link::PeerLinks;
-use crate::storage::disk_writer::{DiskWriter, WriteNumber, Written};
+use crate::storage::disk_writer::{DiskWriter, WriteCompletion, WriteNumber};
 
-/// The replica, its disk and its links.
+/// The replica, its disk and its links to peers.
 pub(super) struct ReplicaDriver {
     node: JobsNode,
     disk: DiskWriter,
     budget: DiskBudget,
     links: PeerLinks,
     view: Arc<FleetView>,
-    /// Effects that wait for the disk, in order. No bound of its own: while a write is under way, what is proposed is
-    /// bounded by the replica (`max_uncommitted_entries`), and what peers send by the queue of the peers' listener.
+    /// Effects that wait for the disk, in order. Needs no separate limit: during a write, proposals are bounded by the
+    /// replica (`max_uncommitted_entries`) and messages of peers by the queue of the peer listener.
     queue: VecDeque<JobsEffect>,
-    /// The write that the head of the queue waits for.
+    /// The write that blocks the queue.
     awaited_write: Option<WriteNumber>,
 }
 
@@ -43,33 +43,33 @@
         Self { node, disk, budget, links, view, queue: VecDeque::new(), awaited_write: None }
     }
 
-    /// The replica.
     pub(super) fn node(&self) -> &JobsNode {
         &self.node
     }
 
-    /// The replica, to call. Effects that it gives go to [`ReplicaDriver::enqueue`] before any other call.
+    /// Returns the replica for a mutating call. The effects of the call must be passed to [`ReplicaDriver::enqueue`]
+    /// before the next one.
     pub(super) fn node_mut(&mut self) -> &mut JobsNode {
         &mut self.node
     }
 
-    /// Whether the disk has room for a job.
+    /// Whether the disk has capacity for a job.
     pub(super) fn admits(&self, submission: &Submission) -> bool {
         self.budget.admits(submission, &self.node)
     }
 
-    /// Whether nothing waits for the disk.
-    pub(super) fn is_settled(&self) -> bool {
+    /// Whether all effects are executed and all writes are durable.
+    pub(super) fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.awaited_write.is_none()
     }
 
-    /// Adds effects behind those that wait.
+    /// Appends effects to the queue.
     pub(super) fn enqueue(&mut self, effects: Vec<JobsEffect>) {
         self.queue.extend(effects);
     }
 
-    /// Carries out effects until one has applied entries, and returns what that changed. `None` once the rest waits
-    /// for the disk, or nothing is left.
+    /// Executes effects until one applies entries, and returns the resulting changes. Returns `None` if the queue is
+    /// empty or waits for the disk.
     pub(super) fn advance(&mut self) -> Option<Vec<JobsChange>> {
         while self.awaited_write.is_none() {
             match self.queue.pop_front()? {
@@ -85,15 +85,15 @@
         None
     }
 
-    /// The disk has come that far.
-    pub(super) fn on_written(&mut self, written: Written) {
+    /// Records that writes are durable, which may unblock the queue.
+    pub(super) fn on_written(&mut self, written: WriteCompletion) {
         self.budget.set_used(written.bytes);
         if self.awaited_write.is_some_and(|awaited| awaited <= written.number) {
             self.awaited_write = None;
         }
     }
 
-    /// Sends to another replica. One whose address isn't known yet gets the message again by the resend of its leader.
+    /// Sends a message to another replica. Drops it if the address is unknown; the leader retransmits it later.
     fn send(&self, message: ReplicationMessage) {
         let address = self.view.storage().of_node(message.to).map(|record| record.address);
         if let Some(address) = address {
@@ -104,7 +104,7 @@
     fn restore(&mut self, snapshot: &Snapshot) {
         match self.node.restore(snapshot) {
             Ok(()) => record(LogEvent::SnapshotInstalled, &[Field::number("index", snapshot.index.0)]),
-            // The snapshot is on disk already: a start of this version refuses it, and the line says why.
+            // The snapshot is already on disk and this version will refuse to start from it; the log line explains why.
             Err(unreadable) => record(LogEvent::RecordUnreadable, &[Field::text("detail", unreadable)]),
         }
     }
--- a/crates/gateway/src/storage/service/requests.rs
+++ b/crates/gateway/src/storage/service/requests.rs
@@ -1,4 +1,4 @@
-//! What other nodes ask of the leader, and of the aggregator of a zone.
+//! Handles requests that other nodes send to the leader or to the load aggregator of a zone.
 
 use stallmoor_core::identity::NodeId;
 use stallmoor_core::peer_message::GroupRefusal;
@@ -17,13 +17,13 @@
 impl StorageService {
     pub(super) fn on_request(&mut self, from: NodeId, request: JobsRequest, reply: Reply) {
         let now = self.now();
-        // An asker whose connection broke asks again: what becomes of a reply is not looked at.
+        // Failures to send a reply are ignored: a requester whose connection broke retries.
         match request {
             JobsRequest::Join => {
-                self.membership.members().record_contact(from, now);
+                self.membership.planner().record_contact(from, now);
                 let _ = reply.send(Ok(JobsAnswer::Accepted));
             }
-            JobsRequest::ReportLoad(loads) | JobsRequest::AggregateLoad(loads) if self.leads => {
+            JobsRequest::ReportLoad(loads) | JobsRequest::AggregateLoad(loads) if self.is_leader => {
                 let totals = self.loads.report_to_leader(from, loads, now);
                 let _ = reply.send(Ok(JobsAnswer::Loads(totals)));
                 self.items.yield_to_online(now);
@@ -33,12 +33,12 @@
                 let _ = reply.send(Ok(JobsAnswer::Loads(totals)));
                 self.loads.exchange_with_leader(now);
             }
-            JobsRequest::ReportQuota(report) if self.leads => {
-                let levels = self.take_quota_report(from, &report, now);
+            JobsRequest::ReportQuota(report) if self.is_leader => {
+                let levels = self.record_quota_report(from, &report, now);
                 let _ = reply.send(Ok(JobsAnswer::Quota(levels)));
             }
             JobsRequest::ReportLoad(_) | JobsRequest::ReportQuota(_) => self.refuse(reply),
-            // Two replicas that both grant would grant too much, so only one that surely leads does.
+            // Two replicas granting at once would exceed the limits, so only a confirmed leader continues from here.
             _ if !self.replica.node().may_answer(now) => self.refuse(reply),
             JobsRequest::RequestPermits(wanted) => {
                 let granted = self.grant_permits(&wanted, now);
@@ -47,8 +47,8 @@
             JobsRequest::Submit(submission) => self.submit(submission, reply, now),
             JobsRequest::End { job, caller } => self.end_job(JobCommand::End { job, caller }, reply, now),
             JobsRequest::Read { job, first, wait, caller } => {
-                let waiter = self.answers.wait(reply);
-                self.answers.hold(PendingRead { waiter, job, first, caller, deadline: now + wait });
+                let waiter = self.answers.register(reply);
+                self.answers.add_read(PendingRead { waiter, job, first, caller, deadline: now + wait });
                 self.answer_reads();
             }
             JobsRequest::Body { job, item, caller } => {
@@ -59,7 +59,7 @@
 
     fn refuse(&self, reply: Reply) {
         let refusal = match refusal_of(self.replica.node()) {
-            // A spare hears of no leader, but asks it to join.
+            // A spare receives no replication messages, but locates the leader for its join requests.
             GroupRefusal::NotLeader { term, leader: None } if !self.is_member() => {
                 GroupRefusal::NotLeader { term, leader: self.joins.leader() }
             }
@@ -77,17 +77,17 @@
             let _ = reply.send(Ok(JobsAnswer::NoRoom));
             return;
         }
-        let waiter = self.answers.wait(reply);
+        let waiter = self.answers.register(reply);
         match self.replica.node_mut().submit(submission, waiter, now) {
-            Ok(effects) => self.take(effects),
+            Ok(effects) => self.execute_effects(effects),
             Err(reason) => self.answers.refuse(waiter, reason, self.replica.node()),
         }
     }
 
     fn end_job(&mut self, command: JobCommand, reply: Reply, now: Timestamp) {
-        let waiter = self.answers.wait(reply);
+        let waiter = self.answers.register(reply);
         match self.replica.node_mut().propose(&command, Some(waiter), now) {
-            Ok(effects) => self.take(effects),
+            Ok(effects) => self.execute_effects(effects),
             Err(reason) => self.answers.refuse(waiter, reason, self.replica.node()),
         }
     }
@@ -101,14 +101,14 @@
         }
     }
 
-    /// Grants permits for workers that have just started.
+    /// Grants permits for workers in cold start.
     pub(super) fn grant_permits(&mut self, wanted: &[WorkerId], now: Timestamp) -> Vec<WorkerCount> {
         let workers = self.workers.view.workers();
         self.permits.grant(wanted, |worker| workers.cold_start_of(worker), now)
     }
 
-    /// Takes what a gateway let through of each tenant, and returns what they have left.
-    fn take_quota_report(&mut self, from: NodeId, report: &QuotaReport, now: Timestamp) -> QuotaLevels {
+    /// Records the usage that a gateway admitted per tenant and returns the remaining quotas.
+    fn record_quota_report(&mut self, from: NodeId, report: &QuotaReport, now: Timestamp) -> QuotaLevels {
         let configuration = self.workers.view.configuration();
         let limit_of = |tenant: &TenantName| configuration.as_ref()?.tenant(tenant)?.limit;
         self.quotas.report(from, report, limit_of, now)
--- a/crates/gateway/src/storage/service/startup.rs
+++ b/crates/gateway/src/storage/service/startup.rs
@@ -1,4 +1,4 @@
-//! What the service is made of, and the channels that feed it.
+//! Construction of the storage service and its input channels.
 
 use std::sync::Arc;
 
@@ -28,76 +28,77 @@
 use crate::storage::peer_listener::PeerEvent;
 use crate::workers::attempt::WorkerClient;
 
-/// What the service is made of.
-pub struct StorageParts {
-    /// The replica.
+/// Components from which the service is built.
+pub struct StorageComponents {
+    /// Replica of the job table.
     pub node: JobsNode,
-    /// The node's identity.
+    /// Identity of this node.
     pub id: NodeId,
-    /// Losses of disks that must be borne at once.
-    pub tolerated: usize,
-    /// The way to workers, and what is known of the fleet.
+    /// Number of replicas whose simultaneous loss must be tolerated.
+    pub tolerated_losses: usize,
+    /// Client for workers, which also provides the view of the fleet.
     pub workers: Arc<WorkerClient>,
-    /// The metadata store's writes.
+    /// Client for writes to the metadata store.
     pub metadata: Arc<dyn MetadataStore>,
-    /// The disk.
+    /// Handle of the disk thread.
     pub disk: DiskWriter,
-    /// How much of the disk may be used.
+    /// Limit on the disk space used.
     pub budget: DiskBudget,
-    /// How long results are kept, from the submission on.
+    /// Retention period of results, counted from the submission of their job.
     pub results_kept: Millis,
 }
 
-/// The ends of the channels that feed the service.
+/// Receivers of the service's input channels.
 pub struct StorageInputs {
-    /// From other nodes.
+    /// Messages of other nodes.
     pub peers: mpsc::Receiver<PeerEvent>,
-    /// From the disk. Without a bound, as each write reports once, and writes are bounded as the replica's effects are.
+    /// Outcomes of writes. Unbounded: each write is reported at most once, and the replica's effects bound the writes.
     pub writes: mpsc::UnboundedReceiver<WriteResult>,
-    /// From the metadata store. Without a bound, so that the watch never waits for this task: one message
-    /// for each change of a record.
+    /// Updates of the metadata store, one message per changed record. Unbounded so that the watch never blocks on the
+    /// service.
     pub updates: mpsc::UnboundedReceiver<FleetUpdate>,
-    /// The founding membership, once it is known. One message ever.
+    /// The initial membership, sent once when it is known.
     pub founding: mpsc::UnboundedReceiver<GroupMembership>,
-    /// The planned stop.
+    /// Set to true to start a planned stop.
     pub stop: watch::Receiver<bool>,
 }
 
-/// What tasks that the service started hand back. Without bounds, as the tasks themselves are bounded: see the parts
-/// that start them.
+/// Receivers for the results of tasks that the service spawns. Unbounded: the components that spawn the tasks limit
+/// their number.
 pub(super) struct TaskResults {
     pub(super) runs: mpsc::UnboundedReceiver<RunReport>,
     pub(super) pairs: mpsc::UnboundedReceiver<Option<StoredPair>>,
     pub(super) loads: mpsc::UnboundedReceiver<Option<LoadReport>>,
 }
 
-/// The service, and what its tasks hand back to it.
+/// The service and the results of its tasks.
 pub(super) struct StartedService {
     pub(super) service: StorageService,
     pub(super) results: TaskResults,
 }
 
 impl StartedService {
-    pub(super) fn new(parts: StorageParts) -> Self {
+    pub(super) fn new(components: StorageComponents) -> Self {
         let (reports, runs) = mpsc::unbounded_channel();
         let (pair_reads, pairs) = mpsc::unbounded_channel();
         let (leader_answers, loads) = mpsc::unbounded_channel();
-        let StorageParts { node, id, tolerated, workers, metadata, disk, budget, results_kept } = parts;
+        let StorageComponents { node, id, tolerated_losses, workers, metadata, disk, budget, results_kept } =
+            components;
         let view = workers.view.clone();
         let now = view.clock.now();
-        let members = MembershipPlanner::new(id, tolerated, now);
+        let planner = MembershipPlanner::new(id, tolerated_losses, now);
         let client = Arc::new(LeaderClient::new(view.clone(), id));
         let service = StorageService {
             replica: ReplicaDriver::new(node, id, disk, budget, view.clone()),
             answers: PendingAnswers::default(),
             items: ItemRunner::new(workers.clone(), reports, now),
-            membership: Membership::new(id, members, metadata, pair_reads),
+            membership: Membership::new(id, planner, metadata, pair_reads),
             joins: JoinRequests::new(client.clone()),
             loads: LoadExchange::new(view, client, leader_answers),
             quotas: RateCoordinator::default(),
             permits: PermitGrants::default(),
             retention: Retention::new(results_kept, now),
-            leads: false,
+            is_leader: false,
             workers,
         };
         Self { service, results: TaskResults { runs, pairs, loads } }
