--- a/crates/gateway/tests/golden_settings.rs
+++ b/crates/gateway/tests/golden_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of gateways and storing nodes, and the deploy files that it is made from, as they are today.
+//! Guards against unintended changes to the settings format, its error messages and the deploy files.
 
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
@@ -8,7 +8,7 @@
 
 use stallmoor_gateway::process::settings::ServingSettings;
 
-/// Every field, with a value other than its default.
+/// Sets every field except `evacuate_ms` and `zones` to a value other than its default.
 const FULL: &str = r#"
 [node]
 name = "edge-7"
@@ -45,7 +45,7 @@
 level = "debug"
 "#;
 
-/// No field that has a default.
+/// Contains only the required fields.
 const MINIMAL: &str = r#"
 [node]
 name = "n"
@@ -59,7 +59,7 @@
 address = "[::1]:2"
 "#;
 
-/// What is read, by the names of the file's tables and fields; derived values follow in brackets.
+/// Lists the parsed fields by table and name, followed by derived values in brackets.
 fn describe(settings: &ServingSettings) -> String {
     let ServingSettings { node, listen, metadata, tolerance, zones: _, jobs, stop, log } = settings;
     let bounds = metadata.watch_bounds();
@@ -97,12 +97,12 @@
 }
 
 fn read(text: &str) -> ServingSettings {
-    ServingSettings::parse(text, Path::new("node.toml")).expect("the settings are sound")
+    ServingSettings::parse(text, Path::new("node.toml")).expect("the settings are valid")
 }
 
 #[test]
-fn a_full_and_a_minimal_file_are_read_as_ever() {
-    // A table without fields need not mean the same as no table.
+fn full_and_minimal_files_match_the_golden_file() {
+    // The defaults of an empty table may differ from those of a missing one.
     let bare = format!("{MINIMAL}\n[tolerance]\n[jobs]\n");
     let described = format!(
         "# full\n{}\n# minimal\n{}\n# minimal with bare tables\n{}",
@@ -114,25 +114,26 @@
 }
 
 #[test]
-fn zones_and_the_bound_on_their_evacuation_are_read_as_ever() {
+fn zones_and_evacuation_limit_match_the_golden_file() {
     let bound = MINIMAL.replace("address = \"[::1]:2\"", "address = \"[::1]:2\"\nevacuate_ms = 1800.0");
     let full = format!("{bound}\n[zones]\nzone-c = \"north\"\nzone-d = \"south\"\n");
-    let mut told = String::new();
+    let mut output = String::new();
     for (title, text) in [("full", &*full), ("minimal", MINIMAL)] {
         let settings = read(text);
         let bounds = settings.metadata.watch_bounds();
-        writeln!(told, "# {title}\nzones = {:?}", settings.zones).expect("written to a string");
-        writeln!(told, "metadata.evacuate_ms = {:?}", settings.metadata.evacuate_ms).expect("written to a string");
-        writeln!(told, "[change within] = {} ms\n", bounds.change.0).expect("written to a string");
+        writeln!(output, "# {title}\nzones = {:?}", settings.zones).expect("writing to a string succeeds");
+        writeln!(output, "metadata.evacuate_ms = {:?}", settings.metadata.evacuate_ms)
+            .expect("writing to a string succeeds");
+        writeln!(output, "[change within] = {} ms\n", bounds.change.0).expect("writing to a string succeeds");
     }
     let short = full.replace("evacuate_ms = 1800.0", "evacuate_ms = 0.5");
-    let error = ServingSettings::parse(&short, Path::new("node.toml")).expect_err("the bound is too short");
-    golden::check_text("settings_zones.txt", &format!("{told}# too short\n{error}\n"));
+    let error = ServingSettings::parse(&short, Path::new("node.toml")).expect_err("the limit is too short");
+    golden::check_text("settings_zones.txt", &format!("{output}# too short\n{error}\n"));
 }
 
-/// Each case changes one place of the full file.
+/// Each case replaces one piece of text in the full file.
 #[test]
-fn errors_of_the_file_read_as_ever() {
+fn error_messages_match_the_golden_file() {
     let cases = [
         ("unknown table", "[log]", "[logs]"),
         ("unknown field of node", "zone = ", "zne = "),
@@ -162,31 +163,31 @@
         ("no peer port", "peer_port = 7100", "peer_port = 0"),
         ("one port twice", "metrics_port = 7101", "metrics_port = 7100"),
     ];
-    let mut told = String::new();
+    let mut output = String::new();
     for (case, from, to) in cases {
         assert!(FULL.contains(from), "{case}: {from}");
         let text = FULL.replacen(from, to, 1);
         let error = ServingSettings::parse(&text, Path::new("node.toml")).expect_err(case);
-        writeln!(told, "# {case}\n{}\n", error.to_string().trim_end()).expect("written to a string");
+        writeln!(output, "# {case}\n{}\n", error.to_string().trim_end()).expect("writing to a string succeeds");
     }
-    golden::check_text("settings_errors.txt", &told);
+    golden::check_text("settings_errors.txt", &output);
 }
 
 #[test]
-fn the_deploy_files_are_as_ever() {
+fn deploy_files_match_the_golden_file() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let mut names: Vec<String> = std::fs::read_dir(&folder)
-        .expect("the folder")
-        .map(|entry| entry.expect("an entry").path())
-        // What lies in folders of its own is no part of a deployment.
+        .expect("the deploy folder is readable")
+        .map(|entry| entry.expect("the directory entry is readable").path())
+        // Subfolders are not part of a deployment.
         .filter(|path| path.is_file())
-        .map(|path| path.file_name().expect("a name").to_string_lossy().into_owned())
+        .map(|path| path.file_name().expect("the path has a file name").to_string_lossy().into_owned())
         .collect();
     names.sort();
     let mut all = String::new();
     for name in names {
-        let text = std::fs::read_to_string(folder.join(&name)).expect("a text");
-        writeln!(all, "==> {name} <==\n{text}").expect("written to a string");
+        let text = std::fs::read_to_string(folder.join(&name)).expect("the file is UTF-8 text");
+        writeln!(all, "==> {name} <==\n{text}").expect("writing to a string succeeds");
     }
     golden::check_text("deploy.txt", &all);
 }
