--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -29,7 +29,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum ProcessError {
     /// An operating system call failed.
-    #[snafu(display("{operation}: {source}"))]
+    #[snafu(display("{operation} failed: {source}"))]
     System {
         /// Operation that failed.
         operation: &'static str,
--- a/crates/gateway/src/process/parts.rs
+++ b/crates/gateway/src/process/parts.rs
@@ -95,7 +95,7 @@
 
 /// Opens a TCP listener on an address from the settings.
 pub(super) fn open_listener(address: SocketAddr) -> Result<TcpListener, ProcessError> {
-    listen(address).context(SystemSnafu { operation: "cannot open a TCP listener" })
+    listen(address).context(SystemSnafu { operation: "opening a TCP listener" })
 }
 
 /// Returns a random number seeded from the operating system.
--- a/crates/gateway/src/process/storage_node.rs
+++ b/crates/gateway/src/process/storage_node.rs
@@ -112,8 +112,8 @@
     let OpenReplica { id, node, log } = replica;
     // Unbounded: the disk thread sends at most one report for each write of the service.
     let (results, writes) = mpsc::unbounded_channel();
-    let disk = DiskWriter::start(log, JOBS_GROUP, results)
-        .context(SystemSnafu { operation: "cannot start the disk thread" })?;
+    let disk =
+        DiskWriter::start(log, JOBS_GROUP, results).context(SystemSnafu { operation: "starting the disk thread" })?;
     let (peer_events, peers) = mpsc::channel(PEER_EVENT_QUEUE_CAPACITY);
     tokio::spawn(accept_peers(open_listener(settings.peer_address())?, peer_events, components.metadata.clone()));
     // Unbounded: the queue holds only the changes of the store since the service last received one, a few per second.
