--- a/crates/gateway/src/adapter/dialect.rs
+++ b/crates/gateway/src/adapter/dialect.rs
@@ -124,13 +124,13 @@
 
     /// The head of a request for a worker, from the caller's. The caller's key is not in it, and its tenant only
     /// as it was found here, unless nobody was asked for a key.
-    fn attempt_headers(&self, headers: &HeaderMap, terms: &AttemptContext<'_>) -> HeaderMap;
+    fn attempt_headers(&self, headers: &HeaderMap, context: &AttemptContext<'_>) -> HeaderMap;
 
     /// What an item's request says of itself.
     fn item_facts(&self, item: &JobItem) -> RequestFacts;
 
     /// The head of an item's request for a worker.
-    fn item_headers(&self, item: &JobItem, host: &str, terms: &AttemptContext<'_>) -> HeaderMap;
+    fn item_headers(&self, item: &JobItem, host: &str, context: &AttemptContext<'_>) -> HeaderMap;
 
     /// Reads what a worker's answer says besides its content.
     fn answer_facts(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
--- a/crates/gateway/src/batch/job_calls.rs
+++ b/crates/gateway/src/batch/job_calls.rs
@@ -25,12 +25,12 @@
 use crate::observe::measures;
 
 /// How long a submission is tried where the caller gives no deadline, in milliseconds. It outlives an election.
-const SUBMIT_WITHIN: Millis = Millis(2_500);
+const SUBMIT_TIMEOUT: Millis = Millis(2_500);
 /// How long a read or an end is tried, beyond the wait that the caller asks for, in milliseconds. It is given up soon
 /// and asked again.
-const CALL_WITHIN: Millis = Millis(1_200);
+const CALL_TIMEOUT: Millis = Millis(1_200);
 /// The longest wait for a result, in milliseconds. Bounds how long reads are held.
-const LONGEST_WAIT: Millis = Millis(2_000);
+const MAX_READ_WAIT: Millis = Millis(2_000);
 /// When a caller whose job did not fit may retry, in milliseconds. Such a job is not sent again at once.
 const OVER_QUOTA_RETRY_AFTER: Millis = Millis(1_000);
 /// When a caller may retry while the table has no leader, in milliseconds.
@@ -66,21 +66,21 @@
     /// Takes a job.
     pub async fn submit(&self, request: JobSubmission<'_>, arrived_at: Timestamp) -> Response<AnswerBody> {
         let JobSubmission { facts, route, version, identity, regions, body } = request;
-        if let Some(refused) = self.refuse_outside(regions) {
+        if let Some(refused) = self.refuse_outside_regions(regions) {
             return refusal::answer(&refused);
         }
         let received_at = self.view.clock.wall_time();
         let submission = match self.dialect.submission(facts, route, identity.tenant(), body, received_at) {
             Ok(submission) => Submission { configuration_version: version, ..submission },
-            Err(bad) => return refusal::from_kind(ErrorKind::MalformedRequest, &bad.detail),
+            Err(error) => return refusal::from_kind(ErrorKind::MalformedRequest, &error.detail),
         };
-        let held = facts.deadline.unwrap_or(SUBMIT_WITHIN).min(SUBMIT_WITHIN).min(route.timeout);
+        let timeout = facts.deadline.unwrap_or(SUBMIT_TIMEOUT).min(SUBMIT_TIMEOUT).min(route.timeout);
         let key = submission.key.clone();
         let items = submission.items.len() as u64;
-        let result = self.client.send_request(JobsRequest::Submit(submission), arrived_at + held).await;
+        let result = self.client.send_request(JobsRequest::Submit(submission), arrived_at + timeout).await;
         self.log_submission(&key, items, &result, arrived_at);
         match result {
-            Ok(JobsAnswer::Accepted | JobsAnswer::Ended) => empty(StatusCode::ACCEPTED),
+            Ok(JobsAnswer::Accepted | JobsAnswer::Ended) => empty_response(StatusCode::ACCEPTED),
             Ok(JobsAnswer::OverQuota { waiting }) => {
                 let detail = format!("{waiting} tokens wait on this route");
                 let refused = Refusal::new(ErrorKind::TenantLimit, detail).with_retry_after(OVER_QUOTA_RETRY_AFTER.0);
@@ -91,9 +91,11 @@
                 let refused = Refusal::new(ErrorKind::StateUnavailable, "the storing nodes' disks have no room");
                 refusal::answer(&refused.with_retry_after(OVER_QUOTA_RETRY_AFTER.0))
             }
-            Ok(JobsAnswer::Indeterminate) => refusal::answer(&refuse_unsure("an earlier try may have taken the job")),
+            Ok(JobsAnswer::Indeterminate) => {
+                refusal::answer(&indeterminate_refusal("an earlier try may have taken the job"))
+            }
             Ok(_) => refusal::from_kind(ErrorKind::Internal, "an answer that does not fit a submission"),
-            Err(no_leader) => refusal::answer(&refuse_without_leader(no_leader)),
+            Err(no_leader) => refusal::answer(&no_leader_refusal(no_leader)),
         }
     }
 
@@ -101,34 +103,38 @@
     pub async fn call(&self, call: JobCall, caller: CallerIdentity, arrived_at: Timestamp) -> Response<AnswerBody> {
         match call {
             JobCall::Read { job, first, wait } => {
-                let wait = wait.min(LONGEST_WAIT);
-                let until = arrived_at + wait + CALL_WITHIN;
-                match self.client.send_request(JobsRequest::Read { job, first, wait, caller }, until).await {
-                    Ok(JobsAnswer::Page(page)) => whole(self.dialect.result_page(first, &page), "application/json"),
-                    other => refuse_call(other),
+                let wait = wait.min(MAX_READ_WAIT);
+                let deadline = arrived_at + wait + CALL_TIMEOUT;
+                match self.client.send_request(JobsRequest::Read { job, first, wait, caller }, deadline).await {
+                    Ok(JobsAnswer::Page(page)) => {
+                        response_with_body(self.dialect.result_page(first, &page), "application/json")
+                    }
+                    other => call_refusal(other),
                 }
             }
             JobCall::Body { job, item } => {
                 let request = JobsRequest::Body { job, item, caller };
-                match self.client.send_request(request, arrived_at + CALL_WITHIN).await {
-                    Ok(JobsAnswer::Body(body)) => whole(Bytes::from(body.to_vec()), "application/octet-stream"),
-                    other => refuse_call(other),
+                match self.client.send_request(request, arrived_at + CALL_TIMEOUT).await {
+                    Ok(JobsAnswer::Body(body)) => {
+                        response_with_body(Bytes::from(body.to_vec()), "application/octet-stream")
+                    }
+                    other => call_refusal(other),
                 }
             }
             JobCall::End { job } => {
                 let request = JobsRequest::End { job, caller };
-                match self.client.send_request(request, arrived_at + CALL_WITHIN).await {
-                    Ok(JobsAnswer::Ended | JobsAnswer::Accepted) => empty(StatusCode::OK),
+                match self.client.send_request(request, arrived_at + CALL_TIMEOUT).await {
+                    Ok(JobsAnswer::Ended | JobsAnswer::Accepted) => empty_response(StatusCode::OK),
                     // Unlike a read, an end may have taken effect.
-                    Err(no_leader) => refusal::answer(&refuse_without_leader(no_leader)),
-                    other => refuse_call(other),
+                    Err(no_leader) => refusal::answer(&no_leader_refusal(no_leader)),
+                    other => call_refusal(other),
                 }
             }
         }
     }
 
     /// Refuses a job that would lie outside of the regions that are allowed for it: any storing node may hold the table.
-    fn refuse_outside(&self, regions: &AllowedRegions) -> Option<Refusal> {
+    fn refuse_outside_regions(&self, regions: &AllowedRegions) -> Option<Refusal> {
         let storage = self.view.storage();
         let outside = storage.records().find(|record| !self.view.regions.allows(regions, &record.zone))?;
         let detail = format!("jobs are also kept in the zone {}, and this one may only lie in {regions}", outside.zone);
@@ -157,20 +163,20 @@
 }
 
 /// A change that may have arrived is not refused: the caller may ask again, and finds it taken.
-fn refuse_without_leader(no_leader: NoLeader) -> Refusal {
+fn no_leader_refusal(no_leader: NoLeader) -> Refusal {
     let detail = "the job table has no leader that answers";
     if no_leader.may_have_arrived {
-        return refuse_unsure(detail);
+        return indeterminate_refusal(detail);
     }
     Refusal::new(ErrorKind::StateUnavailable, detail).with_retry_after(NO_LEADER_RETRY_AFTER.0)
 }
 
 /// A refusal that promises nothing.
-fn refuse_unsure(detail: &str) -> Refusal {
+fn indeterminate_refusal(detail: &str) -> Refusal {
     Refusal::new(ErrorKind::DeadlineExceeded, detail).with_ran(Ran::Unknown)
 }
 
-fn refuse_call(result: Result<JobsAnswer, NoLeader>) -> Response<AnswerBody> {
+fn call_refusal(result: Result<JobsAnswer, NoLeader>) -> Response<AnswerBody> {
     match result {
         Ok(JobsAnswer::UnknownJob) => refusal::from_kind(ErrorKind::UnknownJob, "there is no such job"),
         Ok(JobsAnswer::UnknownItem) => refusal::from_kind(ErrorKind::UnknownPath, "no such item without a result"),
@@ -179,14 +185,14 @@
     }
 }
 
-fn empty(status: StatusCode) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(Bytes::new()));
+fn empty_response(status: StatusCode) -> Response<AnswerBody> {
+    let mut response = Response::new(AnswerBody::full(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-fn whole(body: Bytes, content_type: &'static str) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(body));
+fn response_with_body(body: Bytes, content_type: &'static str) -> Response<AnswerBody> {
+    let mut response = Response::new(AnswerBody::full(body));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
--- a/crates/gateway/src/callers/server.rs
+++ b/crates/gateway/src/callers/server.rs
@@ -43,7 +43,7 @@
 /// on its way.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
 /// Least size of the buffer for a head, in bytes: the HTTP library takes no smaller one.
-const LEAST_HEAD_BUFFER: usize = 8_192;
+const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
 
 /// How far a planned stop is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -80,7 +80,7 @@
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
-        let _alive = self.connection_guard.clone();
+        let _guard = self.connection_guard.clone();
         // Without it small pieces of an answer leave later; a socket that refuses it is broken, which shows below.
         let _ = stream.set_nodelay(true);
         let bounds = self.bounds();
@@ -93,7 +93,7 @@
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(idle)
-            .max_buf_size(bounds.head_bytes.max(LEAST_HEAD_BUFFER))
+            .max_buf_size(bounds.head_bytes.max(MIN_HEAD_BUFFER_BYTES))
             .serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
         let mut stop = self.stop.clone();
@@ -111,7 +111,7 @@
     }
 
     fn bounds(&self) -> CallerBounds {
-        self.workers.view.configuration().map(|known| known.bounds).unwrap_or_default()
+        self.workers.view.configuration().map(|configuration| configuration.bounds).unwrap_or_default()
     }
 
     async fn handle(&self, request: Request<Incoming>) -> Response<AnswerBody> {
@@ -142,15 +142,15 @@
 
     /// Reads a request and checks whether it may be served.
     async fn admit(&self, request: Request<Incoming>, arrived_at: Timestamp) -> Result<Admitted, Refusal> {
-        let within = Duration::from_millis(CONFIGURATION_TIMEOUT.0);
-        let known = self.workers.view.wait_for_configuration(within).await;
-        let configuration = known.ok_or_else(admission::not_configured)?;
+        let timeout = Duration::from_millis(CONFIGURATION_TIMEOUT.0);
+        let configuration = self.workers.view.wait_for_configuration(timeout).await;
+        let configuration = configuration.ok_or_else(admission::not_configured)?;
         let (parts, body) = request.into_parts();
         let dialect = &self.workers.dialect;
         let key = dialect.api_key(&parts.headers);
         let target = parts.uri.to_string();
         let address = RequestAddress {
-            host: host_of(&parts.headers),
+            host: request_host(&parts.headers),
             path: parts.uri.path(),
             target: &target,
             key: key.as_ref(),
@@ -178,7 +178,7 @@
             Field::text("kind", refused.kind.code()),
             Field::text("detail", &refused.detail),
             Field::number("age_ms", view.clock.now().since(arrived_at).0),
-            Field::number("configuration", view.configuration().map_or(0, |known| known.version)),
+            Field::number("configuration", view.configuration().map_or(0, |configuration| configuration.version)),
         ];
         record(LogEvent::RequestRefused, &fields);
         refusal::answer(refused)
@@ -202,18 +202,18 @@
     body: Bytes,
 }
 
-fn malformed(bad: BadRequest) -> Refusal {
-    Refusal::new(ErrorKind::MalformedRequest, bad.detail)
+fn malformed(error: BadRequest) -> Refusal {
+    Refusal::new(ErrorKind::MalformedRequest, error.detail)
 }
 
 /// The host that a request is for, without its port.
-fn host_of(headers: &HeaderMap) -> &str {
+fn request_host(headers: &HeaderMap) -> &str {
     let host = headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     host.split(':').next().unwrap_or_default()
 }
 
-async fn read_body(body: Incoming, most_bytes: usize) -> Result<Bytes, Refusal> {
-    match Limited::new(body, most_bytes).collect().await {
+async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Refusal> {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
             Err(Refusal::new(ErrorKind::BodyTooLarge, "the body is over the limit"))
--- a/crates/gateway/src/http/answer_body.rs
+++ b/crates/gateway/src/http/answer_body.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 
 /// Most pieces of a stream that wait for a caller that reads slowly; the worker's connection isn't read meanwhile.
-const PIECES: usize = 32;
+const MAX_BUFFERED_CHUNKS: usize = 32;
 
 /// The answer could not be completed; the connection is closed so that it does not look whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,21 +28,21 @@
 /// A body that is known whole, or comes in pieces.
 pub enum AnswerBody {
     /// Whole.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// In pieces.
     Chunks(mpsc::Receiver<Result<Bytes, Aborted>>),
 }
 
 impl AnswerBody {
     /// A whole body.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
+    pub fn full(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
-        Self::Whole((!bytes.is_empty()).then_some(bytes))
+        Self::Full((!bytes.is_empty()).then_some(bytes))
     }
 
     /// A body in pieces, and where to send them.
     pub fn channel() -> (ChunkSender, Self) {
-        let (sender, receiver) = mpsc::channel(PIECES);
+        let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
         (sender, Self::Chunks(receiver))
     }
 }
@@ -53,20 +53,20 @@
 
     fn poll_frame(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Aborted>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Chunks(receiver) => {
-                receiver.poll_recv(context).map(|piece| piece.map(|result| result.map(Frame::data)))
+                receiver.poll_recv(context).map(|chunk| chunk.map(|result| result.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64)),
+            Self::Full(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64)),
             Self::Chunks(_) => SizeHint::default(),
         }
     }
--- a/crates/gateway/src/http/headers.rs
+++ b/crates/gateway/src/http/headers.rs
@@ -5,7 +5,7 @@
     TRANSFER_ENCODING, UPGRADE,
 };
 
-const CONNECTION_HEADERS: [HeaderName; 9] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -22,24 +22,24 @@
 /// The headers that are passed on: all but those of one connection, those that `Connection` names, and
 /// the length, which follows from the body.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+    let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let is_passed_on = |name: &HeaderName| {
-        !CONNECTION_HEADERS.contains(name)
+    let is_forwarded = |name: &HeaderName| {
+        !HOP_BY_HOP_HEADERS.contains(name)
             && name != KEEP_ALIVE
             && name != PROXY_CONNECTION
-            && !named.iter().any(|other| other == name.as_str())
+            && !connection_options.iter().any(|option| option == name.as_str())
     };
-    let mut passed_on = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if is_passed_on(name) {
-            passed_on.append(name.clone(), value.clone());
+        if is_forwarded(name) {
+            forwarded.append(name.clone(), value.clone());
         }
     }
-    passed_on
+    forwarded
 }
--- a/crates/gateway/src/http/plain_listener.rs
+++ b/crates/gateway/src/http/plain_listener.rs
@@ -16,7 +16,7 @@
 /// Answers whether the node takes requests.
 pub async fn serve_readiness(listener: TcpListener, is_ready: impl Fn() -> bool + Clone + Send + 'static) {
     serve_plain(listener, move |_request: &Request<Incoming>| {
-        let mut response = Response::new(AnswerBody::whole(Bytes::new()));
+        let mut response = Response::new(AnswerBody::full(Bytes::new()));
         *response.status_mut() = if is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         response
     })
--- a/crates/gateway/src/http/refusal.rs
+++ b/crates/gateway/src/http/refusal.rs
@@ -14,7 +14,7 @@
         "ran": refusal.ran.as_str(),
         "detail": refusal.detail,
     });
-    let mut response = Response::new(AnswerBody::whole(body.to_string()));
+    let mut response = Response::new(AnswerBody::full(body.to_string()));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if status == StatusCode::UNAUTHORIZED {
--- a/crates/gateway/src/observe/log_writer.rs
+++ b/crates/gateway/src/observe/log_writer.rs
@@ -11,7 +11,7 @@
 use crate::observe::journal::TARGET;
 
 /// Lines that may wait: bounds memory, and no request waits for the log. Further ones are dropped and counted.
-const LINES: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 
 /// Hands lines to the thread that writes them.
 struct LineQueue {
@@ -34,10 +34,10 @@
 ///
 /// Logging was set up before, or the system gives no thread.
 pub fn set_up(level: LevelFilter) -> io::Result<()> {
-    let (lines, waiting) = sync_channel(LINES);
+    let (lines, queued) = sync_channel(MAX_QUEUED_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
-    let counted = dropped.clone();
-    std::thread::Builder::new().name("log".to_owned()).spawn(move || write_lines(&waiting, &counted))?;
+    let dropped_count = dropped.clone();
+    std::thread::Builder::new().name("log".to_owned()).spawn(move || write_lines(&queued, &dropped_count))?;
     let queue = LineQueue { lines, dropped };
     fern::Dispatch::new()
         .format(|out, message, record| {
--- a/crates/gateway/src/observe/measures.rs
+++ b/crates/gateway/src/observe/measures.rs
@@ -30,20 +30,20 @@
     /// Its labels.
     pub labels: &'static str,
     /// What it counts or measures.
-    pub meaning: &'static str,
+    pub help: &'static str,
 }
 
-macro_rules! measures {
-    ($($constant:ident = $name:literal, $kind:literal, $labels:literal, $meaning:literal;)*) => {
+macro_rules! define_metrics {
+    ($($constant:ident = $name:literal, $kind:literal, $labels:literal, $help:literal;)*) => {
         $(const $constant: &str = $name;)*
 
         /// Every measure, in the order of `docs/METRICS.md`.
         pub const ALL: &[Metric] =
-            &[$(Metric { name: $name, kind: $kind, labels: $labels, meaning: $meaning },)*];
+            &[$(Metric { name: $name, kind: $kind, labels: $labels, help: $help },)*];
     };
 }
 
-measures! {
+define_metrics! {
     REQUESTS = "stallmoor_gateway_requests_total", "counter", "route, end", "Requests that ended, by how.";
     FIRST_EVENT = "stallmoor_gateway_first_event_seconds", "histogram", "route", "Time from a request to its first event.";
     DURATION = "stallmoor_gateway_request_seconds", "histogram", "route", "Time from a request to its end.";
@@ -86,11 +86,11 @@
 pub async fn serve(listener: TcpListener) {
     serve_plain(listener, |request: &Request<Incoming>| {
         if request.uri().path() != PATH {
-            let mut response = Response::new(AnswerBody::whole(""));
+            let mut response = Response::new(AnswerBody::full(""));
             *response.status_mut() = StatusCode::NOT_FOUND;
             return response;
         }
-        let mut response = Response::new(AnswerBody::whole(render()));
+        let mut response = Response::new(AnswerBody::full(render()));
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; version=0.0.4"));
         response
     })
@@ -98,9 +98,9 @@
 }
 
 /// A request ended.
-pub fn request_ended(route: &str, end: &str, first_event: Option<Millis>, took: Millis) {
+pub fn request_ended(route: &str, end: &str, first_event: Option<Millis>, elapsed: Millis) {
     counter!(REQUESTS, "route" => route.to_owned(), "end" => end.to_owned()).increment(1);
-    histogram!(DURATION, "route" => route.to_owned()).record(seconds(took));
+    histogram!(DURATION, "route" => route.to_owned()).record(seconds(elapsed));
     if let Some(first_event) = first_event {
         histogram!(FIRST_EVENT, "route" => route.to_owned()).record(seconds(first_event));
     }
@@ -162,6 +162,6 @@
     gauge!(EXHAUSTED_TENANTS).set(count as f64);
 }
 
-fn seconds(span: Millis) -> f64 {
-    span.0 as f64 / 1_000.0
+fn seconds(duration: Millis) -> f64 {
+    duration.0 as f64 / 1_000.0
 }
--- a/crates/gateway/src/online/mod.rs
+++ b/crates/gateway/src/online/mod.rs
@@ -59,7 +59,7 @@
 }
 
 /// A request on its way: its state decides, and this carries out.
-struct Passage {
+struct ActiveRequest {
     client: Arc<WorkerClient>,
     request: OnlineRequest,
     keys: RequestKeys,
@@ -83,8 +83,8 @@
     };
     client.view.retry_budget().deposit();
     let state = RequestState::new(request.route.clone(), &request.facts, request.arrived_at);
-    let keys = keys_of(&request);
-    let mut passage = Passage {
+    let keys = request_keys(&request);
+    let mut active = ActiveRequest {
         client,
         request,
         keys,
@@ -95,18 +95,18 @@
         run: None,
         crash_check: None,
     };
-    let answer = match passage.open().await {
+    let answer = match active.open().await {
         Ok(answer) => answer,
         Err(refused) => {
-            passage.log_refusal(&refused);
+            active.log_refusal(&refused);
             return refusal::answer(&refused);
         }
     };
-    let is_stream = passage.state.is_stream() && answer.status.is_success();
-    if is_stream { passage.stream(answer) } else { passage.whole(answer).await }
+    let is_stream = active.state.is_stream() && answer.status.is_success();
+    if is_stream { active.respond_streaming(answer) } else { active.respond_buffered(answer).await }
 }
 
-impl Passage {
+impl ActiveRequest {
     fn now(&self) -> Timestamp {
         self.client.view.clock.now()
     }
@@ -146,15 +146,15 @@
             // A check that panicked found nothing.
             let _ = check.await;
         }
-        let left = view.quarantined_for(keys);
-        self.state.check_quarantine(left)
+        let remaining = view.quarantined_for(keys);
+        self.state.check_quarantine(remaining)
     }
 
     /// Chooses a worker. Where all that could be are cold, permits to send them requests are awaited for a moment.
     async fn choose_or_wait(&self) -> Option<Choice> {
         let chosen = self.choose();
         let now = self.now();
-        if chosen.is_some() || !self.client.view.workers().needs_permit(&self.ask(), now) {
+        if chosen.is_some() || !self.client.view.workers().needs_permit(&self.worker_query(), now) {
             return chosen;
         }
         self.client.permits.answered().await;
@@ -163,17 +163,17 @@
 
     fn choose(&self) -> Option<Choice> {
         let view = &self.client.view;
-        let ask = self.ask();
+        let query = self.worker_query();
         let now = self.now();
         let mut random = view.random();
         let workers = view.workers();
         if workers.has_cold_workers(now) {
-            self.client.permits.want(workers.wanted_permits(&ask, now, &mut *random));
+            self.client.permits.want(workers.wanted_permits(&query, now, &mut *random));
         }
-        workers.choose(&ask, now, &mut *random)
+        workers.choose(&query, now, &mut *random)
     }
 
-    fn ask(&self) -> WorkerQuery<'_> {
+    fn worker_query(&self) -> WorkerQuery<'_> {
         WorkerQuery {
             service: &self.service,
             zone: &self.client.view.zone,
@@ -190,8 +190,8 @@
             return None;
         }
         let view = &self.client.view;
-        let first_after = view.workers().expected_time_to_first_event(&self.service, choice)?;
-        self.state.shed(choice, first_after, self.now(), &mut *view.random())
+        let expected_first = view.workers().expected_time_to_first_event(&self.service, choice)?;
+        self.state.shed(choice, expected_first, self.now(), &mut *view.random())
     }
 
     /// Sends the request to a worker and waits for the head of its answer.
@@ -205,7 +205,7 @@
         if self.state.attempts() > 1 {
             self.log_move();
         }
-        let result = self.client.open(self.attempt_at(choice), timeout).await;
+        let result = self.client.open(self.new_attempt(choice), timeout).await;
         if let Err(end) = &result {
             self.log_attempt(&worker, *end);
             self.state.attempt_ended(&worker, *end, &mut self.client.view.retry_budget());
@@ -214,15 +214,15 @@
         result
     }
 
-    fn attempt_at(&self, choice: Choice) -> Attempt {
+    fn new_attempt(&self, choice: Choice) -> Attempt {
         let request = &self.request;
-        let terms = AttemptContext {
+        let context = AttemptContext {
             worker: &choice.id,
             remaining: self.state.worker_deadline(self.now()),
             after_event: self.state.progress.last_event,
             identity: &request.identity,
         };
-        let headers = self.client.dialect.attempt_headers(&request.headers, &terms);
+        let headers = self.client.dialect.attempt_headers(&request.headers, &context);
         let in_flight = self.client.place(&choice, &self.service, &request.facts.prefix, false);
         Attempt {
             choice,
@@ -280,8 +280,8 @@
     }
 
     /// Answers with a body that was read whole first.
-    async fn whole(mut self, answer: OpenAnswer) -> Response<AnswerBody> {
-        let OpenAnswerParts { answer, body } = match read_whole(answer, self.state.remaining(self.now())).await {
+    async fn respond_buffered(mut self, answer: OpenAnswer) -> Response<AnswerBody> {
+        let BufferedAnswer { answer, body } = match buffer_answer(answer, self.state.remaining(self.now())).await {
             Ok(parts) => parts,
             Err(Aborted) => {
                 self.run_ended(AttemptEnd::Broken);
@@ -295,14 +295,14 @@
         } else if let Some(run) = self.run.take() {
             run.ended();
         }
-        let mut response = Response::new(AnswerBody::whole(body));
+        let mut response = Response::new(AnswerBody::full(body));
         *response.status_mut() = answer.status;
         *response.headers_mut() = self.client.dialect.answer_headers(&answer.headers);
         response
     }
 }
 
-fn keys_of(request: &OnlineRequest) -> RequestKeys {
+fn request_keys(request: &OnlineRequest) -> RequestKeys {
     RequestKeys::of(&RequestContent {
         identity: &request.identity,
         method: request.method.as_str(),
@@ -312,7 +312,7 @@
     })
 }
 
-struct OpenAnswerParts {
+struct BufferedAnswer {
     answer: AnswerHead,
     body: Bytes,
 }
@@ -322,7 +322,7 @@
     headers: HeaderMap,
 }
 
-async fn read_whole(mut answer: OpenAnswer, within: Millis) -> Result<OpenAnswerParts, Aborted> {
+async fn buffer_answer(mut answer: OpenAnswer, timeout: Millis) -> Result<BufferedAnswer, Aborted> {
     let reading = async {
         let mut bytes = Vec::new();
         while let Some(frame) = answer.body.frame().await {
@@ -331,8 +331,8 @@
         }
         Ok(Bytes::from(bytes))
     };
-    let body = tokio::time::timeout(Duration::from_millis(within.0), reading).await.map_err(|_| Aborted)??;
+    let body = tokio::time::timeout(Duration::from_millis(timeout.0), reading).await.map_err(|_| Aborted)??;
     let head = AnswerHead { status: answer.status, headers: answer.headers.clone() };
     answer.release();
-    Ok(OpenAnswerParts { answer: head, body })
+    Ok(BufferedAnswer { answer: head, body })
 }
--- a/crates/gateway/src/online/records.rs
+++ b/crates/gateway/src/online/records.rs
@@ -5,11 +5,11 @@
 use stallmoor_core::serving::online::attempt::AttemptEnd;
 use stallmoor_core::serving::workers::WorkerId;
 
-use super::Passage;
+use super::ActiveRequest;
 use crate::observe::journal::{Field, record};
 use crate::observe::measures;
 
-impl Passage {
+impl ActiveRequest {
     pub(super) fn log_attempt(&self, worker: &WorkerId, end: AttemptEnd) {
         let fields = [
             Field::text("request", &self.request.facts.id),
@@ -53,17 +53,20 @@
             Field::text("detail", &refused.detail),
             Field::number("age_ms", self.state.age(self.now()).0),
             Field::number("ready_workers", self.client.view.workers().ready_count(&self.service, self.now()) as u64),
-            Field::number("configuration", self.client.view.configuration().map_or(0, |known| known.version)),
+            Field::number(
+                "configuration",
+                self.client.view.configuration().map_or(0, |configuration| configuration.version),
+            ),
         ];
         record(LogEvent::RequestRefused, &fields);
-        self.measure_end(refused.kind.code());
+        self.record_end_metrics(refused.kind.code());
     }
 
-    pub(super) fn log_end(&self, how: &str) {
+    pub(super) fn log_end(&self, outcome: &str) {
         let mut fields = vec![
             Field::text("request", &self.request.facts.id),
             Field::text("route", &self.request.route.name),
-            Field::text("end", how),
+            Field::text("end", outcome),
             Field::number("events", self.state.progress.events),
             Field::number("attempts", self.state.attempts()),
             Field::number("age_ms", self.state.age(self.now()).0),
@@ -71,11 +74,11 @@
         fields.extend(self.first_event_after.map(|after| Field::number("first_event_ms", after.0)));
         fields.extend(self.choice_fields());
         record(LogEvent::RequestEnded, &fields);
-        self.measure_end(how);
+        self.record_end_metrics(outcome);
     }
 
-    fn measure_end(&self, how: &str) {
-        let took = self.state.age(self.now());
-        measures::request_ended(&self.request.route.name, how, self.first_event_after, took);
+    fn record_end_metrics(&self, outcome: &str) {
+        let elapsed = self.state.age(self.now());
+        measures::request_ended(&self.request.route.name, outcome, self.first_event_after, elapsed);
     }
 }
--- a/crates/gateway/src/online/stream.rs
+++ b/crates/gateway/src/online/stream.rs
@@ -15,46 +15,46 @@
 use stallmoor_core::serving::online::timeouts::AwaitedEvent;
 use stallmoor_core::time::{Millis, Timestamp};
 
-use super::Passage;
+use super::ActiveRequest;
 use crate::http::answer_body::{Aborted, AnswerBody, ChunkSender};
 use crate::workers::attempt::OpenAnswer;
 
 /// How a stream from one worker ended.
 enum StreamEnd {
-    Whole,
-    CallerGone,
-    OutOfTime,
-    Broken(AttemptEnd),
+    Complete,
+    CallerDisconnected,
+    DeadlineExceeded,
+    AttemptFailed(AttemptEnd),
 }
 
-impl Passage {
+impl ActiveRequest {
     /// Answers with a stream that is passed on as it comes.
-    pub(super) fn stream(mut self, answer: OpenAnswer) -> Response<AnswerBody> {
+    pub(super) fn respond_streaming(mut self, answer: OpenAnswer) -> Response<AnswerBody> {
         let (sender, body) = AnswerBody::channel();
         let mut response = Response::new(body);
         *response.status_mut() = answer.status;
         *response.headers_mut() = self.client.dialect.answer_headers(&answer.headers);
         response.headers_mut().remove(CONTENT_LENGTH);
-        tokio::spawn(async move { self.pass_on(answer, &sender).await });
+        tokio::spawn(async move { self.forward(answer, &sender).await });
         response
     }
 
-    async fn pass_on(&mut self, answer: OpenAnswer, sender: &ChunkSender) {
+    async fn forward(&mut self, answer: OpenAnswer, sender: &ChunkSender) {
         let mut current = answer;
-        let mut how = "broken off";
+        let mut outcome = "broken off";
         loop {
             let worker = current.worker.clone();
-            match self.pass_on_from(current, sender).await {
-                StreamEnd::Whole => {
+            match self.forward_from(current, sender).await {
+                StreamEnd::Complete => {
                     self.run_completed();
                     return self.log_end("whole");
                 }
-                StreamEnd::CallerGone => return self.log_end("caller gone"),
-                StreamEnd::OutOfTime => {
-                    how = "out of time";
+                StreamEnd::CallerDisconnected => return self.log_end("caller gone"),
+                StreamEnd::DeadlineExceeded => {
+                    outcome = "out of time";
                     break;
                 }
-                StreamEnd::Broken(end) => self.end_attempt(&worker, end),
+                StreamEnd::AttemptFailed(end) => self.end_attempt(&worker, end),
             }
             if !self.state.may_resume() {
                 break;
@@ -68,7 +68,7 @@
                 None => break,
             }
         }
-        self.log_end(how);
+        self.log_end(outcome);
         // A caller that is gone needs no sign that the answer broke off.
         let _ = sender.send(Err(Aborted)).await;
     }
@@ -86,23 +86,23 @@
     }
 
     /// Passes on whole events until the stream ends, breaks, pauses for too long, or the caller leaves.
-    async fn pass_on_from(&mut self, mut answer: OpenAnswer, sender: &ChunkSender) -> StreamEnd {
+    async fn forward_from(&mut self, mut answer: OpenAnswer, sender: &ChunkSender) -> StreamEnd {
         let mut splitter = EventSplitter::default();
         let mut first = true;
-        let mut began = None;
+        let mut first_event_at = None;
         loop {
             let timeout = self.event_timeout(first, answer.sent_at);
             let frame = tokio::select! {
                 frame = tokio::time::timeout(timeout, answer.body.frame()) => frame,
-                () = sender.closed() => return StreamEnd::CallerGone,
+                () = sender.closed() => return StreamEnd::CallerDisconnected,
             };
             let data = match frame {
-                Err(_) if self.state.remaining(self.now()) == Millis(0) => return StreamEnd::OutOfTime,
-                Err(_) => return StreamEnd::Broken(AttemptEnd::Silent),
-                Ok(Some(Err(_))) => return StreamEnd::Broken(AttemptEnd::Broken),
+                Err(_) if self.state.remaining(self.now()) == Millis(0) => return StreamEnd::DeadlineExceeded,
+                Err(_) => return StreamEnd::AttemptFailed(AttemptEnd::Silent),
+                Ok(Some(Err(_))) => return StreamEnd::AttemptFailed(AttemptEnd::Broken),
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
                 Ok(None) => {
-                    self.note_slot_time(began);
+                    self.record_stream_slot_time(first_event_at);
                     return finish_stream(answer, &splitter);
                 }
             };
@@ -112,18 +112,18 @@
             }
             if first {
                 first = false;
-                began.get_or_insert(self.now());
+                first_event_at.get_or_insert(self.now());
                 self.first_event_after.get_or_insert(self.state.age(self.now()));
-                self.note_first_event(&answer);
+                self.record_first_event(&answer);
             }
-            match self.pass_on_events(events, sender).await {
+            match self.forward_events(events, sender).await {
                 Ok(()) => {}
                 Err(end) => return end,
             }
         }
     }
 
-    async fn pass_on_events(&mut self, events: Vec<ServerSentEvent>, sender: &ChunkSender) -> Result<(), StreamEnd> {
+    async fn forward_events(&mut self, events: Vec<ServerSentEvent>, sender: &ChunkSender) -> Result<(), StreamEnd> {
         let taken = self.state.progress.take(events, self.state.is_retryable());
         if let (Some(run), Some(event)) = (&mut self.run, self.state.progress.last_event) {
             run.record_progress(event);
@@ -131,31 +131,31 @@
         if !taken.bytes.is_empty() {
             self.send(taken.bytes, sender).await?;
         }
-        if taken.has_gap { Err(StreamEnd::Broken(AttemptEnd::Broken)) } else { Ok(()) }
+        if taken.has_gap { Err(StreamEnd::AttemptFailed(AttemptEnd::Broken)) } else { Ok(()) }
     }
 
-    async fn send(&self, piece: Vec<u8>, sender: &ChunkSender) -> Result<(), StreamEnd> {
-        let left = Duration::from_millis(self.state.remaining(self.now()).0);
-        match tokio::time::timeout(left, sender.send(Ok(Bytes::from(piece)))).await {
+    async fn send(&self, chunk: Vec<u8>, sender: &ChunkSender) -> Result<(), StreamEnd> {
+        let remaining = Duration::from_millis(self.state.remaining(self.now()).0);
+        match tokio::time::timeout(remaining, sender.send(Ok(Bytes::from(chunk)))).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) => Err(StreamEnd::CallerGone),
-            Err(_) => Err(StreamEnd::OutOfTime),
+            Ok(Err(_)) => Err(StreamEnd::CallerDisconnected),
+            Err(_) => Err(StreamEnd::DeadlineExceeded),
         }
     }
 
-    fn note_first_event(&self, answer: &OpenAnswer) {
+    fn record_first_event(&self, answer: &OpenAnswer) {
         let now = self.now();
-        let took = now.since(answer.sent_at);
+        let elapsed = now.since(answer.sent_at);
         if let Some(choice) = &self.last_choice {
-            self.client.view.workers().first_event(&self.service, choice, took, now);
+            self.client.view.workers().first_event(&self.service, choice, elapsed, now);
         }
     }
 
     /// A stream that was read from its first event on took up its slot since then.
-    fn note_slot_time(&self, began: Option<Timestamp>) {
-        if let Some(began) = began.filter(|_| self.state.was_served_by_one_worker()) {
-            let took = self.now().since(began);
-            self.client.view.workers().service_times(&self.service).record_slot_time(took);
+    fn record_stream_slot_time(&self, first_event_at: Option<Timestamp>) {
+        if let Some(first_event_at) = first_event_at.filter(|_| self.state.was_served_by_one_worker()) {
+            let elapsed = self.now().since(first_event_at);
+            self.client.view.workers().service_times(&self.service).record_slot_time(elapsed);
         }
     }
 
@@ -175,8 +175,8 @@
 /// A stream has ended: whole, unless it broke off within an event.
 fn finish_stream(answer: OpenAnswer, splitter: &EventSplitter) -> StreamEnd {
     if !splitter.pending().is_empty() {
-        return StreamEnd::Broken(AttemptEnd::Broken);
+        return StreamEnd::AttemptFailed(AttemptEnd::Broken);
     }
     answer.release();
-    StreamEnd::Whole
+    StreamEnd::Complete
 }
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -31,7 +31,7 @@
 use tokio::sync::mpsc;
 
 #[tokio::test]
-async fn frames_between_nodes_are_as_ever() {
+async fn peer_frames_match_golden_file() {
     let message = PeerMessage::StatusRequest { from: NodeId(1), id: 5 };
     let mut frame = Vec::new();
     write_frame(&mut frame, &stallmoor_wire::encode(&message)).await.expect("memory takes all");
@@ -43,15 +43,15 @@
 
 /// A store that keeps what is put.
 #[derive(Default)]
-struct Puts(Mutex<Vec<Row>>);
+struct RecordingStore(Mutex<Vec<Row>>);
 
-impl Puts {
+impl RecordingStore {
     fn rows(&self) -> Vec<Row> {
         self.0.lock().expect("not poisoned").clone()
     }
 }
 
-impl MetadataStore for Puts {
+impl MetadataStore for RecordingStore {
     fn put(&self, key: String, value: Vec<u8>, _expected: Revision) -> BoxFuture<'_, PutOutcome> {
         let row = Row::new(&key, &String::from_utf8(value).expect("text"));
         self.0.lock().expect("not poisoned").push(row);
@@ -89,18 +89,18 @@
 }
 
 /// Three storing nodes register, and the first of them founds the group.
-async fn register_and_found() -> Vec<Row> {
-    let store = Arc::new(Puts::default());
+async fn register_and_bootstrap() -> Vec<Row> {
+    let store = Arc::new(RecordingStore::default());
     let view = Arc::new(FleetView::new(NodeClock::start(), Arc::from("zone-1"), 1));
     for record in (1..=3).map(storage_record) {
         register(store.clone(), record.clone()).await;
         view.storage().upsert(record);
     }
     view.apply(&FleetUpdate::Synced);
-    let (founders, _told) = mpsc::unbounded_channel();
-    let founding = bootstrap_group(view, store.clone(), NodeId(1), 1, founders);
+    let (memberships, _received) = mpsc::unbounded_channel();
+    let bootstrap = bootstrap_group(view, store.clone(), NodeId(1), 1, memberships);
     // The founder waits until the view tells what it wrote, which this one never does.
-    assert!(tokio::time::timeout(Duration::from_millis(100), founding).await.is_err());
+    assert!(tokio::time::timeout(Duration::from_millis(100), bootstrap).await.is_err());
     store.rows()
 }
 
@@ -113,13 +113,13 @@
 /// In the year 2100, since what is hours old is forgotten.
 const CRASHED_AT: UnixMillis = UnixMillis(4_102_444_800_000);
 
-fn fatal() -> RequestDigest {
+fn crashing_digest() -> RequestDigest {
     "00c0ffee00000007".parse().expect("a digest")
 }
 
 fn crash_row() -> Row {
     let crash = |number| Crash {
-        digest: fatal(),
+        digest: crashing_digest(),
         worker: WorkerId(Arc::from(format!("i-{number}"))),
         at: CRASHED_AT,
         progress: number,
@@ -130,11 +130,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn keys_and_records_of_the_metadata_store_are_as_ever() {
-    let mut today = register_and_found().await;
-    today.push(pair_row());
-    today.push(crash_row());
-    let stored = check_rows("metadata-store.txt", &today);
+async fn metadata_store_records_match_golden_file() {
+    let mut rows = register_and_bootstrap().await;
+    rows.push(pair_row());
+    rows.push(crash_row());
+    let stored = check_rows("metadata-store.txt", &rows);
 
     let view = Arc::new(FleetView::new(NodeClock::start(), Arc::from("zone-1"), 1));
     for row in &stored {
@@ -145,9 +145,9 @@
     let records: Vec<StorageRecord> = view.storage().records().cloned().collect();
     assert_eq!(records, (1..=3).map(storage_record).collect::<Vec<_>>());
 
-    assert!(view.crashes().quarantined_for(fatal(), CRASHED_AT).is_some());
+    assert!(view.crashes().quarantined_for(crashing_digest(), CRASHED_AT).is_some());
 
-    let (founders, mut told) = mpsc::unbounded_channel();
-    bootstrap_group(view, Arc::new(Puts::default()), NodeId(1), 1, founders).await;
-    assert_eq!(told.recv().await, Some(GroupMembership::of_voters((1..=3).map(NodeId))));
+    let (memberships, mut received) = mpsc::unbounded_channel();
+    bootstrap_group(view, Arc::new(RecordingStore::default()), NodeId(1), 1, memberships).await;
+    assert_eq!(received.recv().await, Some(GroupMembership::of_voters((1..=3).map(NodeId))));
 }
--- a/crates/gateway/tests/golden_journal.rs
+++ b/crates/gateway/tests/golden_journal.rs
@@ -13,9 +13,9 @@
 
 static LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
-struct Gathering;
+struct CapturingLogger;
 
-impl log::Log for Gathering {
+impl log::Log for CapturingLogger {
     fn enabled(&self, _metadata: &log::Metadata<'_>) -> bool {
         true
     }
@@ -32,8 +32,8 @@
 
 /// Pins number, name and level of each event as they stand in a line. The writer puts `{"at":..,"level":..,` before.
 #[test]
-fn each_event_is_written_as_ever() {
-    log::set_logger(&Gathering).expect("no other logger is set");
+fn event_lines_match_golden_file() {
+    log::set_logger(&CapturingLogger).expect("no other logger is set");
     log::set_max_level(log::LevelFilter::Trace);
     for event in LogEvent::ALL {
         record(*event, &[]);
@@ -48,28 +48,28 @@
 /// Limits: it sees no field whose name is not a literal right behind the parenthesis or on the next line, and it does
 /// not see which event a field belongs to. The test `golden_events` of the adapter runs a fleet for that.
 #[test]
-fn the_names_of_fields_are_as_ever() {
-    let mut found = BTreeSet::new();
-    scan(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut found);
+fn field_names_match_golden_file() {
+    let mut fields = BTreeSet::new();
+    collect_fields(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut fields);
     let mut text = String::new();
-    for field in found {
+    for field in fields {
         writeln!(text, "{field}").expect("written to a string");
     }
     golden::check_text("fields.txt", &text);
 }
 
-fn scan(folder: &Path, found: &mut BTreeSet<String>) {
-    for entry in std::fs::read_dir(folder).expect("a folder") {
+fn collect_fields(directory: &Path, fields: &mut BTreeSet<String>) {
+    for entry in std::fs::read_dir(directory).expect("a folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            scan(&path, found);
+            collect_fields(&path, fields);
             continue;
         }
         let source = std::fs::read_to_string(&path).expect("a source");
         for kind in ["text", "number", "flag"] {
             for after in source.split(&format!("Field::{kind}(")).skip(1) {
                 let name = after.trim_start().strip_prefix('"').and_then(|rest| rest.split('"').next());
-                found.extend(name.map(|name| format!("{kind} {name}")));
+                fields.extend(name.map(|name| format!("{kind} {name}")));
             }
         }
     }
--- a/crates/gateway/tests/golden_measures.rs
+++ b/crates/gateway/tests/golden_measures.rs
@@ -9,7 +9,8 @@
 use stallmoor_gateway::observe::measures::{self, ALL};
 
 /// Label values that are literals where the figure is recorded; that they are recorded is not tested here.
-const SUBMITTED: [&str; 7] = ["accepted", "over_quota", "no_room", "key_taken", "unknown", "unexpected", "no_leader"];
+const SUBMISSION_RESULTS: [&str; 7] =
+    ["accepted", "over_quota", "no_room", "key_taken", "unknown", "unexpected", "no_leader"];
 const STORE_CALLS: [&str; 2] = ["list", "watch"];
 const PEER_MESSAGES: [&str; 35] = [
     "aggregate_load",
@@ -66,7 +67,7 @@
     let runs =
         [RunEnd::Completed, RunEnd::Impossible, RunEnd::Failed, RunEnd::BrokenOff, RunEnd::Paused, RunEnd::NotRun];
     runs.iter().for_each(|end| measures::run_ended(end.name()));
-    SUBMITTED.into_iter().for_each(measures::submitted);
+    SUBMISSION_RESULTS.into_iter().for_each(measures::submitted);
     STORE_CALLS.into_iter().for_each(measures::store_call);
     PEER_MESSAGES.into_iter().for_each(|message| measures::peer_sent(message, 64));
     measures::rate_refused();
@@ -85,12 +86,12 @@
 }
 
 #[test]
-fn the_figures_are_served_as_ever() {
+fn metrics_text_matches_golden_file() {
     measures::start();
     record_everything();
     let text = sorted(&measures::render());
-    for measure in ALL {
-        let line = format!("# TYPE {} {}", measure.name, measure.kind);
+    for metric in ALL {
+        let line = format!("# TYPE {} {}", metric.name, metric.kind);
         assert!(text.lines().any(|served| served == line), "{line} is not in\n{text}");
     }
     golden::check_text("measures.txt", &text);
--- a/crates/gateway/tests/jobs_client.rs
+++ b/crates/gateway/tests/jobs_client.rs
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_after_an_unanswered_try_promises_nothing() {
+async fn refusal_after_an_unanswered_attempt_is_indeterminate() {
     for refusal in [JobsAnswer::OverQuota { waiting: 100 }, JobsAnswer::NoRoom] {
         let answer = submit(vec![None, Some(refusal)]).await;
         assert_eq!(answer, Ok(JobsAnswer::Indeterminate), "the first try may yet be taken");
@@ -76,19 +76,19 @@
 }
 
 #[tokio::test]
-async fn a_refusal_after_an_unsure_try_promises_nothing() {
+async fn refusal_after_an_indeterminate_attempt_is_indeterminate() {
     let answer = submit(vec![Some(JobsAnswer::Indeterminate), Some(JobsAnswer::OverQuota { waiting: 100 })]).await;
     assert_eq!(answer, Ok(JobsAnswer::Indeterminate));
 }
 
 #[tokio::test]
-async fn a_refusal_of_the_first_try_is_told() {
+async fn refusal_of_the_first_attempt_is_returned() {
     let refusal = JobsAnswer::OverQuota { waiting: 100 };
     assert_eq!(submit(vec![Some(refusal.clone())]).await, Ok(refusal));
 }
 
 #[tokio::test]
-async fn a_job_that_is_in_the_table_is_accepted_whatever_became_of_earlier_tries() {
+async fn accepted_job_is_reported_after_an_unanswered_attempt() {
     let answer = submit(vec![None, Some(JobsAnswer::Accepted)]).await;
     assert_eq!(answer, Ok(JobsAnswer::Accepted));
 }
--- a/crates/gateway/tests/measures.rs
+++ b/crates/gateway/tests/measures.rs
@@ -6,7 +6,7 @@
 use stallmoor_gateway::observe::measures::{self, ALL};
 
 #[test]
-fn what_happened_is_in_the_text() {
+fn rendered_text_contains_recorded_values() {
     assert!(measures::render().is_empty(), "nothing is gathered before the start");
     measures::start();
     measures::request_ended("route-a", "whole", Some(Millis(150)), Millis(400));
@@ -28,15 +28,12 @@
 
 /// With `STALLMOOR_WRITE_DOCUMENTS=1` the page is written instead of compared.
 #[test]
-fn the_page_names_each_measure() {
+fn documentation_page_lists_every_metric() {
     let mut page = "# Metrics of gateways and storing nodes\n\nPrometheus text at `/metrics` on `node.address` and \
          `listen.metrics_port`; without that setting none\nare gathered.\n\n| name | kind | labels | meaning |\n|---|---|---|---|\n"
         .to_owned();
-    for measure in ALL {
-        page.push_str(&format!(
-            "| `{}` | {} | {} | {} |\n",
-            measure.name, measure.kind, measure.labels, measure.meaning
-        ));
+    for metric in ALL {
+        page.push_str(&format!("| `{}` | {} | {} | {} |\n", metric.name, metric.kind, metric.labels, metric.help));
     }
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/METRICS.md");
     if std::env::var_os("STALLMOOR_WRITE_DOCUMENTS").is_some() {
