--- a/crates/gateway/src/adapter/dialect.rs
+++ b/crates/gateway/src/adapter/dialect.rs
@@ -1,5 +1,5 @@
-//! How the wire of callers and workers is spelled. An adapter implements [`Dialect`]; the gateway
-//! itself knows no header or path by name.
+//! The HTTP format that callers and workers use. Adapters implement [`Dialect`], so that the gateway does not depend on
+//! specific header names or paths.
 
 use std::sync::Arc;
 
@@ -14,105 +14,105 @@
 use stallmoor_core::serving::workers::{WorkerId, WorkerLoad};
 use stallmoor_core::time::{Millis, UnixMillis};
 
-/// A request that can't be read.
+/// Error for a malformed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BadRequest {
-    /// What is wrong with it.
+    /// Description of the problem.
     pub detail: String,
 }
 
 impl BadRequest {
-    /// Says what is wrong.
+    /// Creates an error with a description of the problem.
     pub fn new(detail: impl Into<String>) -> Self {
         Self { detail: detail.into() }
     }
 }
 
-/// A call about a batch job other than its submission.
+/// A request about an existing batch job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobCall {
-    /// Results from a position on.
+    /// Reads results, starting at a position.
     Read {
-        /// The job.
+        /// Key of the job.
         job: JobKey,
-        /// The first position wanted.
+        /// Position of the first result to return.
         first: u32,
-        /// How long to wait for a result.
+        /// Maximum time to wait for a result.
         wait: Millis,
     },
-    /// The body of an item.
+    /// Reads the body of an item.
     Body {
-        /// The job.
+        /// Key of the job.
         job: JobKey,
-        /// The item's id.
+        /// Id of the item.
         item: Arc<str>,
     },
-    /// End the job.
+    /// Ends the job.
     End {
-        /// The job.
+        /// Key of the job.
         job: JobKey,
     },
 }
 
-/// What the gateway adds to a request for one attempt.
+/// Per-attempt values that the gateway adds to a request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptContext<'a> {
-    /// The worker that is meant; no other may run the request.
+    /// The intended worker; any other one must reject the request.
     pub worker: &'a WorkerId,
-    /// How long the caller still waits.
+    /// Time left until the caller's deadline.
     pub remaining: Option<Millis>,
-    /// Go on after this event.
+    /// Id of the last event received; the stream is resumed after it.
     pub after_event: Option<u64>,
-    /// On whose behalf it runs.
+    /// Identity of the caller.
     pub identity: &'a CallerIdentity,
 }
 
-/// What a worker's answer says besides its content.
+/// Metadata of a worker's answer, parsed from its status and headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerFacts {
-    /// The id of the request that it answers.
+    /// Id of the request that the answer belongs to.
     pub request_id: Option<Arc<str>>,
-    /// The worker says that it did not run the request.
+    /// Whether the worker states that it did not run the request.
     pub not_run: bool,
-    /// The worker is not the one that was meant.
+    /// Whether the answer comes from a worker other than the intended one.
     pub other_instance: bool,
-    /// The worker's load.
+    /// Current load of the worker.
     pub load: Option<WorkerLoad>,
-    /// For how much longer the worker is slow after its start.
+    /// Remaining duration of the worker's cold start.
     pub cold_remaining: Option<Millis>,
-    /// How long the worker keeps the connection when idle; `None` if it does not say.
+    /// The worker's idle timeout for the connection; `None` if not stated.
     pub keep_alive: Option<Millis>,
-    /// The answer bears the worker's signature.
+    /// Whether the answer has the worker's signature header.
     pub is_signed: bool,
 }
 
-/// The spelling of the wire.
+/// Parses and builds the HTTP messages of a platform.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads a call about a batch job; `None` if the request is none.
+    /// Parses a request about an existing batch job; `None` if the request is not one.
     ///
     /// # Errors
     ///
-    /// It is one, and can't be read.
+    /// Fails if the request is about a batch job but malformed.
     fn job_call(&self, method: &Method, uri: &Uri, headers: &HeaderMap) -> Result<Option<JobCall>, BadRequest>;
 
-    /// The id that a caller gave its request; `None` if it gave none that can be read.
+    /// Returns the request id set by the caller; `None` if it is missing or malformed.
     fn request_id<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
 
-    /// The key that a caller shows; `None` if it shows none, or one that can't be read.
+    /// Returns the caller's API key; `None` if it is missing or malformed.
     fn api_key(&self, headers: &HeaderMap) -> Option<ApiKey>;
 
-    /// Reads what a request says of itself.
+    /// Parses the headers that describe a request.
     ///
     /// # Errors
     ///
-    /// A header can't be read.
+    /// Fails if a required header is missing or a header is malformed.
     fn request_facts(&self, headers: &HeaderMap) -> Result<RequestFacts, BadRequest>;
 
-    /// Reads a batch job.
+    /// Parses the submission of a batch job.
     ///
     /// # Errors
     ///
-    /// The body is not a job.
+    /// Fails if the body is not a valid job.
     fn submission(
         &self,
         facts: &RequestFacts,
@@ -122,22 +122,22 @@
         received_at: UnixMillis,
     ) -> Result<Submission, BadRequest>;
 
-    /// The head of a request for a worker, from the caller's. The caller's key is not in it, and its tenant only
-    /// as it was found here, unless nobody was asked for a key.
+    /// Builds the headers of a worker request from the caller's headers. Removes the caller's API key and replaces the
+    /// tenant by the authenticated one, unless the configuration requires no keys.
     fn attempt_headers(&self, headers: &HeaderMap, context: &AttemptContext<'_>) -> HeaderMap;
 
-    /// What an item's request says of itself.
+    /// Returns the properties of a batch item's request.
     fn item_facts(&self, item: &JobItem) -> RequestFacts;
 
-    /// The head of an item's request for a worker.
+    /// Builds the headers of a worker request for a batch item.
     fn item_headers(&self, item: &JobItem, host: &str, context: &AttemptContext<'_>) -> HeaderMap;
 
-    /// Reads what a worker's answer says besides its content.
+    /// Parses the metadata of a worker's answer.
     fn answer_facts(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
 
-    /// The head of the answer to the caller, from the worker's.
+    /// Builds the headers of the answer to the caller from the worker's headers.
     fn answer_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
-    /// The body that answers a read of results.
+    /// Builds the response body for a page of results.
     fn result_page(&self, first: u32, page: &ResultPage) -> Bytes;
 }
--- a/crates/gateway/src/adapter/metadata.rs
+++ b/crates/gateway/src/adapter/metadata.rs
@@ -1,4 +1,4 @@
-//! The metadata store, as an adapter brings it, and the updates of the fleet that its contents stand for.
+//! The interface to the metadata store, and the fleet updates derived from its contents.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -11,66 +11,66 @@
 use stallmoor_core::serving::workers::{WorkerId, WorkerRecord};
 use stallmoor_core::time::{Millis, Timestamp};
 
-/// A change of the fleet, as the metadata store shows it.
+/// A change of the fleet, derived from a change in the metadata store.
 #[derive(Clone, Debug)]
 pub enum FleetUpdate {
-    /// The newest configuration.
+    /// The configuration changed.
     Configuration(Arc<GatewayConfiguration>),
-    /// A worker's record.
+    /// A worker's record was added or changed.
     Worker(WorkerRecord),
     /// A worker's record was removed.
     WorkerGone {
-        /// The worker.
+        /// Id of the worker.
         worker: WorkerId,
-        /// Until when it may be used where nobody else serves.
+        /// Time until which the worker may be used if its service has no other.
         usable_until: Timestamp,
     },
-    /// A worker's record was missing when the store was reached again. The worker may write it again.
+    /// A worker's record was missing when the store became reachable again. The worker may re-register.
     WorkerMissing {
-        /// The worker.
+        /// Id of the worker.
         worker: WorkerId,
-        /// Until when it serves on without a record.
+        /// Time until which the worker is used without a record.
         until: Timestamp,
     },
-    /// The store's contents were read once; all updates of them came before.
+    /// The initial read of the store is complete, and all its updates have been delivered.
     Synced,
-    /// The operator evacuates a zone, or takes that back: its workers get nothing meanwhile.
+    /// An operator evacuates a zone, so that its workers receive no requests, or cancels the evacuation.
     ZoneEvacuation {
-        /// The zone.
+        /// Name of the zone.
         zone: Arc<str>,
-        /// Whether the order stands.
+        /// Whether the zone is evacuated.
         evacuated: bool,
     },
-    /// The operator wants a machine emptied.
+    /// An operator requests that a machine be drained.
     DrainMachine {
-        /// The machine's name.
+        /// Name of the machine.
         machine: Arc<str>,
     },
-    /// One of the product's own keys changed.
+    /// A key that is written by this product's own nodes changed.
     InternalItem(MetadataItem),
-    /// An item that can't be read. It is skipped; the last version of it stays, but for a worker's record, which then names
-    /// no worker.
+    /// An item is malformed and is skipped. Its previous version stays in effect, except for a worker's record: that
+    /// worker is treated as unregistered.
     Unreadable {
-        /// Which, and what is wrong with it.
+        /// Key of the item and the reason.
         detail: String,
-        /// The worker whose record it would be.
+        /// Id of the worker, if the item is a worker's record.
         worker: Option<WorkerId>,
     },
-    /// The store answers again.
+    /// The store is reachable again.
     StoreRecovered {
-        /// For how long it did not.
+        /// Duration of the outage.
         absence: Millis,
     },
-    /// The store does not answer.
+    /// The store is unreachable.
     StoreLost {
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
 }
 
 impl FleetUpdate {
-    /// What a worker without a record means to this node. A record that lapsed for another node is gone for this one
-    /// unless its own view allows for a lapse.
+    /// Returns the update for a worker without a record. A record that another node reports as expired counts as removed
+    /// unless this node's own view allows for expired records.
     pub fn without_record(worker: WorkerId, state: &KeyState, grace: &RecordGrace) -> Self {
         match (state, grace.expired_usable_until) {
             (KeyState::Lapsed, Some(until)) => Self::WorkerMissing { worker, until },
@@ -79,65 +79,67 @@
     }
 }
 
-/// How a conditional write ended.
+/// Result of a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// It took effect, at this revision.
+    /// The write took effect at this revision.
     Written(Revision),
-    /// The key had another revision.
+    /// The key's revision was not the expected one.
     Conflict,
-    /// Not known, or nothing was done.
+    /// The call failed; the write may or may not have taken effect.
     Unknown,
 }
 
-/// Why a read brought nothing.
+/// Reason for a failed read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadFailure {
-    /// The history that was asked for is gone.
+    /// The requested revisions have been compacted.
     HistoryGone,
-    /// No answer within the time that the call may take.
+    /// The store did not answer within the timeout.
     TimedOut,
-    /// The store refused, or the connection broke.
+    /// The store rejected the call, or the connection failed.
     Failed {
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
 }
 
-/// Items that were read, and the revision up to which they are complete.
+/// Items read from the store, and the revision up to which they are complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemSnapshot {
-    /// The items.
+    /// Present and removed items.
     pub items: Vec<MetadataItem>,
-    /// The revision.
+    /// All changes up to this revision are included.
     pub at: Revision,
 }
 
-/// A future without a name.
+/// A boxed future, which keeps [`MetadataStore`] object safe.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// The metadata store.
+/// Client of the metadata store.
 pub trait MetadataStore: Send + Sync + 'static {
-    /// Writes a key if its revision is still `expected`; 0 means that it must not exist.
+    /// Writes a key if its revision is still `expected`; 0 requires that the key does not exist.
     fn put(&self, key: String, value: Vec<u8>, expected: Revision) -> BoxFuture<'_, PutOutcome>;
 
-    /// Reads a key.
+    /// Reads a key; `None` if the read fails. An absent key is returned as a removed item.
     fn get(&self, key: String) -> BoxFuture<'_, Option<MetadataItem>>;
 
-    /// Reads all keys. Items may be newer than the revision that comes with them.
+    /// Reads all keys. Items may be newer than the returned revision.
     fn list(&self) -> BoxFuture<'_, Result<ItemSnapshot, ReadFailure>>;
 
-    /// Reads the records of the storing nodes, which may be some seconds old: enough to find one to ask for the rest.
+    /// Reads the records of the storage nodes, possibly some seconds stale. Used to find a storage node from which the
+    /// remaining contents can be read.
     fn storage_records(&self) -> BoxFuture<'_, Result<Vec<MetadataItem>, ReadFailure>> {
         Box::pin(async { Ok(Vec::new()) })
     }
 
-    /// Waits for up to `wait` until something has changed since a revision.
+    /// Returns the changes after a revision, waiting up to `wait` for the first one.
     fn changes(&self, since: Revision, wait: Millis) -> BoxFuture<'_, Result<ItemSnapshot, ReadFailure>>;
 
-    /// What an item means; `None` if it concerns nobody here. `grace` holds for workers whose records are missing.
+    /// Converts an item to a fleet update; `None` if the item is irrelevant to the fleet. `grace` applies to workers whose
+    /// records are missing.
     fn interpret(&self, item: &MetadataItem, grace: &RecordGrace) -> Option<FleetUpdate>;
 
-    /// Reports to the operator how far the emptying of a machine is. Returns whether it was written.
+    /// Writes the progress of draining a machine, for the operator. Returns whether the write succeeded.
     fn report_drain(&self, machine: Arc<str>, state: DrainState) -> BoxFuture<'_, bool>;
 }
--- a/crates/gateway/src/adapter/mod.rs
+++ b/crates/gateway/src/adapter/mod.rs
@@ -1,10 +1,10 @@
-//! What an adapter to a platform brings: two traits in the terms of the decision code. The rest of the crate knows no
-//! header, path or key of a platform.
+//! The interface of a platform adapter. All headers, paths and metadata keys that are specific to a platform are behind
+//! these traits.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`dialect`] | how callers and workers spell requests and answers |
-//! | [`metadata`] | the metadata store, and what its changes say of the fleet |
+//! | [`dialect`] | the HTTP format of requests and answers |
+//! | [`metadata`] | the metadata store and the fleet updates derived from it |
 
 pub mod dialect;
 pub mod metadata;
@@ -14,11 +14,11 @@
 use crate::adapter::dialect::Dialect;
 use crate::adapter::metadata::MetadataStore;
 
-/// The translation between a platform and the product.
+/// The components that a platform adapter provides.
 pub trait PlatformAdapter: Send + Sync {
-    /// The spelling of the wire.
+    /// Returns the HTTP format of the platform.
     fn dialect(&self) -> Arc<dyn Dialect>;
 
-    /// The metadata store.
+    /// Returns the client of the platform's metadata store.
     fn metadata(&self) -> Arc<dyn MetadataStore>;
 }
--- a/crates/gateway/src/batch/job_calls.rs
+++ b/crates/gateway/src/batch/job_calls.rs
@@ -1,4 +1,4 @@
-//! Calls about batch jobs, as callers make them.
+//! Serves callers' requests about batch jobs.
 
 use std::sync::Arc;
 
@@ -24,46 +24,45 @@
 use crate::observe::journal::{Field, record};
 use crate::observe::measures;
 
-/// How long a submission is tried where the caller gives no deadline, in milliseconds. It outlives an election.
+/// Maximum duration of a submission; the caller's deadline may be shorter. Long enough to span a leader election.
 const SUBMIT_TIMEOUT: Millis = Millis(2_500);
-/// How long a read or an end is tried, beyond the wait that the caller asks for, in milliseconds. It is given up soon
-/// and asked again.
+/// Timeout for any other call, in addition to the wait that the caller requests. Short, because the caller can retry.
 const CALL_TIMEOUT: Millis = Millis(1_200);
-/// The longest wait for a result, in milliseconds. Bounds how long reads are held.
+/// Maximum time that a read may wait for a result.
 const MAX_READ_WAIT: Millis = Millis(2_000);
-/// When a caller whose job did not fit may retry, in milliseconds. Such a job is not sent again at once.
+/// Retry delay for a job that exceeds the limit of queued tokens or the capacity of the disks.
 const OVER_QUOTA_RETRY_AFTER: Millis = Millis(1_000);
-/// When a caller may retry while the table has no leader, in milliseconds.
+/// Retry delay while the job table has no leader.
 const NO_LEADER_RETRY_AFTER: Millis = Millis(300);
 
-/// A job as it is submitted.
+/// An admitted request to submit a batch job.
 pub struct JobSubmission<'a> {
-    /// What the request says of itself.
+    /// Properties parsed from the headers.
     pub facts: &'a RequestFacts,
-    /// Its route.
+    /// Route that the request matched.
     pub route: &'a Route,
-    /// The version of the configuration that the route is of.
+    /// Version of the configuration that defines the route.
     pub version: u64,
-    /// Who submits it.
+    /// Authenticated identity of the caller.
     pub identity: &'a CallerIdentity,
-    /// Where it may run and lie.
+    /// Regions in which the job may run and be stored.
     pub regions: &'a AllowedRegions,
-    /// Its body.
+    /// Complete body, not yet parsed.
     pub body: &'a Bytes,
 }
 
-/// Serves calls about batch jobs.
+/// Handler of requests about batch jobs.
 pub struct JobCalls {
-    /// What is known of the fleet.
+    /// This node's view of the fleet.
     pub view: Arc<FleetView>,
-    /// The spelling of the wire.
+    /// HTTP format of the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// The way to the table's leader.
+    /// Client of the job table's leader.
     pub client: LeaderClient,
 }
 
 impl JobCalls {
-    /// Takes a job.
+    /// Submits a job to the leader of the job table.
     pub async fn submit(&self, request: JobSubmission<'_>, arrived_at: Timestamp) -> Response<AnswerBody> {
         let JobSubmission { facts, route, version, identity, regions, body } = request;
         if let Some(refused) = self.refuse_outside_regions(regions) {
@@ -99,7 +98,7 @@
         }
     }
 
-    /// Serves a call about a job that was submitted.
+    /// Serves a call about an existing job.
     pub async fn call(&self, call: JobCall, caller: CallerIdentity, arrived_at: Timestamp) -> Response<AnswerBody> {
         match call {
             JobCall::Read { job, first, wait } => {
@@ -125,7 +124,7 @@
                 let request = JobsRequest::End { job, caller };
                 match self.client.send_request(request, arrived_at + CALL_TIMEOUT).await {
                     Ok(JobsAnswer::Ended | JobsAnswer::Accepted) => empty_response(StatusCode::OK),
-                    // Unlike a read, an end may have taken effect.
+                    // Unlike a read, ending the job may have taken effect.
                     Err(no_leader) => refusal::answer(&no_leader_refusal(no_leader)),
                     other => call_refusal(other),
                 }
@@ -133,7 +132,7 @@
         }
     }
 
-    /// Refuses a job that would lie outside of the regions that are allowed for it: any storing node may hold the table.
+    /// Refuses a job if any storage node is outside the job's allowed regions, since each of them may store the job table.
     fn refuse_outside_regions(&self, regions: &AllowedRegions) -> Option<Refusal> {
         let storage = self.view.storage();
         let outside = storage.records().find(|record| !self.view.regions.allows(regions, &record.zone))?;
@@ -162,7 +161,8 @@
     }
 }
 
-/// A change that may have arrived is not refused: the caller may ask again, and finds it taken.
+/// Refusal of a call for which no leader answered. If the request may have arrived, the refusal states an unknown
+/// outcome, and the caller can retry safely.
 fn no_leader_refusal(no_leader: NoLeader) -> Refusal {
     let detail = "the job table has no leader that answers";
     if no_leader.may_have_arrived {
@@ -171,7 +171,7 @@
     Refusal::new(ErrorKind::StateUnavailable, detail).with_retry_after(NO_LEADER_RETRY_AFTER.0)
 }
 
-/// A refusal that promises nothing.
+/// Refusal which states that the request may or may not have taken effect.
 fn indeterminate_refusal(detail: &str) -> Refusal {
     Refusal::new(ErrorKind::DeadlineExceeded, detail).with_ran(Ran::Unknown)
 }
--- a/crates/gateway/src/batch/mod.rs
+++ b/crates/gateway/src/batch/mod.rs
@@ -1,7 +1,7 @@
-//! Callers' calls about batch jobs, as a gateway serves them.
+//! The gateway's endpoints for batch jobs.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`job_calls`] | submitting, reading and ending jobs by way of the leader of the job table |
+//! | [`job_calls`] | submitting, reading and ending jobs through the leader of the job table |
 
 pub mod job_calls;
--- a/crates/gateway/src/callers/mod.rs
+++ b/crates/gateway/src/callers/mod.rs
@@ -1,7 +1,7 @@
-//! The callers' side of a gateway.
+//! The caller-facing side of a gateway.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`server`] | the listener: reading a request, admitting it, closing connections at a planned stop |
+//! | [`server`] | the listener: reading and admitting requests, closing connections during shutdown |
 
 pub mod server;
--- a/crates/gateway/src/callers/server.rs
+++ b/crates/gateway/src/callers/server.rs
@@ -1,7 +1,7 @@
 //! The listener for callers.
 //!
-//! Owns the callers' connections: it reads requests, has them admitted (`stallmoor_core::serving::online::admission`, tenants'
-//! limits) and hands them to [`online`] or to the calls about batch jobs.
+//! Owns the callers' connections. Reads requests, admits them (`stallmoor_core::serving::online::admission`, tenants' rate
+//! limits) and dispatches them to [`online`] or to [`JobCalls`].
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -39,34 +39,33 @@
 use crate::sockets::accept_next;
 use crate::workers::attempt::WorkerClient;
 
-/// An idle connection is kept this much longer than its callers may use it, so that none is closed while a request is
-/// on its way.
+/// Added to the idle timeout that callers may rely on, so that no connection is closed while a request is in transit.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
-/// Least size of the buffer for a head, in bytes: the HTTP library takes no smaller one.
+/// Minimum size of the buffer for request headers, required by hyper.
 const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
 
-/// How far a planned stop is.
+/// Phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// No stop.
+    /// Normal operation.
     Serving,
-    /// The node calls itself not ready and still takes requests.
+    /// The node reports itself as not ready but still accepts requests.
     Leaving,
-    /// Connections close after the request that they carry.
+    /// Each connection is closed after its current request.
     Closing,
 }
 
-/// Serves callers.
+/// HTTP server for callers.
 pub struct CallerServer {
-    /// The way to workers.
+    /// Client for requests to workers.
     pub workers: Arc<WorkerClient>,
-    /// Calls about batch jobs.
+    /// Handler of requests about batch jobs.
     pub jobs: Arc<JobCalls>,
-    /// Tenants' limits.
+    /// Rate limits of tenants.
     pub limits: Arc<RateLimits>,
-    /// How far a planned stop is.
+    /// Current phase of the shutdown.
     pub stop: watch::Receiver<StopPhase>,
-    /// Lives as long as any connection does.
+    /// Cloned into each connection, so that the receiver can wait until all connections are closed.
     pub connection_guard: tokio::sync::mpsc::Sender<()>,
 }
 
@@ -81,7 +80,7 @@
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
         let _guard = self.connection_guard.clone();
-        // Without it small pieces of an answer leave later; a socket that refuses it is broken, which shows below.
+        // Small chunks of an answer are sent without delay. If this fails, the socket is broken, and serving fails too.
         let _ = stream.set_nodelay(true);
         let bounds = self.bounds();
         let idle = Duration::from_millis(bounds.idle_timeout.0) + IDLE_MARGIN;
@@ -98,11 +97,11 @@
         tokio::pin!(connection);
         let mut stop = self.stop.clone();
         let closing = async move {
-            // An error means that the sender is gone, which ends the process too.
+            // The sender is only dropped when the process exits.
             let _ = stop.wait_for(|phase| *phase >= StopPhase::Closing).await;
         };
         tokio::select! {
-            // How a connection ended shows at the requests that it carried, each of which has its line.
+            // Connection errors need no log line of their own: the outcome of each request is logged.
             _ = connection.as_mut() => return,
             () = closing => {}
         }
@@ -140,7 +139,7 @@
         }
     }
 
-    /// Reads a request and checks whether it may be served.
+    /// Reads a request and checks whether it is admitted.
     async fn admit(&self, request: Request<Incoming>, arrived_at: Timestamp) -> Result<Admitted, Refusal> {
         let timeout = Duration::from_millis(CONFIGURATION_TIMEOUT.0);
         let configuration = self.workers.view.wait_for_configuration(timeout).await;
@@ -170,7 +169,7 @@
         Ok(Admitted::Online(Box::new(request)))
     }
 
-    /// Refuses a request for which nothing was done yet.
+    /// Logs and answers the refusal of a request that was not started.
     fn refuse(&self, id: &str, refused: &Refusal, arrived_at: Timestamp) -> Response<AnswerBody> {
         let view = &self.workers.view;
         let fields = [
@@ -185,14 +184,14 @@
     }
 }
 
-/// What a caller wants, once it may have it.
+/// An admitted request, by kind.
 enum Admitted {
     Call(JobCall, CallerIdentity),
     Job(AdmittedJob),
     Online(Box<OnlineRequest>),
 }
 
-/// A batch job that was submitted.
+/// An admitted batch job; owns what [`JobSubmission`] borrows.
 struct AdmittedJob {
     facts: RequestFacts,
     route: Arc<Route>,
@@ -206,7 +205,7 @@
     Refusal::new(ErrorKind::MalformedRequest, error.detail)
 }
 
-/// The host that a request is for, without its port.
+/// Returns the `Host` header without the port.
 fn request_host(headers: &HeaderMap) -> &str {
     let host = headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     host.split(':').next().unwrap_or_default()
--- a/crates/gateway/src/http/answer_body.rs
+++ b/crates/gateway/src/http/answer_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller: whole, or in pieces as they come from a worker.
+//! The body of an answer to a caller: either complete, or streamed from a worker.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,40 +7,40 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// Most pieces of a stream that wait for a caller that reads slowly; the worker's connection isn't read meanwhile.
+/// Maximum number of chunks buffered for a slow caller. While the buffer is full, the worker's connection is not read.
 const MAX_BUFFERED_CHUNKS: usize = 32;
 
-/// The answer could not be completed; the connection is closed so that it does not look whole.
+/// Error of an answer that could not be completed. Closes the connection, so that the caller can detect the truncation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Aborted;
 
 impl std::fmt::Display for Aborted {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("the answer broke off")
+        formatter.write_str("answer aborted before it was complete")
     }
 }
 
 impl std::error::Error for Aborted {}
 
-/// Sends the pieces of a streamed answer.
+/// Sends the chunks of a streamed answer.
 pub type ChunkSender = mpsc::Sender<Result<Bytes, Aborted>>;
 
-/// A body that is known whole, or comes in pieces.
+/// The body of an answer.
 pub enum AnswerBody {
-    /// Whole.
+    /// A complete body; `None` if it is empty or already sent.
     Full(Option<Bytes>),
-    /// In pieces.
+    /// A streamed body.
     Chunks(mpsc::Receiver<Result<Bytes, Aborted>>),
 }
 
 impl AnswerBody {
-    /// A whole body.
+    /// Creates a body from complete content.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
         Self::Full((!bytes.is_empty()).then_some(bytes))
     }
 
-    /// A body in pieces, and where to send them.
+    /// Creates a streamed body and the sender of its chunks.
     pub fn channel() -> (ChunkSender, Self) {
         let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
         (sender, Self::Chunks(receiver))
--- a/crates/gateway/src/http/headers.rs
+++ b/crates/gateway/src/http/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that pertain to one connection only.
+//! Filters hop-by-hop headers.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HeaderMap, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
@@ -19,8 +19,8 @@
 const KEEP_ALIVE: &str = "keep-alive";
 const PROXY_CONNECTION: &str = "proxy-connection";
 
-/// The headers that are passed on: all but those of one connection, those that `Connection` names, and
-/// the length, which follows from the body.
+/// Returns the headers that a proxy forwards: all but hop-by-hop headers, headers listed in `Connection`, and
+/// `Content-Length`, which is set from the body.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -1,11 +1,11 @@
-//! HTTP as both programs serve it, whatever the request is about.
+//! HTTP components shared by gateways and storage nodes.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`answer_body`] | the body of an answer: whole, or in pieces as they come |
-//! | [`headers`] | which headers are passed on |
-//! | [`plain_listener`] | listeners whose answers need no waiting: readiness, metrics |
-//! | [`refusal`] | the answer to a request that is not served |
+//! | [`answer_body`] | the body of an answer: complete or streamed |
+//! | [`headers`] | the selection of headers to forward |
+//! | [`plain_listener`] | listeners with synchronous handlers: readiness, metrics |
+//! | [`refusal`] | the answer to a refused request |
 
 pub mod answer_body;
 pub mod headers;
--- a/crates/gateway/src/http/plain_listener.rs
+++ b/crates/gateway/src/http/plain_listener.rs
@@ -1,4 +1,4 @@
-//! Listeners whose answers need no waiting: readiness, metrics.
+//! Listeners with synchronous handlers, for readiness and metrics.
 
 use std::convert::Infallible;
 
@@ -13,7 +13,7 @@
 use super::answer_body::AnswerBody;
 use crate::sockets::accept_next;
 
-/// Answers whether the node takes requests.
+/// Serves the readiness probe: 200 while the node is ready, 503 otherwise.
 pub async fn serve_readiness(listener: TcpListener, is_ready: impl Fn() -> bool + Clone + Send + 'static) {
     serve_plain(listener, move |_request: &Request<Incoming>| {
         let mut response = Response::new(AnswerBody::full(Bytes::new()));
@@ -23,7 +23,7 @@
     .await;
 }
 
-/// Serves answers that need no waiting, until the process ends.
+/// Serves requests with a synchronous handler until the process exits.
 pub async fn serve_plain<A>(listener: TcpListener, answer: A)
 where
     A: Fn(&Request<Incoming>) -> Response<AnswerBody> + Clone + Send + 'static,
@@ -37,7 +37,7 @@
         });
         tokio::spawn(async move {
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // A question that breaks off is asked again.
+            // Probes and scrapes are repeated, so a failed connection is ignored.
             let _ = connection.await;
         });
     }
--- a/crates/gateway/src/http/refusal.rs
+++ b/crates/gateway/src/http/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals of the gateway's own, by the table of kinds in [`ErrorKind`].
+//! Answers to requests that the gateway refuses itself, based on the table in [`ErrorKind`].
 
 use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER, WWW_AUTHENTICATE};
 use hyper::{Response, StatusCode};
@@ -6,7 +6,7 @@
 
 use crate::http::answer_body::AnswerBody;
 
-/// The answer for a refusal, with `Retry-After` in seconds where a retry may help.
+/// Builds the answer for a refusal, with `Retry-After` in seconds if a retry may succeed.
 pub fn answer(refusal: &Refusal) -> Response<AnswerBody> {
     let status = StatusCode::from_u16(refusal.kind.answer().status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let body = serde_json::json!({
@@ -29,7 +29,7 @@
     response
 }
 
-/// The answer for a kind of refusal.
+/// Builds the answer for a refusal with the defaults of its kind.
 pub fn from_kind(kind: ErrorKind, detail: &str) -> Response<AnswerBody> {
     answer(&Refusal::new(kind, detail))
 }
--- a/crates/gateway/src/observe/journal.rs
+++ b/crates/gateway/src/observe/journal.rs
@@ -1,4 +1,4 @@
-//! Structured log lines: one JSON object a line, with a numbered event and named fields.
+//! The structured log: one JSON object per line, with a numbered event and named fields.
 
 use std::fmt::Display;
 
@@ -6,10 +6,10 @@
 use serde_json::{Map, Value};
 use stallmoor_core::log_event::{LogEvent, Severity};
 
-/// The target of all structured lines.
+/// Log target of all structured lines.
 pub const TARGET: &str = "stallmoor::journal";
 
-/// A named value of a line.
+/// A named value of a log line.
 #[derive(Clone, Debug)]
 pub struct Field {
     name: &'static str,
@@ -17,23 +17,23 @@
 }
 
 impl Field {
-    /// A text.
+    /// Creates a string field.
     pub fn text(name: &'static str, value: impl Display) -> Self {
         Self { name, value: Value::String(value.to_string()) }
     }
 
-    /// A number.
+    /// Creates an integer field.
     pub fn number(name: &'static str, value: impl Into<u64>) -> Self {
         Self { name, value: Value::from(value.into()) }
     }
 
-    /// A yes or no.
+    /// Creates a boolean field.
     pub fn flag(name: &'static str, value: bool) -> Self {
         Self { name, value: Value::Bool(value) }
     }
 }
 
-/// Writes a line. Costs nothing while the event's level is off.
+/// Writes a line for an event. Nothing is formatted if the event's level is disabled.
 pub fn record(event: LogEvent, fields: &[Field]) {
     let level = match event.severity() {
         Severity::Information => Level::Info,
@@ -49,7 +49,7 @@
     for field in fields {
         line.insert(field.name.to_owned(), field.value.clone());
     }
-    // The writer puts time and level before the fields, within the same object.
+    // The log writer inserts the opening brace, time and level before the fields.
     let text = Value::Object(line).to_string();
     log::log!(target: TARGET, level, "{}", &text[1..]);
 }
--- a/crates/gateway/src/observe/log_writer.rs
+++ b/crates/gateway/src/observe/log_writer.rs
@@ -1,4 +1,4 @@
-//! Where structured lines go: standard output, by a thread of its own, so that nothing waits for it.
+//! Writes log lines to standard output from a dedicated thread, so that logging never blocks.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -10,17 +10,17 @@
 
 use crate::observe::journal::TARGET;
 
-/// Lines that may wait: bounds memory, and no request waits for the log. Further ones are dropped and counted.
+/// Maximum number of lines waiting to be written. Further lines are dropped and counted.
 const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Hands lines to the thread that writes them.
+/// Queue of lines for the writer thread.
 struct LineQueue {
     lines: SyncSender<String>,
     dropped: Arc<AtomicU64>,
 }
 
 impl LineQueue {
-    /// Hands a line over. One that finds no room is dropped and counted: nothing waits for the log.
+    /// Enqueues a line, or drops and counts it if the queue is full.
     fn push(&self, line: String) {
         if self.lines.try_send(line).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -28,11 +28,11 @@
     }
 }
 
-/// Sets up the process's log: one JSON object a line on standard output.
+/// Installs the process's logger, which writes one JSON object per line to standard output.
 ///
 /// # Errors
 ///
-/// Logging was set up before, or the system gives no thread.
+/// Fails if a logger is already installed or the writer thread cannot be spawned.
 pub fn set_up(level: LevelFilter) -> io::Result<()> {
     let (lines, queued) = sync_channel(MAX_QUEUED_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
@@ -70,7 +70,7 @@
         if lost > 0 {
             text.push_str(&format!("{{\"at\":{},\"level\":\"WARN\",\"dropped\":{lost}}}\n", now()));
         }
-        // Nobody reads the lines if this fails; the process serves on.
+        // A closed standard output must not stop the process.
         let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
     }
 }
--- a/crates/gateway/src/observe/measures.rs
+++ b/crates/gateway/src/observe/measures.rs
@@ -1,6 +1,6 @@
-//! Counters, gauges and histograms, served as Prometheus text on the metrics address of the settings.
+//! Counters, gauges and histograms, served in the Prometheus text format on the configured metrics port.
 //!
-//! Owns the names of the metrics, which `docs/METRICS.md` is tested against, and the process's one recorder.
+//! Owns the metric names, against which a test checks `docs/METRICS.md`, and the process-wide recorder.
 
 use std::sync::OnceLock;
 
@@ -15,21 +15,20 @@
 use crate::http::answer_body::AnswerBody;
 use crate::http::plain_listener::serve_plain;
 
-/// The path that answers with the figures.
 const PATH: &str = "/metrics";
-/// The upper bounds of the histograms' buckets, in seconds.
+/// Upper bounds of the histogram buckets, in seconds.
 const BUCKETS: [f64; 12] = [0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0];
 
-/// A metric and its meaning.
+/// Description of a metric.
 #[derive(Clone, Copy, Debug)]
 pub struct Metric {
-    /// Its name.
+    /// Name as exported to Prometheus.
     pub name: &'static str,
-    /// Its kind: counter, gauge or histogram.
+    /// Type: counter, gauge or histogram.
     pub kind: &'static str,
-    /// Its labels.
+    /// Label names, separated by commas.
     pub labels: &'static str,
-    /// What it counts or measures.
+    /// Help text for the documentation.
     pub help: &'static str,
 }
 
@@ -37,7 +36,7 @@
     ($($constant:ident = $name:literal, $kind:literal, $labels:literal, $help:literal;)*) => {
         $(const $constant: &str = $name;)*
 
-        /// Every measure, in the order of `docs/METRICS.md`.
+        /// All metrics, in the order of `docs/METRICS.md`.
         pub const ALL: &[Metric] =
             &[$(Metric { name: $name, kind: $kind, labels: $labels, help: $help },)*];
     };
@@ -63,26 +62,26 @@
 
 static RECORDER: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// Starts to gather figures. Without this call nothing is gathered and nothing costs.
+/// Installs the metrics recorder. Without this call, recording a metric is a no-op.
 pub fn start() {
     RECORDER.get_or_init(|| {
         let builder = PrometheusBuilder::new();
-        // The buckets are a constant that is not empty, which is all that could be refused.
+        // `set_buckets` only fails for an empty list.
         let builder = builder.set_buckets(&BUCKETS).unwrap_or_else(|_| PrometheusBuilder::new());
         let recorder = builder.build_recorder();
         let handle = recorder.handle();
-        // A recorder that stands already, in a process of several nodes, gathers for all of them.
+        // If the process has a global recorder already, that one stays installed.
         let _ = metrics::set_global_recorder(recorder);
         handle
     });
 }
 
-/// The figures as Prometheus text; empty if none are gathered.
+/// Renders all metrics in the Prometheus text format; empty if no recorder is installed.
 pub fn render() -> String {
     RECORDER.get().map(PrometheusHandle::render).unwrap_or_default()
 }
 
-/// Answers with the figures until the process ends.
+/// Serves the metrics over HTTP until the process exits.
 pub async fn serve(listener: TcpListener) {
     serve_plain(listener, |request: &Request<Incoming>| {
         if request.uri().path() != PATH {
@@ -97,7 +96,7 @@
     .await;
 }
 
-/// A request ended.
+/// Counts a finished request by outcome, and records its duration and, if known, its time to first event.
 pub fn request_ended(route: &str, end: &str, first_event: Option<Millis>, elapsed: Millis) {
     counter!(REQUESTS, "route" => route.to_owned(), "end" => end.to_owned()).increment(1);
     histogram!(DURATION, "route" => route.to_owned()).record(seconds(elapsed));
@@ -106,58 +105,58 @@
     }
 }
 
-/// An attempt at a worker ended without a whole answer.
+/// Counts an attempt at a worker that ended without a complete answer.
 pub fn attempt_failed(end: &'static str) {
     counter!(ATTEMPTS, "end" => end).increment(1);
 }
 
-/// A request was refused since its tenant had used up its limit.
+/// Counts a request that was refused because its tenant's rate limit was exhausted.
 pub fn rate_refused() {
     counter!(RATE_REFUSALS).increment(1);
 }
 
-/// A batch job was submitted.
+/// Counts a batch job submission by result.
 pub fn submitted(result: &'static str) {
     counter!(SUBMISSIONS, "result" => result).increment(1);
 }
 
-/// This node calls the metadata store.
+/// Counts a call from this node to the metadata store.
 pub fn store_call(call: &'static str) {
     counter!(STORE_CALLS, "call" => call).increment(1);
 }
 
-/// A message was sent to another node.
+/// Counts a message sent to another node, and its bytes.
 pub fn peer_sent(message: &'static str, bytes: usize) {
     counter!(PEER_MESSAGES, "message" => message).increment(1);
     counter!(PEER_BYTES, "message" => message).increment(bytes as u64);
 }
 
-/// How old this node's view of the metadata store is.
+/// Sets the age of this node's view of the metadata store.
 pub fn view_age(age: Millis) {
     gauge!(VIEW_AGE).set(seconds(age));
 }
 
-/// A configuration came into force.
+/// Sets the version of the active configuration.
 pub fn configuration_in_force(version: u64) {
     gauge!(CONFIGURATION).set(version as f64);
 }
 
-/// This node leads the job table, or does so no longer.
+/// Sets whether this node leads the job table.
 pub fn leads(leads: bool) {
     gauge!(LEADS).set(if leads { 1.0 } else { 0.0 });
 }
 
-/// A run of a batch item ended.
+/// Counts a finished run of a batch item by outcome.
 pub fn run_ended(end: &'static str) {
     counter!(RUNS, "end" => end).increment(1);
 }
 
-/// How many items have no result.
+/// Sets the number of items without a result.
 pub fn open_items(count: usize) {
     gauge!(OPEN_ITEMS).set(count as f64);
 }
 
-/// How many tenants have no request left under their limit.
+/// Sets the number of tenants whose rate limit is exhausted.
 pub fn exhausted_tenants(count: usize) {
     gauge!(EXHAUSTED_TENANTS).set(count as f64);
 }
--- a/crates/gateway/src/observe/mod.rs
+++ b/crates/gateway/src/observe/mod.rs
@@ -1,10 +1,10 @@
-//! What a process lets its operators see. Nothing waits for it: lines that find no room are dropped and counted.
+//! Logging and metrics. Neither blocks the process: log lines that exceed the queue are dropped and counted.
 //!
 //! | module | owns |
 //! |---|---|
 //! | [`journal`] | structured log lines: numbered events with named fields |
-//! | [`log_writer`] | writing those lines without ever blocking the process |
-//! | [`measures`] | counters, gauges and histograms, and the address that serves them |
+//! | [`log_writer`] | the thread that writes log lines |
+//! | [`measures`] | counters, gauges and histograms, and the endpoint that serves them |
 
 pub mod journal;
 pub mod log_writer;
--- a/crates/gateway/src/online/mod.rs
+++ b/crates/gateway/src/online/mod.rs
@@ -1,12 +1,12 @@
-//! A request from its admission to the last byte of its answer.
+//! Serves online requests, from admission to the last byte of the answer.
 //!
 //! | module | owns |
 //! |---|---|
-//! | `stream` | passing a stream on, and taking it up at another worker |
-//! | `records` | what the request leaves in the log and in the figures |
+//! | `stream` | forwarding a stream and resuming it at another worker |
+//! | `records` | the log lines and metrics of a request |
 //!
-//! Every decision is [`RequestState`]'s or the worker table's: this room asks them before each step, carries the step out
-//! and reports how it ended. It relies on `workers` for attempts and on `fleet` for the view that it asks.
+//! This module only does the I/O: [`RequestState`] and the worker table decide each step, and the result of the step is
+//! reported back to them. Attempts are made through `workers`; the state of the fleet comes from `fleet`.
 
 mod records;
 mod stream;
@@ -36,46 +36,46 @@
 use crate::workers::attempt::{Attempt, OpenAnswer, WorkerClient};
 use crate::workers::crash_check::{RunWatch, WorkerRun};
 
-/// A request as it was read.
+/// An admitted request.
 pub struct OnlineRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub target: Uri,
-    /// Its head.
+    /// Headers as received from the caller.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete body.
     pub body: Bytes,
-    /// What it says of itself.
+    /// Properties parsed from the headers.
     pub facts: RequestFacts,
-    /// Its route.
+    /// Route that the request matched.
     pub route: Arc<Route>,
-    /// On whose behalf it comes.
+    /// Authenticated identity of the caller.
     pub identity: CallerIdentity,
-    /// Where it may run.
+    /// Regions in which the request may run.
     pub regions: AllowedRegions,
-    /// When its head was read.
+    /// Time at which the headers were read.
     pub arrived_at: Timestamp,
 }
 
-/// A request on its way: its state decides, and this carries out.
+/// A request in progress. Carries out the steps that its [`RequestState`] decides on.
 struct ActiveRequest {
     client: Arc<WorkerClient>,
     request: OnlineRequest,
     keys: RequestKeys,
     service: Arc<str>,
     state: RequestState,
-    /// The last choice of a worker, for the log.
+    /// The most recently chosen worker, for the log.
     last_choice: Option<Choice>,
-    /// The time from the request's arrival to its first event.
+    /// Time from the request's arrival to its first event.
     first_event_after: Option<Millis>,
-    /// The run that is under way.
+    /// The current run at a worker.
     run: Option<RunWatch>,
-    /// The look at the worker of an attempt that broke off, while it lasts.
+    /// Pending crash check of the worker whose attempt was interrupted last.
     crash_check: Option<JoinHandle<()>>,
 }
 
-/// Serves a request.
+/// Serves a request and returns its response, whose body may still be streaming.
 pub async fn serve(client: Arc<WorkerClient>, request: OnlineRequest) -> Response<AnswerBody> {
     let drawn = request.route.draw_service(&mut *client.view.random()).cloned();
     let Some(service) = drawn else {
@@ -111,7 +111,7 @@
         self.client.view.clock.now()
     }
 
-    /// Tries workers until one begins to answer.
+    /// Tries workers until one starts to answer.
     async fn open(&mut self) -> Result<OpenAnswer, Refusal> {
         loop {
             self.check_quarantine().await?;
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Refuses a request of which workers died. Where one more of them would be enough, what became of the last attempt's
-    /// worker is awaited first.
+    /// Refuses a quarantined request, that is, one that has crashed too many workers. If one more crash would quarantine
+    /// it, waits for the pending crash check first.
     async fn check_quarantine(&mut self) -> Result<(), Refusal> {
         let view = self.client.view.clone();
         if self.crash_check.is_none() && view.has_no_crashes() {
@@ -143,14 +143,14 @@
         }
         let keys = self.keys;
         if let Some(check) = self.crash_check.take().filter(|_| view.is_near_quarantine(keys)) {
-            // A check that panicked found nothing.
+            // A check that panicked counts as no crash.
             let _ = check.await;
         }
         let remaining = view.quarantined_for(keys);
         self.state.check_quarantine(remaining)
     }
 
-    /// Chooses a worker. Where all that could be are cold, permits to send them requests are awaited for a moment.
+    /// Chooses a worker. If all candidates are cold, waits briefly for permits to send requests to them.
     async fn choose_or_wait(&self) -> Option<Choice> {
         let chosen = self.choose();
         let now = self.now();
@@ -194,7 +194,7 @@
         self.state.shed(choice, expected_first, self.now(), &mut *view.random())
     }
 
-    /// Sends the request to a worker and waits for the head of its answer.
+    /// Sends the request to a worker and waits for the response headers.
     async fn attempt(&mut self, choice: Choice) -> Result<OpenAnswer, AttemptEnd> {
         let worker = choice.id.clone();
         self.state.set_candidate_count(choice.candidates);
@@ -236,7 +236,7 @@
         }
     }
 
-    /// An attempt ended whose worker had begun to answer.
+    /// Records the failure of an attempt whose worker had already started to answer.
     fn end_attempt(&mut self, worker: &WorkerIncarnation, end: AttemptEnd) {
         self.client.view.workers().attempt_ended(worker, end, self.now());
         self.log_attempt(&worker.id, end);
@@ -255,7 +255,7 @@
         self.run = Some(RunWatch::new(self.client.clone(), run));
     }
 
-    /// The run under way ended without a whole answer.
+    /// Ends the current run without a complete answer, and starts a crash check if the worker may have crashed.
     fn run_ended(&mut self, end: AttemptEnd) {
         let Some(run) = self.run.take() else { return };
         match end {
@@ -264,7 +264,7 @@
         }
     }
 
-    /// The worker's whole answer was passed on: whatever workers died of before, it was not this request.
+    /// Ends the current run after a complete answer, which shows that this request did not cause earlier worker crashes.
     fn run_completed(&mut self) {
         if let Some(run) = self.run.take() {
             run.ended();
@@ -279,7 +279,7 @@
         Duration::from_millis(timeout.0)
     }
 
-    /// Answers with a body that was read whole first.
+    /// Responds after buffering the complete body.
     async fn respond_buffered(mut self, answer: OpenAnswer) -> Response<AnswerBody> {
         let BufferedAnswer { answer, body } = match buffer_answer(answer, self.state.remaining(self.now())).await {
             Ok(parts) => parts,
--- a/crates/gateway/src/online/records.rs
+++ b/crates/gateway/src/online/records.rs
@@ -1,4 +1,4 @@
-//! What a request leaves in the log and in the figures.
+//! Log lines and metrics of an online request.
 
 use stallmoor_core::error::Refusal;
 use stallmoor_core::log_event::LogEvent;
@@ -22,7 +22,7 @@
         measures::attempt_failed(end.name());
     }
 
-    /// What decided the choice of the worker: its load and cache as believed here.
+    /// Inputs to the choice of the worker: load and cached tokens as estimated by this node.
     fn choice_fields(&self) -> Vec<Field> {
         let Some(choice) = &self.last_choice else { return Vec::new() };
         vec![
@@ -53,10 +53,7 @@
             Field::text("detail", &refused.detail),
             Field::number("age_ms", self.state.age(self.now()).0),
             Field::number("ready_workers", self.client.view.workers().ready_count(&self.service, self.now()) as u64),
-            Field::number(
-                "configuration",
-                self.client.view.configuration().map_or(0, |configuration| configuration.version),
-            ),
+            Field::number("configuration", self.client.view.configuration().map_or(0, |current| current.version)),
         ];
         record(LogEvent::RequestRefused, &fields);
         self.record_end_metrics(refused.kind.code());
--- a/crates/gateway/src/online/stream.rs
+++ b/crates/gateway/src/online/stream.rs
@@ -1,7 +1,7 @@
-//! The stream of an answer: passed on as it comes, and taken up at another worker where it breaks.
+//! Forwards a streamed answer as it arrives, and resumes it at another worker if it is interrupted.
 //!
-//! Owns the task that reads from a worker and writes to the caller; what an event means and how long one is awaited is
-//! decided by the request's state.
+//! Owns the task that reads from a worker and writes to the caller. The request's state interprets events and sets the
+//! timeouts.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 }
 
 impl ActiveRequest {
-    /// Answers with a stream that is passed on as it comes.
+    /// Responds with a body that is forwarded as it arrives.
     pub(super) fn respond_streaming(mut self, answer: OpenAnswer) -> Response<AnswerBody> {
         let (sender, body) = AnswerBody::channel();
         let mut response = Response::new(body);
@@ -69,11 +69,11 @@
             }
         }
         self.log_end(outcome);
-        // A caller that is gone needs no sign that the answer broke off.
+        // Sending fails only if the caller has disconnected.
         let _ = sender.send(Err(Aborted)).await;
     }
 
-    /// Offers a begun stream to workers, in rounds, until one goes on with it.
+    /// Offers a partially sent stream to workers, in rounds, until one of them resumes it.
     async fn resume(&mut self) -> Option<OpenAnswer> {
         let mut rounds = ResumeRounds::default();
         loop {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Passes on whole events until the stream ends, breaks, pauses for too long, or the caller leaves.
+    /// Forwards complete events until the stream ends, fails or times out, or the caller disconnects.
     async fn forward_from(&mut self, mut answer: OpenAnswer, sender: &ChunkSender) -> StreamEnd {
         let mut splitter = EventSplitter::default();
         let mut first = true;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// A stream that was read from its first event on took up its slot since then.
+    /// Records how long the stream occupied a slot, from its first event until now, if one worker served all of it.
     fn record_stream_slot_time(&self, first_event_at: Option<Timestamp>) {
         if let Some(first_event_at) = first_event_at.filter(|_| self.state.was_served_by_one_worker()) {
             let elapsed = self.now().since(first_event_at);
@@ -159,7 +159,7 @@
         }
     }
 
-    /// How long the next event is awaited.
+    /// Returns the timeout for the next event.
     fn event_timeout(&self, is_first: bool, sent_at: Timestamp) -> Duration {
         let view = &self.client.view;
         let awaited = if is_first && self.state.progress.events == 0 {
@@ -172,7 +172,7 @@
     }
 }
 
-/// A stream has ended: whole, unless it broke off within an event.
+/// Handles the end of a worker's stream, which is complete unless it ended within an event.
 fn finish_stream(answer: OpenAnswer, splitter: &EventSplitter) -> StreamEnd {
     if !splitter.pending().is_empty() {
         return StreamEnd::AttemptFailed(AttemptEnd::Broken);
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -1,4 +1,5 @@
-//! What gateways and storing nodes exchange and keep in the metadata store, against golden files.
+//! Compares peer frames and metadata store records with golden files, to catch changes that break compatibility between
+//! versions.
 
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
@@ -34,14 +35,14 @@
 async fn peer_frames_match_golden_file() {
     let message = PeerMessage::StatusRequest { from: NodeId(1), id: 5 };
     let mut frame = Vec::new();
-    write_frame(&mut frame, &stallmoor_wire::encode(&message)).await.expect("memory takes all");
+    write_frame(&mut frame, &stallmoor_wire::encode(&message)).await.expect("writing to memory succeeds");
     for row in check_rows("frames.txt", &[Row::new("status-request", &to_hex(&frame))]) {
-        let read = read_message(&mut &from_hex(&row.text)[..]).await.expect("a frame");
+        let read = read_message(&mut &from_hex(&row.text)[..]).await.expect("frame is valid");
         assert_eq!(read, message, "{}", row.name);
     }
 }
 
-/// A store that keeps what is put.
+/// A metadata store that records all writes and fails all reads.
 #[derive(Default)]
 struct RecordingStore(Mutex<Vec<Row>>);
 
@@ -53,7 +54,7 @@
 
 impl MetadataStore for RecordingStore {
     fn put(&self, key: String, value: Vec<u8>, _expected: Revision) -> BoxFuture<'_, PutOutcome> {
-        let row = Row::new(&key, &String::from_utf8(value).expect("text"));
+        let row = Row::new(&key, &String::from_utf8(value).expect("valid UTF-8"));
         self.0.lock().expect("not poisoned").push(row);
         Box::pin(async { PutOutcome::Written(Revision(1)) })
     }
@@ -88,7 +89,7 @@
     }
 }
 
-/// Three storing nodes register, and the first of them founds the group.
+/// Registers three storage nodes, bootstraps the group at the first one, and returns the records written.
 async fn register_and_bootstrap() -> Vec<Row> {
     let store = Arc::new(RecordingStore::default());
     let view = Arc::new(FleetView::new(NodeClock::start(), Arc::from("zone-1"), 1));
@@ -99,7 +100,7 @@
     view.apply(&FleetUpdate::Synced);
     let (memberships, _received) = mpsc::unbounded_channel();
     let bootstrap = bootstrap_group(view, store.clone(), NodeId(1), 1, memberships);
-    // The founder waits until the view tells what it wrote, which this one never does.
+    // Bootstrap waits until the view contains the record just written, which never happens with this store.
     assert!(tokio::time::timeout(Duration::from_millis(100), bootstrap).await.is_err());
     store.rows()
 }
@@ -107,14 +108,14 @@
 fn pair_row() -> Row {
     let voters = [NodeId(1), NodeId(2)].into();
     let record = PairRecord { index: LogIndex(12), voters, state: PairState::Survived(NodeId(2)) };
-    Row::new(PAIR_KEY, &serde_json::to_string(&record).expect("it can be written"))
+    Row::new(PAIR_KEY, &serde_json::to_string(&record).expect("record serializes"))
 }
 
-/// In the year 2100, since what is hours old is forgotten.
+/// In the year 2100, because old crashes expire.
 const CRASHED_AT: UnixMillis = UnixMillis(4_102_444_800_000);
 
 fn crashing_digest() -> RequestDigest {
-    "00c0ffee00000007".parse().expect("a digest")
+    "00c0ffee00000007".parse().expect("valid digest")
 }
 
 fn crash_row() -> Row {
@@ -124,9 +125,9 @@
         at: CRASHED_AT,
         progress: number,
     };
-    let completion = Completion { digest: "1".parse().expect("a digest"), at: CRASHED_AT };
+    let completion = Completion { digest: "1".parse().expect("valid digest"), at: CRASHED_AT };
     let report = CrashReport { crashes: (0..3).map(crash).collect(), completions: vec![completion] };
-    Row::new(&format!("{CRASH_KEY_PREFIX}edge-1"), &serde_json::to_string(&report).expect("it can be written"))
+    Row::new(&format!("{CRASH_KEY_PREFIX}edge-1"), &serde_json::to_string(&report).expect("record serializes"))
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/gateway/tests/golden_journal.rs
+++ b/crates/gateway/tests/golden_journal.rs
@@ -1,4 +1,4 @@
-//! The structured log as it is written today: each event's line, and the names of all fields.
+//! Compares the structured log with golden files, so that event names, levels and field names don't change unnoticed.
 
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
@@ -30,7 +30,7 @@
     fn flush(&self) {}
 }
 
-/// Pins number, name and level of each event as they stand in a line. The writer puts `{"at":..,"level":..,` before.
+/// Covers number, name and level of each event. The prefix `{"at":..,"level":..,` is added by the log writer.
 #[test]
 fn event_lines_match_golden_file() {
     log::set_logger(&CapturingLogger).expect("no other logger is set");
@@ -43,29 +43,29 @@
     golden::check_text("events.txt", &lines);
 }
 
-/// Every `Field::{text,number,flag}("name"` of this crate's sources, as `kind name`.
+/// Collects every `Field::{text,number,flag}("name"` in this crate's sources, as `kind name`.
 ///
-/// Limits: it sees no field whose name is not a literal right behind the parenthesis or on the next line, and it does
-/// not see which event a field belongs to. The test `golden_events` of the adapter runs a fleet for that.
+/// Only finds names that are literals directly after the parenthesis, and doesn't relate fields to events. The
+/// platform's test `golden_events` covers fields per event.
 #[test]
 fn field_names_match_golden_file() {
     let mut fields = BTreeSet::new();
     collect_fields(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut fields);
     let mut text = String::new();
     for field in fields {
-        writeln!(text, "{field}").expect("written to a string");
+        writeln!(text, "{field}").expect("writing to a string succeeds");
     }
     golden::check_text("fields.txt", &text);
 }
 
 fn collect_fields(directory: &Path, fields: &mut BTreeSet<String>) {
-    for entry in std::fs::read_dir(directory).expect("a folder") {
-        let path = entry.expect("an entry").path();
+    for entry in std::fs::read_dir(directory).expect("directory is readable") {
+        let path = entry.expect("directory entry is readable").path();
         if path.is_dir() {
             collect_fields(&path, fields);
             continue;
         }
-        let source = std::fs::read_to_string(&path).expect("a source");
+        let source = std::fs::read_to_string(&path).expect("source file is readable");
         for kind in ["text", "number", "flag"] {
             for after in source.split(&format!("Field::{kind}(")).skip(1) {
                 let name = after.trim_start().strip_prefix('"').and_then(|rest| rest.split('"').next());
--- a/crates/gateway/tests/golden_measures.rs
+++ b/crates/gateway/tests/golden_measures.rs
@@ -1,4 +1,4 @@
-//! The figures as they are served today: names, types, labels and the label values of closed lists.
+//! Compares the exported metrics with a golden file: names, types, labels and label values with a fixed set.
 
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
@@ -8,7 +8,7 @@
 use stallmoor_core::time::Millis;
 use stallmoor_gateway::observe::measures::{self, ALL};
 
-/// Label values that are literals where the figure is recorded; that they are recorded is not tested here.
+/// Label values that the callers of `measures` pass as literals; this test doesn't check that they are recorded.
 const SUBMISSION_RESULTS: [&str; 7] =
     ["accepted", "over_quota", "no_room", "key_taken", "unknown", "unexpected", "no_leader"];
 const STORE_CALLS: [&str; 2] = ["list", "watch"];
@@ -78,7 +78,7 @@
     measures::exhausted_tenants(2);
 }
 
-/// The exporter writes families and series in no order of its own.
+/// Sorts lines, since the exporter's order is unspecified.
 fn sorted(text: &str) -> String {
     let mut lines: Vec<&str> = text.lines().filter(|line| !line.is_empty()).collect();
     lines.sort_unstable();
--- a/crates/gateway/tests/golden_refusals.rs
+++ b/crates/gateway/tests/golden_refusals.rs
@@ -1,4 +1,4 @@
-//! How a gateway answers each kind of refusal, as it is today: status, headers, body.
+//! Compares status, headers and body of the answer for each kind of refusal with a golden file.
 
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
@@ -13,13 +13,14 @@
 
 async fn describe(output: &mut String, case: &str, response: Response<AnswerBody>) {
     let (head, body) = response.into_parts();
-    writeln!(output, "# {case}\n{}", head.status.as_u16()).expect("written to a string");
+    writeln!(output, "# {case}\n{}", head.status.as_u16()).expect("writing to a string succeeds");
     let mut headers: Vec<String> =
-        head.headers.iter().map(|(name, value)| format!("{name}: {}", value.to_str().expect("text"))).collect();
+        head.headers.iter().map(|(name, value)| format!("{name}: {}", value.to_str().expect("valid UTF-8"))).collect();
     headers.sort();
-    let Ok(body) = body.collect().await else { panic!("{case}: the body breaks off") };
+    let Ok(body) = body.collect().await else { panic!("{case}: the body is incomplete") };
     let body = body.to_bytes();
-    writeln!(output, "{}\n{}\n", headers.join("\n"), String::from_utf8_lossy(&body)).expect("written to a string");
+    writeln!(output, "{}\n{}\n", headers.join("\n"), String::from_utf8_lossy(&body))
+        .expect("writing to a string succeeds");
 }
 
 #[tokio::test]
--- a/crates/gateway/tests/jobs_client.rs
+++ b/crates/gateway/tests/jobs_client.rs
@@ -1,4 +1,5 @@
-//! What the client of the job table tells of a submission when several tries were made.
+//! Results of a submission that the leader client sent more than once: a refusal must not be reported as final if an
+//! earlier attempt may have been accepted.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -18,13 +19,13 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// The storing node that is asked.
+/// The storage node that receives the submissions.
 const STORAGE: NodeId = NodeId(7);
 
-/// A storing node that answers each try as the script says: `None` leaves it without an answer.
+/// Starts a storage node that answers each attempt with the next entry of the script; `None` leaves it unanswered.
 async fn scripted_storage(script: Vec<Option<JobsAnswer>>) -> SocketAddr {
-    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("binding a local port succeeds");
+    let address = listener.local_addr().expect("listener has an address");
     let (events, mut received) = mpsc::channel(16);
     let bounds = WatchBounds { change: Millis(2_000), contact: Millis(3_000), heartbeat: Millis(1_200) };
     let view = Arc::new(MetadataView::new(NodeClock::start(), bounds));
@@ -43,7 +44,7 @@
     address
 }
 
-/// Submits a job to a storing node with such a script.
+/// Submits a job to a scripted storage node.
 async fn submit(script: Vec<Option<JobsAnswer>>) -> Result<JobsAnswer, NoLeader> {
     let address = scripted_storage(script).await;
     let view = Arc::new(FleetView::new(NodeClock::start(), Arc::from("zone-a"), 1));
@@ -71,7 +72,7 @@
 async fn refusal_after_an_unanswered_attempt_is_indeterminate() {
     for refusal in [JobsAnswer::OverQuota { waiting: 100 }, JobsAnswer::NoRoom] {
         let answer = submit(vec![None, Some(refusal)]).await;
-        assert_eq!(answer, Ok(JobsAnswer::Indeterminate), "the first try may yet be taken");
+        assert_eq!(answer, Ok(JobsAnswer::Indeterminate), "the first attempt may still be accepted");
     }
 }
 
--- a/crates/gateway/tests/measures.rs
+++ b/crates/gateway/tests/measures.rs
@@ -1,4 +1,4 @@
-//! The figures: what is served, and that the page names each of them.
+//! Metrics are rendered with their recorded values, and the documentation page lists all of them.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 
 #[test]
 fn rendered_text_contains_recorded_values() {
-    assert!(measures::render().is_empty(), "nothing is gathered before the start");
+    assert!(measures::render().is_empty(), "metrics were recorded before the start");
     measures::start();
     measures::request_ended("route-a", "whole", Some(Millis(150)), Millis(400));
     measures::request_ended("route-a", "whole", None, Millis(400));
@@ -26,7 +26,7 @@
     }
 }
 
-/// With `STALLMOOR_WRITE_DOCUMENTS=1` the page is written instead of compared.
+/// With `STALLMOOR_WRITE_DOCUMENTS=1`, the page is regenerated first.
 #[test]
 fn documentation_page_lists_every_metric() {
     let mut page = "# Metrics of gateways and storing nodes\n\nPrometheus text at `/metrics` on `node.address` and \
@@ -37,7 +37,7 @@
     }
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/METRICS.md");
     if std::env::var_os("STALLMOOR_WRITE_DOCUMENTS").is_some() {
-        std::fs::write(&path, &page).expect("it can be written");
+        std::fs::write(&path, &page).expect("page is writable");
     }
-    assert_eq!(std::fs::read_to_string(&path).expect("the page is there"), page);
+    assert_eq!(std::fs::read_to_string(&path).expect("page exists"), page);
 }
