--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -100,7 +100,7 @@
     view.apply(&FleetUpdate::Synced);
     let (memberships, _received) = mpsc::unbounded_channel();
     let bootstrap = bootstrap_group(view, store.clone(), NodeId(1), 1, memberships);
-    // Bootstrap waits until the view contains the record just written, which never happens with this store.
+    // Bootstrap waits until the view contains the record just written, which never happens in this test.
     assert!(tokio::time::timeout(Duration::from_millis(100), bootstrap).await.is_err());
     store.rows()
 }
