--- a/crates/gateway/src/batch/job_calls.rs
+++ b/crates/gateway/src/batch/job_calls.rs
@@ -1,4 +1,4 @@
-//! Calls about batch jobs, as callers make them.
+//! Serves callers' requests about batch jobs.
 
 use std::sync::Arc;
 
@@ -24,63 +24,62 @@
 use crate::observe::journal::{Field, record};
 use crate::observe::measures;
 
-/// How long a submission is tried where the caller gives no deadline, in milliseconds. It outlives an election.
-const SUBMIT_WITHIN: Millis = Millis(2_500);
-/// How long a read or an end is tried, beyond the wait that the caller asks for, in milliseconds. It is given up soon
-/// and asked again.
-const CALL_WITHIN: Millis = Millis(1_200);
-/// The longest wait for a result, in milliseconds. Bounds how long reads are held.
-const LONGEST_WAIT: Millis = Millis(2_000);
-/// When a caller whose job did not fit may retry, in milliseconds. Such a job is not sent again at once.
+/// Maximum duration of a submission; the caller's deadline may be shorter. Long enough to span a leader election.
+const SUBMIT_TIMEOUT: Millis = Millis(2_500);
+/// Timeout for any other call, in addition to the wait that the caller requests. Short, because the caller can retry.
+const CALL_TIMEOUT: Millis = Millis(1_200);
+/// Maximum time that a read may wait for a result.
+const MAX_READ_WAIT: Millis = Millis(2_000);
+/// Retry delay for a job that exceeds the limit of queued tokens or the capacity of the disks.
 const OVER_QUOTA_RETRY_AFTER: Millis = Millis(1_000);
-/// When a caller may retry while the table has no leader, in milliseconds.
+/// Retry delay while the job table has no leader.
 const NO_LEADER_RETRY_AFTER: Millis = Millis(300);
 
-/// A job as it is submitted.
+/// An admitted request to submit a batch job.
 pub struct JobSubmission<'a> {
-    /// What the request says of itself.
+    /// Properties parsed from the headers.
     pub facts: &'a RequestFacts,
-    /// Its route.
+    /// Route that the request matched.
     pub route: &'a Route,
-    /// The version of the configuration that the route is of.
+    /// Version of the configuration that defines the route.
     pub version: u64,
-    /// Who submits it.
+    /// Authenticated identity of the caller.
     pub identity: &'a CallerIdentity,
-    /// Where it may run and lie.
+    /// Regions in which the job may run and be stored.
     pub regions: &'a AllowedRegions,
-    /// Its body.
+    /// Complete body, not yet parsed.
     pub body: &'a Bytes,
 }
 
-/// Serves calls about batch jobs.
+/// Handler of requests about batch jobs.
 pub struct JobCalls {
-    /// What is known of the fleet.
+    /// This node's view of the fleet.
     pub view: Arc<FleetView>,
-    /// The spelling of the wire.
+    /// HTTP format of the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// The way to the table's leader.
+    /// Client of the job table's leader.
     pub client: LeaderClient,
 }
 
 impl JobCalls {
-    /// Takes a job.
+    /// Submits a job to the leader of the job table.
     pub async fn submit(&self, request: JobSubmission<'_>, arrived_at: Timestamp) -> Response<AnswerBody> {
         let JobSubmission { facts, route, version, identity, regions, body } = request;
-        if let Some(refused) = self.refuse_outside(regions) {
+        if let Some(refused) = self.refuse_outside_regions(regions) {
             return refusal::answer(&refused);
         }
         let received_at = self.view.clock.wall_time();
         let submission = match self.dialect.submission(facts, route, identity.tenant(), body, received_at) {
             Ok(submission) => Submission { configuration_version: version, ..submission },
-            Err(bad) => return refusal::from_kind(ErrorKind::MalformedRequest, &bad.detail),
+            Err(error) => return refusal::from_kind(ErrorKind::MalformedRequest, &error.detail),
         };
-        let held = facts.deadline.unwrap_or(SUBMIT_WITHIN).min(SUBMIT_WITHIN).min(route.timeout);
+        let timeout = facts.deadline.unwrap_or(SUBMIT_TIMEOUT).min(SUBMIT_TIMEOUT).min(route.timeout);
         let key = submission.key.clone();
         let items = submission.items.len() as u64;
-        let result = self.client.send_request(JobsRequest::Submit(submission), arrived_at + held).await;
+        let result = self.client.send_request(JobsRequest::Submit(submission), arrived_at + timeout).await;
         self.log_submission(&key, items, &result, arrived_at);
         match result {
-            Ok(JobsAnswer::Accepted | JobsAnswer::Ended) => empty(StatusCode::ACCEPTED),
+            Ok(JobsAnswer::Accepted | JobsAnswer::Ended) => empty_response(StatusCode::ACCEPTED),
             Ok(JobsAnswer::OverQuota { waiting }) => {
                 let detail = format!("{waiting} tokens wait on this route");
                 let refused = Refusal::new(ErrorKind::TenantLimit, detail).with_retry_after(OVER_QUOTA_RETRY_AFTER.0);
@@ -91,44 +90,50 @@
                 let refused = Refusal::new(ErrorKind::StateUnavailable, "the storing nodes' disks have no room");
                 refusal::answer(&refused.with_retry_after(OVER_QUOTA_RETRY_AFTER.0))
             }
-            Ok(JobsAnswer::Indeterminate) => refusal::answer(&refuse_unsure("an earlier try may have taken the job")),
+            Ok(JobsAnswer::Indeterminate) => {
+                refusal::answer(&indeterminate_refusal("an earlier try may have taken the job"))
+            }
             Ok(_) => refusal::from_kind(ErrorKind::Internal, "an answer that does not fit a submission"),
-            Err(no_leader) => refusal::answer(&refuse_without_leader(no_leader)),
+            Err(no_leader) => refusal::answer(&no_leader_refusal(no_leader)),
         }
     }
 
-    /// Serves a call about a job that was submitted.
+    /// Serves a call about an existing job.
     pub async fn call(&self, call: JobCall, caller: CallerIdentity, arrived_at: Timestamp) -> Response<AnswerBody> {
         match call {
             JobCall::Read { job, first, wait } => {
-                let wait = wait.min(LONGEST_WAIT);
-                let until = arrived_at + wait + CALL_WITHIN;
-                match self.client.send_request(JobsRequest::Read { job, first, wait, caller }, until).await {
-                    Ok(JobsAnswer::Page(page)) => whole(self.dialect.result_page(first, &page), "application/json"),
-                    other => refuse_call(other),
+                let wait = wait.min(MAX_READ_WAIT);
+                let deadline = arrived_at + wait + CALL_TIMEOUT;
+                match self.client.send_request(JobsRequest::Read { job, first, wait, caller }, deadline).await {
+                    Ok(JobsAnswer::Page(page)) => {
+                        response_with_body(self.dialect.result_page(first, &page), "application/json")
+                    }
+                    other => call_refusal(other),
                 }
             }
             JobCall::Body { job, item } => {
                 let request = JobsRequest::Body { job, item, caller };
-                match self.client.send_request(request, arrived_at + CALL_WITHIN).await {
-                    Ok(JobsAnswer::Body(body)) => whole(Bytes::from(body.to_vec()), "application/octet-stream"),
-                    other => refuse_call(other),
+                match self.client.send_request(request, arrived_at + CALL_TIMEOUT).await {
+                    Ok(JobsAnswer::Body(body)) => {
+                        response_with_body(Bytes::from(body.to_vec()), "application/octet-stream")
+                    }
+                    other => call_refusal(other),
                 }
             }
             JobCall::End { job } => {
                 let request = JobsRequest::End { job, caller };
-                match self.client.send_request(request, arrived_at + CALL_WITHIN).await {
-                    Ok(JobsAnswer::Ended | JobsAnswer::Accepted) => empty(StatusCode::OK),
-                    // Unlike a read, an end may have taken effect.
-                    Err(no_leader) => refusal::answer(&refuse_without_leader(no_leader)),
-                    other => refuse_call(other),
+                match self.client.send_request(request, arrived_at + CALL_TIMEOUT).await {
+                    Ok(JobsAnswer::Ended | JobsAnswer::Accepted) => empty_response(StatusCode::OK),
+                    // Unlike a read, ending the job may have taken effect.
+                    Err(no_leader) => refusal::answer(&no_leader_refusal(no_leader)),
+                    other => call_refusal(other),
                 }
             }
         }
     }
 
-    /// Refuses a job that would lie outside of the regions that are allowed for it: any storing node may hold the table.
-    fn refuse_outside(&self, regions: &AllowedRegions) -> Option<Refusal> {
+    /// Refuses a job if any storage node is outside the job's allowed regions, since each of them may store the job table.
+    fn refuse_outside_regions(&self, regions: &AllowedRegions) -> Option<Refusal> {
         let storage = self.view.storage();
         let outside = storage.records().find(|record| !self.view.regions.allows(regions, &record.zone))?;
         let detail = format!("jobs are also kept in the zone {}, and this one may only lie in {regions}", outside.zone);
@@ -156,21 +161,22 @@
     }
 }
 
-/// A change that may have arrived is not refused: the caller may ask again, and finds it taken.
-fn refuse_without_leader(no_leader: NoLeader) -> Refusal {
+/// Refusal of a call for which no leader answered. If the request may have arrived, the refusal states an unknown
+/// outcome, and the caller can retry safely.
+fn no_leader_refusal(no_leader: NoLeader) -> Refusal {
     let detail = "the job table has no leader that answers";
     if no_leader.may_have_arrived {
-        return refuse_unsure(detail);
+        return indeterminate_refusal(detail);
     }
     Refusal::new(ErrorKind::StateUnavailable, detail).with_retry_after(NO_LEADER_RETRY_AFTER.0)
 }
 
-/// A refusal that promises nothing.
-fn refuse_unsure(detail: &str) -> Refusal {
+/// Refusal which states that the request may or may not have taken effect.
+fn indeterminate_refusal(detail: &str) -> Refusal {
     Refusal::new(ErrorKind::DeadlineExceeded, detail).with_ran(Ran::Unknown)
 }
 
-fn refuse_call(result: Result<JobsAnswer, NoLeader>) -> Response<AnswerBody> {
+fn call_refusal(result: Result<JobsAnswer, NoLeader>) -> Response<AnswerBody> {
     match result {
         Ok(JobsAnswer::UnknownJob) => refusal::from_kind(ErrorKind::UnknownJob, "there is no such job"),
         Ok(JobsAnswer::UnknownItem) => refusal::from_kind(ErrorKind::UnknownPath, "no such item without a result"),
@@ -179,14 +185,14 @@
     }
 }
 
-fn empty(status: StatusCode) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(Bytes::new()));
+fn empty_response(status: StatusCode) -> Response<AnswerBody> {
+    let mut response = Response::new(AnswerBody::full(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-fn whole(body: Bytes, content_type: &'static str) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(body));
+fn response_with_body(body: Bytes, content_type: &'static str) -> Response<AnswerBody> {
+    let mut response = Response::new(AnswerBody::full(body));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
--- a/crates/gateway/src/callers/server.rs
+++ b/crates/gateway/src/callers/server.rs
@@ -1,7 +1,7 @@
 //! The listener for callers.
 //!
-//! Owns the callers' connections: it reads requests, has them admitted (`stallmoor_core::serving::online::admission`, tenants'
-//! limits) and hands them to [`online`] or to the calls about batch jobs.
+//! Owns the callers' connections. Reads requests, admits them (`stallmoor_core::serving::online::admission`, tenants' rate
+//! limits) and dispatches them to [`online`] or to [`JobCalls`].
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -39,34 +39,33 @@
 use crate::sockets::accept_next;
 use crate::workers::attempt::WorkerClient;
 
-/// An idle connection is kept this much longer than its callers may use it, so that none is closed while a request is
-/// on its way.
+/// Added to the idle timeout that callers may rely on, so that no connection is closed while a request is in transit.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
-/// Least size of the buffer for a head, in bytes: the HTTP library takes no smaller one.
-const LEAST_HEAD_BUFFER: usize = 8_192;
+/// Minimum size of the buffer for request headers, required by hyper.
+const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
 
-/// How far a planned stop is.
+/// Phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// No stop.
+    /// Normal operation.
     Serving,
-    /// The node calls itself not ready and still takes requests.
+    /// The node reports itself as not ready but still accepts requests.
     Leaving,
-    /// Connections close after the request that they carry.
+    /// Each connection is closed after its current request.
     Closing,
 }
 
-/// Serves callers.
+/// HTTP server for callers.
 pub struct CallerServer {
-    /// The way to workers.
+    /// Client for requests to workers.
     pub workers: Arc<WorkerClient>,
-    /// Calls about batch jobs.
+    /// Handler of requests about batch jobs.
     pub jobs: Arc<JobCalls>,
-    /// Tenants' limits.
+    /// Rate limits of tenants.
     pub limits: Arc<RateLimits>,
-    /// How far a planned stop is.
+    /// Current phase of the shutdown.
     pub stop: watch::Receiver<StopPhase>,
-    /// Lives as long as any connection does.
+    /// Cloned into each connection, so that the receiver can wait until all connections are closed.
     pub connection_guard: tokio::sync::mpsc::Sender<()>,
 }
 
@@ -80,8 +79,8 @@
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
-        let _alive = self.connection_guard.clone();
-        // Without it small pieces of an answer leave later; a socket that refuses it is broken, which shows below.
+        let _guard = self.connection_guard.clone();
+        // Small chunks of an answer are sent without delay. If this fails, the socket is broken, and serving fails too.
         let _ = stream.set_nodelay(true);
         let bounds = self.bounds();
         let idle = Duration::from_millis(bounds.idle_timeout.0) + IDLE_MARGIN;
@@ -93,16 +92,16 @@
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(idle)
-            .max_buf_size(bounds.head_bytes.max(LEAST_HEAD_BUFFER))
+            .max_buf_size(bounds.head_bytes.max(MIN_HEAD_BUFFER_BYTES))
             .serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
         let mut stop = self.stop.clone();
         let closing = async move {
-            // An error means that the sender is gone, which ends the process too.
+            // The sender is only dropped when the process exits.
             let _ = stop.wait_for(|phase| *phase >= StopPhase::Closing).await;
         };
         tokio::select! {
-            // How a connection ended shows at the requests that it carried, each of which has its line.
+            // Connection errors need no log line of their own: the outcome of each request is logged.
             _ = connection.as_mut() => return,
             () = closing => {}
         }
@@ -111,7 +110,7 @@
     }
 
     fn bounds(&self) -> CallerBounds {
-        self.workers.view.configuration().map(|known| known.bounds).unwrap_or_default()
+        self.workers.view.configuration().map(|configuration| configuration.bounds).unwrap_or_default()
     }
 
     async fn handle(&self, request: Request<Incoming>) -> Response<AnswerBody> {
@@ -140,17 +139,17 @@
         }
     }
 
-    /// Reads a request and checks whether it may be served.
+    /// Reads a request and checks whether it is admitted.
     async fn admit(&self, request: Request<Incoming>, arrived_at: Timestamp) -> Result<Admitted, Refusal> {
-        let within = Duration::from_millis(CONFIGURATION_TIMEOUT.0);
-        let known = self.workers.view.wait_for_configuration(within).await;
-        let configuration = known.ok_or_else(admission::not_configured)?;
+        let timeout = Duration::from_millis(CONFIGURATION_TIMEOUT.0);
+        let configuration = self.workers.view.wait_for_configuration(timeout).await;
+        let configuration = configuration.ok_or_else(admission::not_configured)?;
         let (parts, body) = request.into_parts();
         let dialect = &self.workers.dialect;
         let key = dialect.api_key(&parts.headers);
         let target = parts.uri.to_string();
         let address = RequestAddress {
-            host: host_of(&parts.headers),
+            host: request_host(&parts.headers),
             path: parts.uri.path(),
             target: &target,
             key: key.as_ref(),
@@ -170,7 +169,7 @@
         Ok(Admitted::Online(Box::new(request)))
     }
 
-    /// Refuses a request for which nothing was done yet.
+    /// Logs and answers the refusal of a request that was not started.
     fn refuse(&self, id: &str, refused: &Refusal, arrived_at: Timestamp) -> Response<AnswerBody> {
         let view = &self.workers.view;
         let fields = [
@@ -178,21 +177,21 @@
             Field::text("kind", refused.kind.code()),
             Field::text("detail", &refused.detail),
             Field::number("age_ms", view.clock.now().since(arrived_at).0),
-            Field::number("configuration", view.configuration().map_or(0, |known| known.version)),
+            Field::number("configuration", view.configuration().map_or(0, |configuration| configuration.version)),
         ];
         record(LogEvent::RequestRefused, &fields);
         refusal::answer(refused)
     }
 }
 
-/// What a caller wants, once it may have it.
+/// An admitted request, by kind.
 enum Admitted {
     Call(JobCall, CallerIdentity),
     Job(AdmittedJob),
     Online(Box<OnlineRequest>),
 }
 
-/// A batch job that was submitted.
+/// An admitted batch job; owns what [`JobSubmission`] borrows.
 struct AdmittedJob {
     facts: RequestFacts,
     route: Arc<Route>,
@@ -202,18 +201,18 @@
     body: Bytes,
 }
 
-fn malformed(bad: BadRequest) -> Refusal {
-    Refusal::new(ErrorKind::MalformedRequest, bad.detail)
+fn malformed(error: BadRequest) -> Refusal {
+    Refusal::new(ErrorKind::MalformedRequest, error.detail)
 }
 
-/// The host that a request is for, without its port.
-fn host_of(headers: &HeaderMap) -> &str {
+/// Returns the `Host` header without the port.
+fn request_host(headers: &HeaderMap) -> &str {
     let host = headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     host.split(':').next().unwrap_or_default()
 }
 
-async fn read_body(body: Incoming, most_bytes: usize) -> Result<Bytes, Refusal> {
-    match Limited::new(body, most_bytes).collect().await {
+async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Refusal> {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
             Err(Refusal::new(ErrorKind::BodyTooLarge, "the body is over the limit"))
--- a/crates/gateway/src/http/answer_body.rs
+++ b/crates/gateway/src/http/answer_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller: whole, or in pieces as they come from a worker.
+//! The body of an answer to a caller: either complete, or streamed from a worker.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,42 +7,42 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// Most pieces of a stream that wait for a caller that reads slowly; the worker's connection isn't read meanwhile.
-const PIECES: usize = 32;
+/// Maximum number of chunks buffered for a slow caller. While the buffer is full, the worker's connection is not read.
+const MAX_BUFFERED_CHUNKS: usize = 32;
 
-/// The answer could not be completed; the connection is closed so that it does not look whole.
+/// Error of an answer that could not be completed. Closes the connection, so that the caller can detect the truncation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Aborted;
 
 impl std::fmt::Display for Aborted {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("the answer broke off")
+        formatter.write_str("answer aborted before it was complete")
     }
 }
 
 impl std::error::Error for Aborted {}
 
-/// Sends the pieces of a streamed answer.
+/// Sends the chunks of a streamed answer.
 pub type ChunkSender = mpsc::Sender<Result<Bytes, Aborted>>;
 
-/// A body that is known whole, or comes in pieces.
+/// The body of an answer.
 pub enum AnswerBody {
-    /// Whole.
-    Whole(Option<Bytes>),
-    /// In pieces.
+    /// A complete body; `None` if it is empty or already sent.
+    Full(Option<Bytes>),
+    /// A streamed body.
     Chunks(mpsc::Receiver<Result<Bytes, Aborted>>),
 }
 
 impl AnswerBody {
-    /// A whole body.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
+    /// Creates a body from complete content.
+    pub fn full(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
-        Self::Whole((!bytes.is_empty()).then_some(bytes))
+        Self::Full((!bytes.is_empty()).then_some(bytes))
     }
 
-    /// A body in pieces, and where to send them.
+    /// Creates a streamed body and the sender of its chunks.
     pub fn channel() -> (ChunkSender, Self) {
-        let (sender, receiver) = mpsc::channel(PIECES);
+        let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
         (sender, Self::Chunks(receiver))
     }
 }
@@ -53,20 +53,20 @@
 
     fn poll_frame(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Aborted>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Chunks(receiver) => {
-                receiver.poll_recv(context).map(|piece| piece.map(|result| result.map(Frame::data)))
+                receiver.poll_recv(context).map(|chunk| chunk.map(|result| result.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64)),
+            Self::Full(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64)),
             Self::Chunks(_) => SizeHint::default(),
         }
     }
--- a/crates/gateway/src/online/mod.rs
+++ b/crates/gateway/src/online/mod.rs
@@ -1,12 +1,12 @@
-//! A request from its admission to the last byte of its answer.
+//! Serves online requests, from admission to the last byte of the answer.
 //!
 //! | module | owns |
 //! |---|---|
-//! | `stream` | passing a stream on, and taking it up at another worker |
-//! | `records` | what the request leaves in the log and in the figures |
+//! | `stream` | forwarding a stream and resuming it at another worker |
+//! | `records` | the log lines and metrics of a request |
 //!
-//! Every decision is [`RequestState`]'s or the worker table's: this room asks them before each step, carries the step out
-//! and reports how it ended. It relies on `workers` for attempts and on `fleet` for the view that it asks.
+//! This module only does the I/O: [`RequestState`] and the worker table decide each step, and the result of the step is
+//! reported back to them. Attempts are made through `workers`; the state of the fleet comes from `fleet`.
 
 mod records;
 mod stream;
@@ -36,46 +36,46 @@
 use crate::workers::attempt::{Attempt, OpenAnswer, WorkerClient};
 use crate::workers::crash_check::{RunWatch, WorkerRun};
 
-/// A request as it was read.
+/// An admitted request.
 pub struct OnlineRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub target: Uri,
-    /// Its head.
+    /// Headers as received from the caller.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete body.
     pub body: Bytes,
-    /// What it says of itself.
+    /// Properties parsed from the headers.
     pub facts: RequestFacts,
-    /// Its route.
+    /// Route that the request matched.
     pub route: Arc<Route>,
-    /// On whose behalf it comes.
+    /// Authenticated identity of the caller.
     pub identity: CallerIdentity,
-    /// Where it may run.
+    /// Regions in which the request may run.
     pub regions: AllowedRegions,
-    /// When its head was read.
+    /// Time at which the headers were read.
     pub arrived_at: Timestamp,
 }
 
-/// A request on its way: its state decides, and this carries out.
-struct Passage {
+/// A request in progress. Carries out the steps that its [`RequestState`] decides on.
+struct ActiveRequest {
     client: Arc<WorkerClient>,
     request: OnlineRequest,
     keys: RequestKeys,
     service: Arc<str>,
     state: RequestState,
-    /// The last choice of a worker, for the log.
+    /// The most recently chosen worker, for the log.
     last_choice: Option<Choice>,
-    /// The time from the request's arrival to its first event.
+    /// Time from the request's arrival to its first event.
     first_event_after: Option<Millis>,
-    /// The run that is under way.
+    /// The current run at a worker.
     run: Option<RunWatch>,
-    /// The look at the worker of an attempt that broke off, while it lasts.
+    /// Pending crash check of the worker whose attempt was interrupted last.
     crash_check: Option<JoinHandle<()>>,
 }
 
-/// Serves a request.
+/// Serves a request and returns its response, whose body may still be streaming.
 pub async fn serve(client: Arc<WorkerClient>, request: OnlineRequest) -> Response<AnswerBody> {
     let drawn = request.route.draw_service(&mut *client.view.random()).cloned();
     let Some(service) = drawn else {
@@ -83,8 +83,8 @@
     };
     client.view.retry_budget().deposit();
     let state = RequestState::new(request.route.clone(), &request.facts, request.arrived_at);
-    let keys = keys_of(&request);
-    let mut passage = Passage {
+    let keys = request_keys(&request);
+    let mut active = ActiveRequest {
         client,
         request,
         keys,
@@ -95,23 +95,23 @@
         run: None,
         crash_check: None,
     };
-    let answer = match passage.open().await {
+    let answer = match active.open().await {
         Ok(answer) => answer,
         Err(refused) => {
-            passage.log_refusal(&refused);
+            active.log_refusal(&refused);
             return refusal::answer(&refused);
         }
     };
-    let is_stream = passage.state.is_stream() && answer.status.is_success();
-    if is_stream { passage.stream(answer) } else { passage.whole(answer).await }
+    let is_stream = active.state.is_stream() && answer.status.is_success();
+    if is_stream { active.respond_streaming(answer) } else { active.respond_buffered(answer).await }
 }
 
-impl Passage {
+impl ActiveRequest {
     fn now(&self) -> Timestamp {
         self.client.view.clock.now()
     }
 
-    /// Tries workers until one begins to answer.
+    /// Tries workers until one starts to answer.
     async fn open(&mut self) -> Result<OpenAnswer, Refusal> {
         loop {
             self.check_quarantine().await?;
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Refuses a request of which workers died. Where one more of them would be enough, what became of the last attempt's
-    /// worker is awaited first.
+    /// Refuses a quarantined request, that is, one that has crashed too many workers. If one more crash would quarantine
+    /// it, waits for the pending crash check first.
     async fn check_quarantine(&mut self) -> Result<(), Refusal> {
         let view = self.client.view.clone();
         if self.crash_check.is_none() && view.has_no_crashes() {
@@ -143,18 +143,18 @@
         }
         let keys = self.keys;
         if let Some(check) = self.crash_check.take().filter(|_| view.is_near_quarantine(keys)) {
-            // A check that panicked found nothing.
+            // A check that panicked counts as no crash.
             let _ = check.await;
         }
-        let left = view.quarantined_for(keys);
-        self.state.check_quarantine(left)
+        let remaining = view.quarantined_for(keys);
+        self.state.check_quarantine(remaining)
     }
 
-    /// Chooses a worker. Where all that could be are cold, permits to send them requests are awaited for a moment.
+    /// Chooses a worker. If all candidates are cold, waits briefly for permits to send requests to them.
     async fn choose_or_wait(&self) -> Option<Choice> {
         let chosen = self.choose();
         let now = self.now();
-        if chosen.is_some() || !self.client.view.workers().needs_permit(&self.ask(), now) {
+        if chosen.is_some() || !self.client.view.workers().needs_permit(&self.worker_query(), now) {
             return chosen;
         }
         self.client.permits.answered().await;
@@ -163,17 +163,17 @@
 
     fn choose(&self) -> Option<Choice> {
         let view = &self.client.view;
-        let ask = self.ask();
+        let query = self.worker_query();
         let now = self.now();
         let mut random = view.random();
         let workers = view.workers();
         if workers.has_cold_workers(now) {
-            self.client.permits.want(workers.wanted_permits(&ask, now, &mut *random));
+            self.client.permits.want(workers.wanted_permits(&query, now, &mut *random));
         }
-        workers.choose(&ask, now, &mut *random)
+        workers.choose(&query, now, &mut *random)
     }
 
-    fn ask(&self) -> WorkerQuery<'_> {
+    fn worker_query(&self) -> WorkerQuery<'_> {
         WorkerQuery {
             service: &self.service,
             zone: &self.client.view.zone,
@@ -190,11 +190,11 @@
             return None;
         }
         let view = &self.client.view;
-        let first_after = view.workers().expected_time_to_first_event(&self.service, choice)?;
-        self.state.shed(choice, first_after, self.now(), &mut *view.random())
+        let expected_first = view.workers().expected_time_to_first_event(&self.service, choice)?;
+        self.state.shed(choice, expected_first, self.now(), &mut *view.random())
     }
 
-    /// Sends the request to a worker and waits for the head of its answer.
+    /// Sends the request to a worker and waits for the response headers.
     async fn attempt(&mut self, choice: Choice) -> Result<OpenAnswer, AttemptEnd> {
         let worker = choice.id.clone();
         self.state.set_candidate_count(choice.candidates);
@@ -205,7 +205,7 @@
         if self.state.attempts() > 1 {
             self.log_move();
         }
-        let result = self.client.open(self.attempt_at(choice), timeout).await;
+        let result = self.client.open(self.new_attempt(choice), timeout).await;
         if let Err(end) = &result {
             self.log_attempt(&worker, *end);
             self.state.attempt_ended(&worker, *end, &mut self.client.view.retry_budget());
@@ -214,15 +214,15 @@
         result
     }
 
-    fn attempt_at(&self, choice: Choice) -> Attempt {
+    fn new_attempt(&self, choice: Choice) -> Attempt {
         let request = &self.request;
-        let terms = AttemptContext {
+        let context = AttemptContext {
             worker: &choice.id,
             remaining: self.state.worker_deadline(self.now()),
             after_event: self.state.progress.last_event,
             identity: &request.identity,
         };
-        let headers = self.client.dialect.attempt_headers(&request.headers, &terms);
+        let headers = self.client.dialect.attempt_headers(&request.headers, &context);
         let in_flight = self.client.place(&choice, &self.service, &request.facts.prefix, false);
         Attempt {
             choice,
@@ -236,7 +236,7 @@
         }
     }
 
-    /// An attempt ended whose worker had begun to answer.
+    /// Records the failure of an attempt whose worker had already started to answer.
     fn end_attempt(&mut self, worker: &WorkerIncarnation, end: AttemptEnd) {
         self.client.view.workers().attempt_ended(worker, end, self.now());
         self.log_attempt(&worker.id, end);
@@ -255,7 +255,7 @@
         self.run = Some(RunWatch::new(self.client.clone(), run));
     }
 
-    /// The run under way ended without a whole answer.
+    /// Ends the current run without a complete answer, and starts a crash check if the worker may have crashed.
     fn run_ended(&mut self, end: AttemptEnd) {
         let Some(run) = self.run.take() else { return };
         match end {
@@ -264,7 +264,7 @@
         }
     }
 
-    /// The worker's whole answer was passed on: whatever workers died of before, it was not this request.
+    /// Ends the current run after a complete answer, which shows that this request did not cause earlier worker crashes.
     fn run_completed(&mut self) {
         if let Some(run) = self.run.take() {
             run.ended();
@@ -279,9 +279,9 @@
         Duration::from_millis(timeout.0)
     }
 
-    /// Answers with a body that was read whole first.
-    async fn whole(mut self, answer: OpenAnswer) -> Response<AnswerBody> {
-        let OpenAnswerParts { answer, body } = match read_whole(answer, self.state.remaining(self.now())).await {
+    /// Responds after buffering the complete body.
+    async fn respond_buffered(mut self, answer: OpenAnswer) -> Response<AnswerBody> {
+        let BufferedAnswer { answer, body } = match buffer_answer(answer, self.state.remaining(self.now())).await {
             Ok(parts) => parts,
             Err(Aborted) => {
                 self.run_ended(AttemptEnd::Broken);
@@ -295,14 +295,14 @@
         } else if let Some(run) = self.run.take() {
             run.ended();
         }
-        let mut response = Response::new(AnswerBody::whole(body));
+        let mut response = Response::new(AnswerBody::full(body));
         *response.status_mut() = answer.status;
         *response.headers_mut() = self.client.dialect.answer_headers(&answer.headers);
         response
     }
 }
 
-fn keys_of(request: &OnlineRequest) -> RequestKeys {
+fn request_keys(request: &OnlineRequest) -> RequestKeys {
     RequestKeys::of(&RequestContent {
         identity: &request.identity,
         method: request.method.as_str(),
@@ -312,7 +312,7 @@
     })
 }
 
-struct OpenAnswerParts {
+struct BufferedAnswer {
     answer: AnswerHead,
     body: Bytes,
 }
@@ -322,7 +322,7 @@
     headers: HeaderMap,
 }
 
-async fn read_whole(mut answer: OpenAnswer, within: Millis) -> Result<OpenAnswerParts, Aborted> {
+async fn buffer_answer(mut answer: OpenAnswer, timeout: Millis) -> Result<BufferedAnswer, Aborted> {
     let reading = async {
         let mut bytes = Vec::new();
         while let Some(frame) = answer.body.frame().await {
@@ -331,8 +331,8 @@
         }
         Ok(Bytes::from(bytes))
     };
-    let body = tokio::time::timeout(Duration::from_millis(within.0), reading).await.map_err(|_| Aborted)??;
+    let body = tokio::time::timeout(Duration::from_millis(timeout.0), reading).await.map_err(|_| Aborted)??;
     let head = AnswerHead { status: answer.status, headers: answer.headers.clone() };
     answer.release();
-    Ok(OpenAnswerParts { answer: head, body })
+    Ok(BufferedAnswer { answer: head, body })
 }
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -1,4 +1,5 @@
-//! What gateways and storing nodes exchange and keep in the metadata store, against golden files.
+//! Compares peer frames and metadata store records with golden files, to catch changes that break compatibility between
+//! versions.
 
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
@@ -31,29 +32,29 @@
 use tokio::sync::mpsc;
 
 #[tokio::test]
-async fn frames_between_nodes_are_as_ever() {
+async fn peer_frames_match_golden_file() {
     let message = PeerMessage::StatusRequest { from: NodeId(1), id: 5 };
     let mut frame = Vec::new();
-    write_frame(&mut frame, &stallmoor_wire::encode(&message)).await.expect("memory takes all");
+    write_frame(&mut frame, &stallmoor_wire::encode(&message)).await.expect("writing to memory succeeds");
     for row in check_rows("frames.txt", &[Row::new("status-request", &to_hex(&frame))]) {
-        let read = read_message(&mut &from_hex(&row.text)[..]).await.expect("a frame");
+        let read = read_message(&mut &from_hex(&row.text)[..]).await.expect("frame is valid");
         assert_eq!(read, message, "{}", row.name);
     }
 }
 
-/// A store that keeps what is put.
+/// A metadata store that records all writes and fails all reads.
 #[derive(Default)]
-struct Puts(Mutex<Vec<Row>>);
+struct RecordingStore(Mutex<Vec<Row>>);
 
-impl Puts {
+impl RecordingStore {
     fn rows(&self) -> Vec<Row> {
         self.0.lock().expect("not poisoned").clone()
     }
 }
 
-impl MetadataStore for Puts {
+impl MetadataStore for RecordingStore {
     fn put(&self, key: String, value: Vec<u8>, _expected: Revision) -> BoxFuture<'_, PutOutcome> {
-        let row = Row::new(&key, &String::from_utf8(value).expect("text"));
+        let row = Row::new(&key, &String::from_utf8(value).expect("valid UTF-8"));
         self.0.lock().expect("not poisoned").push(row);
         Box::pin(async { PutOutcome::Written(Revision(1)) })
     }
@@ -88,53 +89,53 @@
     }
 }
 
-/// Three storing nodes register, and the first of them founds the group.
-async fn register_and_found() -> Vec<Row> {
-    let store = Arc::new(Puts::default());
+/// Registers three storage nodes, bootstraps the group at the first one, and returns the records written.
+async fn register_and_bootstrap() -> Vec<Row> {
+    let store = Arc::new(RecordingStore::default());
     let view = Arc::new(FleetView::new(NodeClock::start(), Arc::from("zone-1"), 1));
     for record in (1..=3).map(storage_record) {
         register(store.clone(), record.clone()).await;
         view.storage().upsert(record);
     }
     view.apply(&FleetUpdate::Synced);
-    let (founders, _told) = mpsc::unbounded_channel();
-    let founding = bootstrap_group(view, store.clone(), NodeId(1), 1, founders);
-    // The founder waits until the view tells what it wrote, which this one never does.
-    assert!(tokio::time::timeout(Duration::from_millis(100), founding).await.is_err());
+    let (memberships, _received) = mpsc::unbounded_channel();
+    let bootstrap = bootstrap_group(view, store.clone(), NodeId(1), 1, memberships);
+    // Bootstrap waits until the view contains the record just written, which never happens in this test.
+    assert!(tokio::time::timeout(Duration::from_millis(100), bootstrap).await.is_err());
     store.rows()
 }
 
 fn pair_row() -> Row {
     let voters = [NodeId(1), NodeId(2)].into();
     let record = PairRecord { index: LogIndex(12), voters, state: PairState::Survived(NodeId(2)) };
-    Row::new(PAIR_KEY, &serde_json::to_string(&record).expect("it can be written"))
+    Row::new(PAIR_KEY, &serde_json::to_string(&record).expect("record serializes"))
 }
 
-/// In the year 2100, since what is hours old is forgotten.
+/// In the year 2100, because old crashes expire.
 const CRASHED_AT: UnixMillis = UnixMillis(4_102_444_800_000);
 
-fn fatal() -> RequestDigest {
-    "00c0ffee00000007".parse().expect("a digest")
+fn crashing_digest() -> RequestDigest {
+    "00c0ffee00000007".parse().expect("valid digest")
 }
 
 fn crash_row() -> Row {
     let crash = |number| Crash {
-        digest: fatal(),
+        digest: crashing_digest(),
         worker: WorkerId(Arc::from(format!("i-{number}"))),
         at: CRASHED_AT,
         progress: number,
     };
-    let completion = Completion { digest: "1".parse().expect("a digest"), at: CRASHED_AT };
+    let completion = Completion { digest: "1".parse().expect("valid digest"), at: CRASHED_AT };
     let report = CrashReport { crashes: (0..3).map(crash).collect(), completions: vec![completion] };
-    Row::new(&format!("{CRASH_KEY_PREFIX}edge-1"), &serde_json::to_string(&report).expect("it can be written"))
+    Row::new(&format!("{CRASH_KEY_PREFIX}edge-1"), &serde_json::to_string(&report).expect("record serializes"))
 }
 
 #[tokio::test(start_paused = true)]
-async fn keys_and_records_of_the_metadata_store_are_as_ever() {
-    let mut today = register_and_found().await;
-    today.push(pair_row());
-    today.push(crash_row());
-    let stored = check_rows("metadata-store.txt", &today);
+async fn metadata_store_records_match_golden_file() {
+    let mut rows = register_and_bootstrap().await;
+    rows.push(pair_row());
+    rows.push(crash_row());
+    let stored = check_rows("metadata-store.txt", &rows);
 
     let view = Arc::new(FleetView::new(NodeClock::start(), Arc::from("zone-1"), 1));
     for row in &stored {
@@ -145,9 +146,9 @@
     let records: Vec<StorageRecord> = view.storage().records().cloned().collect();
     assert_eq!(records, (1..=3).map(storage_record).collect::<Vec<_>>());
 
-    assert!(view.crashes().quarantined_for(fatal(), CRASHED_AT).is_some());
+    assert!(view.crashes().quarantined_for(crashing_digest(), CRASHED_AT).is_some());
 
-    let (founders, mut told) = mpsc::unbounded_channel();
-    bootstrap_group(view, Arc::new(Puts::default()), NodeId(1), 1, founders).await;
-    assert_eq!(told.recv().await, Some(GroupMembership::of_voters((1..=3).map(NodeId))));
+    let (memberships, mut received) = mpsc::unbounded_channel();
+    bootstrap_group(view, Arc::new(RecordingStore::default()), NodeId(1), 1, memberships).await;
+    assert_eq!(received.recv().await, Some(GroupMembership::of_voters((1..=3).map(NodeId))));
 }
