--- a/crates/core/src/serving/workers/cold_start.rs
+++ b/crates/core/src/serving/workers/cold_start.rs
@@ -35,7 +35,7 @@
     /// Requests a second that a cold worker bears, from all nodes together.
     pub per_s: MilliRequests,
     /// For how long a worker is cold after its start.
-    pub duration: Millis,
+    pub lasts: Millis,
 }
 
 /// What one node knows of a worker's cold start.
@@ -86,8 +86,8 @@
     pub(super) fn chill_from(&mut self, id: &WorkerId, from: Timestamp) {
         let Some(entry) = self.workers.get_mut(id) else { return };
         let Some(cold_start) = self.cold_starts.get(&entry.record.service) else { return };
-        entry.warmth.chill(from + cold_start.duration);
-        self.cold_until = self.cold_until.max(from + cold_start.duration);
+        entry.warmth.chill(from + cold_start.lasts);
+        self.cold_until = self.cold_until.max(from + cold_start.lasts);
     }
 
     /// The same of all workers in a zone.
--- a/crates/core/tests/cold_start_simulation.rs
+++ b/crates/core/tests/cold_start_simulation.rs
@@ -16,7 +16,7 @@
 
 const SERVICE: &str = "service";
 const STEP: Millis = Millis(5);
-const COLD_START: ColdStart = ColdStart { per_s: MilliRequests(23_000), duration: Millis(3_000) };
+const COLD_START: ColdStart = ColdStart { per_s: MilliRequests(23_000), lasts: Millis(3_000) };
 /// What the operators allow in one second: one and a half times what a cold worker bears, and five.
 const MOST_IN_A_SECOND: usize = 39;
 
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -15,7 +15,7 @@
 use stallmoor_core::time::{Millis, Timestamp};
 
 const SERVICE: &str = "service";
-const COLD_START: ColdStart = ColdStart { per_s: MilliRequests(20_000), duration: Millis(3_000) };
+const COLD_START: ColdStart = ColdStart { per_s: MilliRequests(20_000), lasts: Millis(3_000) };
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(1_000_000 + millis)
