--- a/crates/core/src/serving/workers/cold_start.rs
+++ b/crates/core/src/serving/workers/cold_start.rs
@@ -35,7 +35,7 @@
     /// Maximum request rate of a cold worker, from all nodes together.
     pub per_s: MilliRequests,
     /// How long a worker is cold after its start.
-    pub duration: Millis,
+    pub lasts: Millis,
 }
 
 /// Cold start state of a worker, and this node's permits for it.
@@ -85,8 +85,8 @@
     pub(super) fn mark_cold_from(&mut self, id: &WorkerId, from: Timestamp) {
         let Some(entry) = self.workers.get_mut(id) else { return };
         let Some(cold_start) = self.cold_starts.get(&entry.record.service) else { return };
-        entry.cold_state.extend_cold_period(from + cold_start.duration);
-        self.cold_until = self.cold_until.max(from + cold_start.duration);
+        entry.cold_state.extend_cold_period(from + cold_start.lasts);
+        self.cold_until = self.cold_until.max(from + cold_start.lasts);
     }
 
     /// Treats all workers of a zone as cold from `from` on.
