--- a/crates/core/src/serving/jobs/node/messages.rs
+++ b/crates/core/src/serving/jobs/node/messages.rs
@@ -67,7 +67,7 @@
 
 impl std::fmt::Display for UnreadableSnapshot {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "cannot decode the snapshot of the job table at log index {}", self.index.0)
+        write!(formatter, "the snapshot up to entry {} of the job table's log", self.index.0)
     }
 }
 
--- a/crates/core/src/serving/relay/contents.rs
+++ b/crates/core/src/serving/relay/contents.rs
@@ -38,16 +38,16 @@
 #[derive(Debug, Snafu)]
 pub enum ContentsError {
     /// The compressed data is truncated or corrupt.
-    #[snafu(display("cannot decompress contents: {source}"))]
+    #[snafu(display("contents that can't be unpacked: {source}"))]
     Damaged {
         /// Error of the decompressor.
         source: io::Error,
     },
     /// The decompressed data exceeds the size limit.
-    #[snafu(display("decompressed contents exceed {MAX_UNPACKED_BYTES} bytes"))]
+    #[snafu(display("contents of over {MAX_UNPACKED_BYTES} bytes"))]
     TooLarge,
     /// The decompressed data is not a list of items.
-    #[snafu(display("cannot deserialize items: {source}"))]
+    #[snafu(display("contents that hold no items: {source}"))]
     Malformed {
         /// Error of the deserializer.
         source: postcard::Error,
--- a/crates/core/src/serving/workers/loads.rs
+++ b/crates/core/src/serving/workers/loads.rs
@@ -150,7 +150,7 @@
     pub fn describe(&self, id: &WorkerId, now: Timestamp) -> String {
         let Some(entry) = self.workers.get(id) else { return String::new() };
         format!(
-            "load {} of {} slots, {} batch items, peer load {:?}",
+            "load {} of {} slots, {} of batch, {:?}",
             entry.estimated_load(now),
             entry.record.slots,
             entry.batch_in_flight,
