--- a/crates/core/src/serving/workers/permit_grants.rs
+++ b/crates/core/src/serving/workers/permit_grants.rs
@@ -2,8 +2,8 @@
 //! started.
 //!
 //! Invariant: in any second, permits allow at most one second's worth of the worker's rate limit plus
-//! [`MAX_ACCUMULATED_PERMITS`] requests to a worker. Permits used in a given second were granted in that second or up
-//! to [`PERMIT_LIFETIME`] earlier, for which [`GRANTED_FRACTION`] compensates. A new leader starts without accumulated
+//! `MAX_ACCUMULATED_PERMITS` requests to a worker. Permits used in a given second were granted in that second or up
+//! to [`PERMIT_LIFETIME`] earlier, for which `GRANTED_FRACTION` compensates. A new leader starts without accumulated
 //! permits, because permits of its predecessor may still be valid, and a replica that cannot prove its leadership
 //! grants nothing.
 
