--- a/crates/core/tests/cold_start_simulation.rs
+++ b/crates/core/tests/cold_start_simulation.rs
@@ -16,7 +16,7 @@
 
 const SERVICE: &str = "service";
 const STEP: Millis = Millis(5);
-const COLD_START: ColdStart = ColdStart { per_s: MilliRequests(23_000), duration: Millis(3_000) };
+const COLD_START: ColdStart = ColdStart { per_s: MilliRequests(23_000), lasts: Millis(3_000) };
 /// Limit on requests to one cold worker within a second: 1.5 times its rate limit, plus 5.
 const MAX_REQUESTS_PER_SECOND: usize = 39;
 
