--- a/crates/core/src/log_event.rs
+++ b/crates/core/src/log_event.rs
@@ -82,7 +82,7 @@
     EngineEjected = 501, Warning, "An engine failed repeatedly and is temporarily excluded.";
     EngineReturned = 502, Information, "An engine receives work again.";
     PieceDropped = 503, Warning, "A response chunk that was late or belonged to another attempt was dropped.";
-    RequestMoved = 504, Information, "A request was moved to another engine.";
+    RequestMoved = 504, Information, "A request moved to another engine.";
     RequestRefused = 505, Information, "A request was refused.";
     RetryBudgetSpent = 506, Warning, "A retry was abandoned because the retry budget is exhausted.";
     WorkerSeen = 510, Information, "A worker was discovered and receives requests.";
