--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,55 +1,55 @@
-//! Why the data folder can't be used.
+//! Errors of the data folder.
 
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Why the data folder can't be used.
+/// An error opening, reading or writing a data folder.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// Another process has it open.
+    /// Another process has the folder open.
     #[snafu(display("data folder {} is in use by another process", folder.display()))]
     Locked {
-        /// The folder.
+        /// Path of the data folder.
         folder: PathBuf,
     },
-    /// It was formatted by a node at another address.
+    /// The folder was formatted by a node at another address.
     #[snafu(display(
-        "data folder {} belongs to the node at {owner}; if that node is gone for good and this one takes its place, \
-         start once with --adopt-data-folder",
+        "data folder {} belongs to the node at {owner}; if this node permanently replaces that one, \
+         start it once with --adopt-data-folder",
         folder.display()
     ))]
-    Foreign {
-        /// The folder.
+    OwnedByOtherNode {
+        /// Path of the data folder.
         folder: PathBuf,
-        /// Whose it is.
+        /// Peer address of the node that owns the folder.
         owner: String,
     },
-    /// It was written by a version that this one can't read.
-    #[snafu(display("data folder {} has format {found}, not {expected}", folder.display()))]
-    OtherFormat {
-        /// The folder.
+    /// The folder has a format that this version does not support.
+    #[snafu(display("data folder {} has unsupported format {found} (expected {expected})", folder.display()))]
+    UnsupportedFormat {
+        /// Path of the data folder.
         folder: PathBuf,
-        /// Its format.
+        /// Format version recorded in the folder.
         found: u32,
-        /// The format of this version.
+        /// Format version that this version reads and writes.
         expected: u32,
     },
-    /// The file system refused something.
-    #[snafu(display("data folder {}: {source}", folder.display()))]
-    Folder {
-        /// The folder.
+    /// A file system operation failed.
+    #[snafu(display("I/O error in data folder {}: {source}", folder.display()))]
+    Io {
+        /// Path of the data folder.
         folder: PathBuf,
-        /// What it said.
+        /// The underlying I/O error.
         source: std::io::Error,
     },
-    /// The database refused something, for want of space for instance.
-    #[snafu(display("data folder {}: {source}", folder.display()))]
+    /// A database operation failed, for example because the disk is full.
+    #[snafu(display("database error in data folder {}: {source}", folder.display()))]
     Database {
-        /// The folder.
+        /// Path of the data folder.
         folder: PathBuf,
-        /// What it said.
+        /// The underlying database error.
         source: redb::Error,
     },
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,11 +1,13 @@
-//! What a storing node keeps on its disk: its identity, its replicas' logs and snapshots, and the
-//! newest configuration.
+//! Durable state of a storage node: its identity, the logs and snapshots of its replicas, and the latest
+//! configuration.
 //!
-//! [`Store`] keeps everything in one `redb` file in the data folder, locked while open. Storing nodes of
-//! the users' platform, whose disks are small, keep only their identity there and each replica in
-//! [`ReplicaLog`] files. Each value carries a checksum. A folder that fails its checksums is set aside and formatted anew with a new identity:
-//! what it acknowledged can't be relied on, so the node must not vote as the one it was; its replicas
-//! are rebuilt from their peers.
+//! [`Store`] keeps everything in one `redb` file in the data folder, which is locked while open. Storage nodes with
+//! small disks use [`ReplicaFolder`] instead, which stores only the identity in the database and each replica in
+//! [`ReplicaLog`] files.
+//!
+//! Every value has a checksum. If one does not match, the store is set aside and the folder is formatted with a new
+//! identity: acknowledged writes may be lost, so the node must not vote under its previous identity. Its replicas are
+//! rebuilt from their peers.
 
 mod checked;
 mod error;
@@ -16,5 +18,5 @@
 
 pub use error::StorageError;
 pub use replica_folder::ReplicaFolder;
-pub use replica_log::{FoundReplica, ReplicaLog, groups_in};
+pub use replica_log::{OpenedReplica, ReplicaLog, list_groups};
 pub use store::{FolderOwner, OpenedStore, Store, StoreWrite};
--- a/crates/storage/src/replica_folder.rs
+++ b/crates/storage/src/replica_folder.rs
@@ -1,4 +1,4 @@
-//! A data folder whose replicas lie in files of their own, and the identity that they belong to.
+//! A data folder that stores each replica in separate files, next to the node's identity.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -7,54 +7,56 @@
 use snafu::ResultExt;
 use stallmoor_core::identity::{GroupId, NodeId};
 
-use crate::error::{FolderSnafu, StorageError};
-use crate::replica_log::{FoundReplica, ReplicaLog, groups_in, replica_files};
+use crate::error::{IoSnafu, StorageError};
+use crate::replica_log::{OpenedReplica, ReplicaLog, list_groups, replica_files};
 use crate::store::{FolderOwner, Store};
 
-/// A data folder that was opened, and the replicas that it holds.
+/// An open data folder and its replicas.
 pub struct ReplicaFolder {
     folder: PathBuf,
-    /// The node's identity.
+    /// Identity of the node that the folder belongs to.
     pub identity: NodeId,
-    /// The folder was blank, or what it held could not be used.
+    /// Whether the folder was formatted while opening it, because it was empty or damaged.
     pub formatted: bool,
-    /// Where a damaged store was set aside to.
+    /// Path to which a damaged store was moved, if there was one.
     pub set_aside: Option<PathBuf>,
     replicas: BTreeMap<GroupId, ReplicaLog>,
-    /// Holds the identity, and keeps other processes out.
+    /// Stores the identity. Kept open to lock the folder against other processes.
     _store: Store,
 }
 
 impl ReplicaFolder {
-    /// Opens a folder, or formats a blank one. If any replica is damaged, everything is dropped and the
-    /// folder gets a new identity: the node must not vote as the one it was.
+    /// Opens a folder, or formats an empty one. If any replica is damaged, all replicas are removed and the folder
+    /// gets a new identity, so that the node cannot vote under the previous one.
+    ///
+    /// A replica counts as damaged unless `is_readable` accepts the state of its snapshot.
     ///
     /// # Errors
     ///
-    /// The folder is in use, belongs to another node, has another format, or can't be written.
+    /// The folder is in use, belongs to another node, has an unsupported format, or cannot be read or written.
     pub fn open(folder: &Path, owner: &FolderOwner, is_readable: fn(&[u8]) -> bool) -> Result<Self, StorageError> {
         let opened = Store::open_checked(folder, owner, is_readable)?;
         if opened.formatted {
-            // Replicas that lie beside a store that is gone belong to another identity.
+            // Replicas without their store belong to a previous identity.
             remove_replicas(folder)?;
         }
         let mut replicas = BTreeMap::new();
-        for group in groups_in(folder)? {
+        for group in list_groups(folder)? {
             match ReplicaLog::open(folder, group)? {
-                FoundReplica::Sound(log) if is_readable(&log.contents().snapshot.state) => {
+                OpenedReplica::Valid(log) if is_readable(&log.contents().snapshot.state) => {
                     replicas.insert(group, *log);
                 }
-                FoundReplica::Blank => {}
-                FoundReplica::Sound(_) | FoundReplica::Damaged => {
+                OpenedReplica::Missing => {}
+                OpenedReplica::Valid(_) | OpenedReplica::Damaged => {
                     drop((replicas, opened));
-                    return Self::start_anew(folder, owner, is_readable);
+                    return Self::reformat(folder, owner, is_readable);
                 }
             }
         }
         for (group, persisted) in opened.persisted.groups {
-            // An earlier version kept replicas in the store.
-            if let std::collections::btree_map::Entry::Vacant(place) = replicas.entry(group) {
-                place.insert(ReplicaLog::create(folder, group, persisted)?);
+            // Migrates replicas that an earlier version kept in the store.
+            if let std::collections::btree_map::Entry::Vacant(vacant) = replicas.entry(group) {
+                vacant.insert(ReplicaLog::create(folder, group, persisted)?);
             }
         }
         opened.store.clear_replicas()?;
@@ -68,24 +70,24 @@
         })
     }
 
-    fn start_anew(folder: &Path, owner: &FolderOwner, is_readable: fn(&[u8]) -> bool) -> Result<Self, StorageError> {
-        // The identity goes first: without it, what is left of the replicas is never used.
+    fn reformat(folder: &Path, owner: &FolderOwner, is_readable: fn(&[u8]) -> bool) -> Result<Self, StorageError> {
+        // The identity is removed first: if a crash interrupts this, the next open discards the remaining replicas.
         let aside = Store::set_aside(folder)?;
         remove_replicas(folder)?;
-        let anew = Self::open(folder, owner, is_readable)?;
-        Ok(Self { set_aside: Some(aside), ..anew })
+        let reformatted = Self::open(folder, owner, is_readable)?;
+        Ok(Self { set_aside: Some(aside), ..reformatted })
     }
 
-    /// The groups that there are replicas of.
+    /// Returns the groups whose replicas are in the folder and have not been taken.
     pub fn groups(&self) -> impl Iterator<Item = GroupId> + '_ {
         self.replicas.keys().copied()
     }
 
-    /// Hands over a group's replica, which is made if there is none.
+    /// Takes the replica of a group, and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// The disk refuses.
+    /// The files of a new replica cannot be written.
     pub fn take(&mut self, group: GroupId) -> Result<ReplicaLog, StorageError> {
         match self.replicas.remove(&group) {
             Some(log) => Ok(log),
@@ -96,7 +98,7 @@
 
 fn remove_replicas(folder: &Path) -> Result<(), StorageError> {
     for path in replica_files(folder)? {
-        fs::remove_file(path).context(FolderSnafu { folder })?;
+        fs::remove_file(path).context(IoSnafu { folder })?;
     }
     Ok(())
 }
--- a/crates/storage/src/replica_log.rs
+++ b/crates/storage/src/replica_log.rs
@@ -1,15 +1,15 @@
-//! The log and snapshot of one replica, in files of its own.
+//! The log and snapshot files of one replica.
 //!
-//! A replica has one generation of files at a time: `replica-G.N.snapshot` with the state that the
-//! snapshot stands for, and `replica-G.N.log` with records that are appended and synced. A new snapshot
-//! begins generation N + 1; the files of generation N are removed once those of N + 1 are durable, names
-//! included. So the disk holds two snapshots at most, and nothing is ever written in place.
+//! A replica of group G has one generation N of files at a time: `replica-G.N.snapshot` with the state of the snapshot,
+//! and `replica-G.N.log`, to which records are appended and synced. A new snapshot starts generation N + 1. The files
+//! of generation N are removed once those of N + 1 and their directory entries are durable, so there are at most two
+//! snapshots on disk and no file is overwritten in place.
 //!
-//! A snapshot that the replica took itself is written by a thread of its own, since compressing a large
-//! state takes longer than a leader may be silent; until it is durable, the log of generation N goes on and
-//! still holds everything. A snapshot that came from a leader has to be durable before it is answered.
+//! A snapshot that the replica took itself is written by a separate thread, because compressing a large state can take
+//! longer than the election timeout. Until it is durable, records are still appended to the complete log of generation
+//! N. A snapshot received from the leader must be durable before it is acknowledged.
 //!
-//! After a loss of power the last record may be torn or missing; it was never acknowledged and is cut off.
+//! After a power failure the last record may be torn or missing. It was never acknowledged, and is truncated.
 
 use std::ffi::OsStr;
 use std::fs::{self, File, OpenOptions};
@@ -25,12 +25,12 @@
     Entry, GroupMembership, HardState, LogIndex, LogWrite, PersistedReplica, Snapshot, Term,
 };
 
-use crate::error::{FolderSnafu, StorageError};
+use crate::error::{IoSnafu, StorageError};
 use crate::record;
 
-/// The first record of a log file: all of the replica but the snapshot's state.
+/// The first record of a log file: the replica without the state of its snapshot.
 #[derive(Serialize, Deserialize)]
-struct Beginning {
+struct LogHeader {
     hard_state: HardState,
     index: LogIndex,
     term: Term,
@@ -38,9 +38,9 @@
     entries: Vec<Entry>,
 }
 
-/// Each further record: a write without a snapshot.
+/// Any record after the first: a write without its snapshot.
 #[derive(Serialize, Deserialize)]
-struct Change {
+struct LogRecord {
     hard_state: Option<HardState>,
     truncate_from: Option<LogIndex>,
     entries: Vec<Entry>,
@@ -59,21 +59,21 @@
         Self { number, log: file("log"), snapshot: file("snapshot") }
     }
 
-    /// Reads the generation. Returns what it holds and how many bytes of the log are sound; `None` if it
-    /// was never complete.
+    /// Reads the generation. Returns the replica and the length of the valid part of the log in bytes, or `None` if
+    /// the log's first record or the snapshot is missing or invalid.
     fn read(&self) -> io::Result<Option<(PersistedReplica, u64)>> {
         let bytes = fs::read(&self.log)?;
-        let Some((beginning, mut place)) = record::decode::<Beginning>(&bytes) else { return Ok(None) };
-        let Some(state) = self.read_state(beginning.index)? else { return Ok(None) };
-        let Beginning { hard_state, index, term, membership, entries } = beginning;
+        let Some((header, mut offset)) = record::decode::<LogHeader>(&bytes) else { return Ok(None) };
+        let Some(state) = self.read_state(header.index)? else { return Ok(None) };
+        let LogHeader { hard_state, index, term, membership, entries } = header;
         let snapshot = Snapshot { index, term, membership, state };
         let mut replica = PersistedReplica { hard_state, snapshot, entries };
-        while let Some((change, length)) = record::decode::<Change>(&bytes[place..]) {
-            let Change { hard_state, truncate_from, entries } = change;
+        while let Some((log_record, length)) = record::decode::<LogRecord>(&bytes[offset..]) {
+            let LogRecord { hard_state, truncate_from, entries } = log_record;
             replica.write(&LogWrite { hard_state, truncate_from, entries, snapshot: None });
-            place += length;
+            offset += length;
         }
-        Ok(Some((replica, place as u64)))
+        Ok(Some((replica, offset as u64)))
     }
 
     fn read_state(&self, index: LogIndex) -> io::Result<Option<Arc<[u8]>>> {
@@ -106,59 +106,59 @@
     }
 }
 
-/// The log and snapshot of one replica on the disk.
+/// The log and snapshot of one replica on disk.
 pub struct ReplicaLog {
     folder: PathBuf,
     group: GroupId,
     generation: u64,
     file: File,
-    /// What the files hold. Payloads are shared with the replica in memory.
+    /// The replica as written to the files. Payloads are shared with the replica in memory.
     contents: PersistedReplica,
-    /// Bytes of the log file.
+    /// Size of the log file.
     bytes: u64,
-    /// Bytes of the snapshot's file.
+    /// Size of the snapshot file.
     snapshot_bytes: u64,
-    /// The next generation's snapshot, while it is being written.
+    /// Thread that writes the snapshot of the next generation.
     next_snapshot: Option<JoinHandle<io::Result<()>>>,
 }
 
-/// A replica's files as they were found.
-pub enum FoundReplica {
-    /// There are none.
-    Blank,
-    /// They are sound.
-    Sound(Box<ReplicaLog>),
-    /// There are files, and none of them can be used.
+/// The result of opening the files of a replica.
+pub enum OpenedReplica {
+    /// The replica has no files.
+    Missing,
+    /// The replica was read from its latest complete generation.
+    Valid(Box<ReplicaLog>),
+    /// The replica has files, but no complete generation.
     Damaged,
 }
 
 impl ReplicaLog {
-    /// Opens a replica's files.
+    /// Opens the files of a replica, truncates a torn record and removes other generations.
     ///
     /// # Errors
     ///
-    /// The file system refused something.
-    pub fn open(folder: &Path, group: GroupId) -> Result<FoundReplica, StorageError> {
-        Self::try_open(folder, group).context(FolderSnafu { folder })
+    /// A file cannot be read, truncated or removed.
+    pub fn open(folder: &Path, group: GroupId) -> Result<OpenedReplica, StorageError> {
+        Self::try_open(folder, group).context(IoSnafu { folder })
     }
 
-    fn try_open(folder: &Path, group: GroupId) -> io::Result<FoundReplica> {
+    fn try_open(folder: &Path, group: GroupId) -> io::Result<OpenedReplica> {
         let mut generations = find_generations(folder, group)?;
         if generations.is_empty() {
-            return Ok(FoundReplica::Blank);
+            return Ok(OpenedReplica::Missing);
         }
         generations.sort_by_key(|generation| std::cmp::Reverse(generation.number));
         let mut found = None;
         for generation in &generations {
             if found.is_none()
-                && let Some((contents, sound_bytes)) = generation.read()?
+                && let Some((contents, valid_bytes)) = generation.read()?
             {
-                found = Some((generation.number, contents, sound_bytes));
+                found = Some((generation.number, contents, valid_bytes));
             } else {
                 generation.remove()?;
             }
         }
-        let Some((number, contents, bytes)) = found else { return Ok(FoundReplica::Damaged) };
+        let Some((number, contents, bytes)) = found else { return Ok(OpenedReplica::Damaged) };
         let path = Generation::new(folder, group, number).log;
         let file = OpenOptions::new().append(true).open(path)?;
         file.set_len(bytes)?;
@@ -168,14 +168,14 @@
         let folder = folder.to_owned();
         let log =
             Self { folder, group, generation: number, file, contents, bytes, snapshot_bytes, next_snapshot: None };
-        Ok(FoundReplica::Sound(Box::new(log)))
+        Ok(OpenedReplica::Valid(Box::new(log)))
     }
 
-    /// Makes the first generation of a replica's files.
+    /// Writes the first generation of a replica's files.
     ///
     /// # Errors
     ///
-    /// The file system refused something.
+    /// A file cannot be written.
     pub fn create(folder: &Path, group: GroupId, contents: PersistedReplica) -> Result<Self, StorageError> {
         let make = || {
             let first = Generation::new(folder, group, 1);
@@ -183,60 +183,60 @@
             sync_folder(folder)?;
             Ok((file, bytes, first.snapshot_bytes()?))
         };
-        let (file, bytes, snapshot_bytes) = make().context(FolderSnafu { folder })?;
+        let (file, bytes, snapshot_bytes) = make().context(IoSnafu { folder })?;
         let folder = folder.to_owned();
         Ok(Self { folder, group, generation: 1, file, contents, bytes, snapshot_bytes, next_snapshot: None })
     }
 
-    /// What the files hold.
+    /// Returns the replica as written to the files, including a snapshot that is still being written.
     pub fn contents(&self) -> &PersistedReplica {
         &self.contents
     }
 
-    /// Bytes of both files.
+    /// Returns the total size of the log and snapshot files in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes + self.snapshot_bytes
     }
 
-    /// Carries out writes, in order and durably.
+    /// Applies writes in order and makes them durable. A snapshot taken by the replica itself may become durable later.
     ///
     /// # Errors
     ///
-    /// The disk refused, for want of space for instance. Nothing of the writes may be relied on.
+    /// A file cannot be written, for example because the disk is full. Any part of the writes may be lost.
     pub fn write(&mut self, writes: &[LogWrite]) -> Result<(), StorageError> {
-        self.try_write(writes).context(FolderSnafu { folder: &self.folder })
+        self.try_write(writes).context(IoSnafu { folder: &self.folder })
     }
 
-    /// Waits until a snapshot that is being written stands in for the log.
+    /// Waits until a snapshot that is being written is durable and has replaced the previous generation.
     ///
     /// # Errors
     ///
-    /// The disk refused.
+    /// The snapshot or the new log cannot be written.
     pub fn settle(&mut self) -> Result<(), StorageError> {
-        self.finish_generation().context(FolderSnafu { folder: &self.folder })
+        self.finish_generation().context(IoSnafu { folder: &self.folder })
     }
 
     fn try_write(&mut self, writes: &[LogWrite]) -> io::Result<()> {
         let mut records = Vec::new();
-        let mut must_be_whole = false;
+        let mut must_be_durable = false;
         for write in writes {
             if write.snapshot.is_some() {
                 self.finish_generation()?;
             }
             self.contents.write(write);
-            if write.snapshot.is_some() && is_own_snapshot(write) {
+            if write.snapshot.is_some() && is_local_snapshot(write) {
                 self.start_generation()?;
             } else if write.snapshot.is_some() {
-                must_be_whole = true;
+                must_be_durable = true;
             }
-            let change = Change {
+            let log_record = LogRecord {
                 hard_state: write.hard_state,
                 truncate_from: write.truncate_from,
                 entries: write.entries.clone(),
             };
-            records.extend(record::encode(&change)?);
+            records.extend(record::encode(&log_record)?);
         }
-        if must_be_whole {
+        if must_be_durable {
             self.start_generation()?;
             return self.finish_generation();
         }
@@ -253,10 +253,10 @@
         Generation::new(&self.folder, self.group, self.generation + 1)
     }
 
-    /// Starts to write the next generation's snapshot.
+    /// Starts a thread that writes the snapshot of the next generation.
     fn start_generation(&mut self) -> io::Result<()> {
-        if let Some(earlier) = self.next_snapshot.take() {
-            join(earlier)?;
+        if let Some(unfinished) = self.next_snapshot.take() {
+            join(unfinished)?;
         }
         let (path, state) = (self.next_generation().snapshot, self.contents.snapshot.state.clone());
         let thread = std::thread::Builder::new().name(format!("snapshot-{}", self.group.0));
@@ -264,43 +264,43 @@
         Ok(())
     }
 
-    /// Waits for the next generation's snapshot, if one is being written, puts its log beside it, and
-    /// removes the earlier generation.
+    /// If the snapshot of the next generation is being written, waits for it, writes the log of that generation and
+    /// removes the previous one.
     fn finish_generation(&mut self) -> io::Result<()> {
         let Some(snapshot) = self.next_snapshot.take() else { return Ok(()) };
         join(snapshot)?;
         let next = self.next_generation();
         let (file, bytes) = write_log(&next, &self.contents)?;
         sync_folder(&self.folder)?;
-        let former = Generation::new(&self.folder, self.group, self.generation);
+        let previous = Generation::new(&self.folder, self.group, self.generation);
         self.file = file;
         self.bytes = bytes;
         self.generation = next.number;
         self.snapshot_bytes = next.snapshot_bytes()?;
-        former.remove()
+        previous.remove()
     }
 }
 
 impl Drop for ReplicaLog {
-    /// No thread may write to files that another opening may use.
+    /// Waits for the snapshot thread, so that it cannot write to files that are opened again.
     fn drop(&mut self) {
         if let Some(snapshot) = self.next_snapshot.take() {
-            // The earlier generation holds everything, so a snapshot that failed is not missed.
+            // The current generation is complete, so a failed snapshot loses no data.
             let _ = join(snapshot);
         }
     }
 }
 
-/// Whether a write's snapshot was taken by the replica itself: one from a leader replaces the whole log.
-fn is_own_snapshot(write: &LogWrite) -> bool {
+/// Returns whether the replica took the snapshot of a write itself. A snapshot from the leader truncates the log.
+fn is_local_snapshot(write: &LogWrite) -> bool {
     write.truncate_from.is_none()
 }
 
 fn join(thread: JoinHandle<io::Result<()>>) -> io::Result<()> {
-    thread.join().unwrap_or_else(|_| Err(io::Error::other("the thread that writes the snapshot panicked")))
+    thread.join().unwrap_or_else(|_| Err(io::Error::other("snapshot writer thread panicked")))
 }
 
-/// Writes both files of a generation and syncs their contents.
+/// Writes the snapshot, if there is one, and the log of a generation, and syncs both files.
 fn write_generation(generation: &Generation, contents: &PersistedReplica) -> io::Result<(File, u64)> {
     if contents.snapshot.index > LogIndex(0) {
         write_snapshot(&generation.snapshot, &contents.snapshot.state)?;
@@ -315,21 +315,21 @@
 }
 
 fn write_log(generation: &Generation, contents: &PersistedReplica) -> io::Result<(File, u64)> {
-    let beginning = Beginning {
+    let header = LogHeader {
         hard_state: contents.hard_state,
         index: contents.snapshot.index,
         term: contents.snapshot.term,
         membership: contents.snapshot.membership.clone(),
         entries: contents.entries.clone(),
     };
-    let bytes = record::encode(&beginning)?;
+    let bytes = record::encode(&header)?;
     let mut file = File::create(&generation.log)?;
     file.write_all(&bytes)?;
     file.sync_all()?;
     Ok((file, bytes.len() as u64))
 }
 
-/// The generations of a replica of which there is a log file, whole or not.
+/// Returns the generations of a replica that have a log file, complete or not.
 fn find_generations(folder: &Path, group: GroupId) -> io::Result<Vec<Generation>> {
     let prefix = format!("replica-{}.", group.0);
     let mut found = Vec::new();
@@ -341,40 +341,40 @@
     Ok(found)
 }
 
-/// The groups that have files in a folder.
+/// Returns the groups that have replica files in a folder, in ascending order.
 ///
 /// # Errors
 ///
-/// The folder can't be read.
-pub fn groups_in(folder: &Path) -> Result<Vec<GroupId>, StorageError> {
+/// The folder cannot be read.
+pub fn list_groups(folder: &Path) -> Result<Vec<GroupId>, StorageError> {
     let files = replica_files(folder)?;
-    let mut groups: Vec<GroupId> = files.iter().filter_map(|path| group_of(path.file_name()?)).collect();
+    let mut groups: Vec<GroupId> = files.iter().filter_map(|path| parse_group(path.file_name()?)).collect();
     groups.sort_unstable();
     groups.dedup();
     Ok(groups)
 }
 
-/// The files of all replicas in a folder.
+/// Returns the paths of all replica files in a folder.
 pub(crate) fn replica_files(folder: &Path) -> Result<Vec<PathBuf>, StorageError> {
     let list = || -> io::Result<Vec<PathBuf>> {
         let mut files = Vec::new();
         for file in fs::read_dir(folder)? {
             let file = file?;
-            if group_of(&file.file_name()).is_some() {
+            if parse_group(&file.file_name()).is_some() {
                 files.push(file.path());
             }
         }
         Ok(files)
     };
-    list().context(FolderSnafu { folder })
+    list().context(IoSnafu { folder })
 }
 
-fn group_of(name: &OsStr) -> Option<GroupId> {
+fn parse_group(name: &OsStr) -> Option<GroupId> {
     let (group, _) = name.to_str()?.strip_prefix("replica-")?.split_once('.')?;
     group.parse().ok().map(GroupId)
 }
 
-/// Makes names that were made, renamed or removed in a folder durable.
+/// Makes the creation, renaming and removal of files in a folder durable.
 fn sync_folder(folder: &Path) -> io::Result<()> {
     File::open(folder)?.sync_all()
 }
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,4 +1,4 @@
-//! The store of one node.
+//! The `redb` database of a node.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,11 +16,10 @@
 use stallmoor_core::replication::{Entry, HardState, LogIndex, LogWrite, PersistedReplica, Snapshot};
 
 use crate::checked::{self, Damaged};
-use crate::error::{DatabaseSnafu, FolderSnafu, StorageError};
+use crate::error::{DatabaseSnafu, IoSnafu, StorageError};
 
-/// The format that this version writes.
+/// Version of the data folder's format.
 const FORMAT: u32 = 1;
-/// The database's file in the data folder.
 const FILE_NAME: &str = "store.redb";
 
 const HEADER: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("header");
@@ -32,18 +31,18 @@
 const HEADER_KEY: &str = "header";
 const CONFIGURATION_KEY: &str = "newest";
 
-/// Whose folder it is.
+/// The node that opens a data folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FolderOwner {
-    /// The node's address for peers.
+    /// Address at which peers reach the node.
     pub peer_address: String,
-    /// Take the folder over from a node at another address.
+    /// Whether to take over a folder that belongs to a node at another address.
     pub adopt: bool,
-    /// The identity to give a blank folder.
+    /// Identity assigned to the folder if it is formatted.
     pub fresh_identity: NodeId,
 }
 
-/// The first thing written to a folder.
+/// Format, identity and owner of a data folder. Written when the folder is formatted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Header {
     format: u32,
@@ -51,91 +50,90 @@
     owner: String,
 }
 
-/// The newest configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct StoredConfiguration {
     manifest: Manifest,
     contents: PartContents,
 }
 
-/// Everything that one batch of events wrote.
+/// Writes that are committed in one transaction.
 #[derive(Default)]
 pub struct StoreWrite {
-    /// Writes to logs, in order.
+    /// Writes to the logs of groups, in order.
     pub groups: Vec<(GroupId, LogWrite)>,
-    /// The newest configuration, if it changed.
+    /// The latest configuration, if it changed.
     pub configuration: Option<Arc<InForce>>,
 }
 
 impl StoreWrite {
-    /// Whether there is nothing to write.
+    /// Returns whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
         self.groups.is_empty() && self.configuration.is_none()
     }
 }
 
-/// A store that was opened, and what it held.
+/// An open store and its contents.
 pub struct OpenedStore {
-    /// The store.
+    /// The store, which stays locked until it is dropped.
     pub store: Store,
-    /// The node's identity.
+    /// Identity of the node that the folder belongs to.
     pub identity: NodeId,
-    /// What it held.
+    /// State read from the store; empty if the folder was formatted.
     pub persisted: PersistedNode,
-    /// The folder was blank.
+    /// Whether the folder was formatted while opening it, because it was empty or damaged.
     pub formatted: bool,
-    /// Where a damaged store was set aside to.
+    /// Path to which a damaged store was moved, if there was one.
     pub set_aside: Option<PathBuf>,
 }
 
-/// The store of one node.
+/// The database in a node's data folder.
 pub struct Store {
     folder: PathBuf,
     database: Database,
 }
 
-/// Why an existing file can't be used as it is.
-enum Unusable {
+/// Reason why an existing database file cannot be opened.
+enum OpenFailure {
     Damaged,
     Fatal(StorageError),
 }
 
-impl From<Damaged> for Unusable {
+impl From<Damaged> for OpenFailure {
     fn from(_: Damaged) -> Self {
         Self::Damaged
     }
 }
 
 impl Store {
-    /// Opens the store in a folder, or formats a blank one. A damaged store is set aside first.
+    /// Opens the store in a folder, or formats an empty folder. A damaged store is set aside and replaced by a new one.
     ///
     /// # Errors
     ///
-    /// The folder is in use, belongs to another node, has another format, or can't be written.
+    /// The folder is in use, belongs to another node, has an unsupported format, or cannot be read or written.
     pub fn open(folder: &Path, owner: &FolderOwner) -> Result<OpenedStore, StorageError> {
         Self::open_checked(folder, owner, |state| PartitionState::decode(state).is_some())
     }
 
-    /// As [`Store::open`], for replicas of another state machine: a snapshot is damaged unless
-    /// `is_readable` says of its state that it can be read.
+    /// Like [`Store::open`], for replicas of another state machine. A snapshot counts as damaged unless `is_readable`
+    /// accepts its state.
     ///
     /// # Errors
     ///
-    /// As [`Store::open`].
+    /// See [`Store::open`].
     pub fn open_checked(
         folder: &Path,
         owner: &FolderOwner,
         is_readable: fn(&[u8]) -> bool,
     ) -> Result<OpenedStore, StorageError> {
-        fs::create_dir_all(folder).context(FolderSnafu { folder })?;
+        fs::create_dir_all(folder).context(IoSnafu { folder })?;
         let path = folder.join(FILE_NAME);
         if !path.exists() {
             return Self::format(folder, owner, None);
         }
         match Self::open_existing(folder, owner, is_readable) {
             Ok(opened) => Ok(opened),
-            Err(Unusable::Fatal(error)) => Err(error),
-            Err(Unusable::Damaged) => {
+            Err(OpenFailure::Fatal(error)) => Err(error),
+            Err(OpenFailure::Damaged) => {
                 let aside = set_aside(folder)?;
                 Self::format(folder, owner, Some(aside))
             }
@@ -158,22 +156,22 @@
         folder: &Path,
         owner: &FolderOwner,
         is_readable: fn(&[u8]) -> bool,
-    ) -> Result<OpenedStore, Unusable> {
+    ) -> Result<OpenedStore, OpenFailure> {
         let database = match Database::open(folder.join(FILE_NAME)) {
             Ok(database) => database,
             Err(redb::DatabaseError::DatabaseAlreadyOpen) => {
-                return Err(Unusable::Fatal(StorageError::Locked { folder: folder.to_owned() }));
+                return Err(OpenFailure::Fatal(StorageError::Locked { folder: folder.to_owned() }));
             }
             Err(redb::DatabaseError::Storage(redb::StorageError::Io(source)))
                 if source.kind() != std::io::ErrorKind::InvalidData =>
             {
-                return Err(Unusable::Fatal(StorageError::Folder { folder: folder.to_owned(), source }));
+                return Err(OpenFailure::Fatal(StorageError::Io { folder: folder.to_owned(), source }));
             }
-            Err(_) => return Err(Unusable::Damaged),
+            Err(_) => return Err(OpenFailure::Damaged),
         };
         let store = Self { folder: folder.to_owned(), database };
         let header = store.read_header()?;
-        store.check_header(&header, owner).map_err(Unusable::Fatal)?;
+        store.check_header(&header, owner).map_err(OpenFailure::Fatal)?;
         let persisted = store.read_all(is_readable)?;
         Ok(OpenedStore { store, identity: header.identity, persisted, formatted: false, set_aside: None })
     }
@@ -181,22 +179,22 @@
     fn check_header(&self, header: &Header, owner: &FolderOwner) -> Result<(), StorageError> {
         if header.format != FORMAT {
             let folder = self.folder.clone();
-            return Err(StorageError::OtherFormat { folder, found: header.format, expected: FORMAT });
+            return Err(StorageError::UnsupportedFormat { folder, found: header.format, expected: FORMAT });
         }
         if header.owner == owner.peer_address {
             return Ok(());
         }
         if !owner.adopt {
-            return Err(StorageError::Foreign { folder: self.folder.clone(), owner: header.owner.clone() });
+            return Err(StorageError::OwnedByOtherNode { folder: self.folder.clone(), owner: header.owner.clone() });
         }
         self.write_header(&Header { owner: owner.peer_address.clone(), ..header.clone() })
     }
 
-    /// Writes a batch durably, as a whole.
+    /// Writes a batch atomically and durably.
     ///
     /// # Errors
     ///
-    /// The disk refused, for want of space for instance. Nothing of the batch may be relied on.
+    /// The transaction fails, for example because the disk is full. The batch may not have been written.
     pub fn write(&self, batch: &StoreWrite) -> Result<(), StorageError> {
         self.try_write(batch).context(DatabaseSnafu { folder: &self.folder })
     }
@@ -234,17 +232,17 @@
         Ok(())
     }
 
-    /// Removes all logs and snapshots, if there are any.
+    /// Removes all logs and snapshots.
     pub(crate) fn clear_replicas(&self) -> Result<(), StorageError> {
         self.try_clear_replicas().context(DatabaseSnafu { folder: &self.folder })
     }
 
     fn try_clear_replicas(&self) -> Result<(), redb::Error> {
-        let reading = self.database.begin_read()?;
-        if reading.open_table(HARD_STATES)?.is_empty()? && reading.open_table(ENTRIES)?.is_empty()? {
+        let read_transaction = self.database.begin_read()?;
+        if read_transaction.open_table(HARD_STATES)?.is_empty()? && read_transaction.open_table(ENTRIES)?.is_empty()? {
             return Ok(());
         }
-        drop(reading);
+        drop(read_transaction);
         let transaction = self.database.begin_write()?;
         transaction.open_table(HARD_STATES)?.retain(|_, _| false)?;
         transaction.open_table(SNAPSHOTS)?.retain(|_, _| false)?;
@@ -253,7 +251,7 @@
         Ok(())
     }
 
-    /// Sets the store of a folder aside, so that the next opening formats it anew.
+    /// Sets the store in a folder aside, so that the folder is formatted when it is next opened.
     pub(crate) fn set_aside(folder: &Path) -> Result<PathBuf, StorageError> {
         set_aside(folder)
     }
@@ -276,18 +274,18 @@
         Ok(())
     }
 
-    fn read_header(&self) -> Result<Header, Unusable> {
+    fn read_header(&self) -> Result<Header, OpenFailure> {
         let read = || -> Result<Option<Vec<u8>>, redb::Error> {
             let transaction = self.database.begin_read()?;
             let table = transaction.open_table(HEADER)?;
             Ok(table.get(HEADER_KEY)?.map(|value| value.value().to_vec()))
         };
-        let bytes = read().map_err(|_| Unusable::Damaged)?.ok_or(Unusable::Damaged)?;
+        let bytes = read().map_err(|_| OpenFailure::Damaged)?.ok_or(OpenFailure::Damaged)?;
         Ok(checked::decode(&bytes)?)
     }
 
-    fn read_all(&self, is_readable: fn(&[u8]) -> bool) -> Result<PersistedNode, Unusable> {
-        let raw = self.read_raw().map_err(|_| Unusable::Damaged)?;
+    fn read_all(&self, is_readable: fn(&[u8]) -> bool) -> Result<PersistedNode, OpenFailure> {
+        let raw = self.read_raw().map_err(|_| OpenFailure::Damaged)?;
         let mut groups: BTreeMap<GroupId, PersistedReplica> = BTreeMap::new();
         for (group, bytes) in &raw.hard_states {
             groups.entry(GroupId(*group)).or_default().hard_state = checked::decode::<HardState>(bytes)?;
@@ -295,7 +293,7 @@
         for (group, bytes) in &raw.snapshots {
             let snapshot = checked::decode::<Snapshot>(bytes)?;
             if !is_readable(&snapshot.state) {
-                return Err(Unusable::Damaged);
+                return Err(OpenFailure::Damaged);
             }
             groups.entry(GroupId(*group)).or_default().snapshot = snapshot;
         }
@@ -303,7 +301,7 @@
             groups.entry(GroupId(*group)).or_default().entries.push(checked::decode::<Entry>(bytes)?);
         }
         if groups.values().any(|replica| !is_contiguous(replica)) {
-            return Err(Unusable::Damaged);
+            return Err(OpenFailure::Damaged);
         }
         let configuration = match raw.configuration {
             Some(bytes) => {
@@ -327,8 +325,8 @@
             raw.snapshots.push((group.value(), value.value().to_vec()));
         }
         for row in transaction.open_table(ENTRIES)?.iter()? {
-            let (place, value) = row?;
-            raw.entries.push((place.value().0, value.value().to_vec()));
+            let (key, value) = row?;
+            raw.entries.push((key.value().0, value.value().to_vec()));
         }
         let configuration = transaction.open_table(CONFIGURATION)?;
         raw.configuration = configuration.get(CONFIGURATION_KEY)?.map(|value| value.value().to_vec());
@@ -336,7 +334,7 @@
     }
 }
 
-/// Rows as they lie on disk.
+/// Rows of the database, still encoded.
 #[derive(Default)]
 struct RawContents {
     hard_states: Vec<(u32, Vec<u8>)>,
@@ -345,7 +343,7 @@
     configuration: Option<Vec<u8>>,
 }
 
-/// A log without gaps that starts right after its snapshot.
+/// Returns whether the log has no gaps and starts immediately after its snapshot.
 fn is_contiguous(replica: &PersistedReplica) -> bool {
     let mut expected = replica.snapshot.index.next();
     for entry in &replica.entries {
@@ -364,13 +362,13 @@
     }
 }
 
-/// Renames the damaged file, so that an operator can look at it.
+/// Renames the database file, so that an operator can inspect it, and returns its new path.
 fn set_aside(folder: &Path) -> Result<PathBuf, StorageError> {
     let mut number = 1;
     loop {
         let target = folder.join(format!("{FILE_NAME}.damaged-{number}"));
         if !target.exists() {
-            fs::rename(folder.join(FILE_NAME), &target).context(FolderSnafu { folder })?;
+            fs::rename(folder.join(FILE_NAME), &target).context(IoSnafu { folder })?;
             return Ok(target);
         }
         number += 1;
--- a/crates/storage/tests/replica_log.rs
+++ b/crates/storage/tests/replica_log.rs
@@ -1,4 +1,4 @@
-//! A replica's files against the specification of a write, and what a loss of power leaves of them.
+//! Checks that a replica's files hold all durable writes after reopening, and that torn or damaged files are detected.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 use stallmoor_core::replication::{
     Entry, EntryPayload, GroupMembership, HardState, LogIndex, LogWrite, PersistedReplica, Snapshot, Term,
 };
-use stallmoor_storage::{FolderOwner, FoundReplica, ReplicaFolder, ReplicaLog, Store, StoreWrite, groups_in};
+use stallmoor_storage::{FolderOwner, OpenedReplica, ReplicaFolder, ReplicaLog, Store, StoreWrite, list_groups};
 
 const GROUP: GroupId = GroupId(3);
 
@@ -30,72 +30,72 @@
 }
 
 fn create(folder: &Path) -> ReplicaLog {
-    ReplicaLog::create(folder, GROUP, PersistedReplica::default()).expect("it is made")
+    ReplicaLog::create(folder, GROUP, PersistedReplica::default()).expect("create replica")
 }
 
 fn reopen(folder: &Path) -> ReplicaLog {
-    match ReplicaLog::open(folder, GROUP).expect("it can be read") {
-        FoundReplica::Sound(log) => *log,
-        FoundReplica::Blank => panic!("the files are gone"),
-        FoundReplica::Damaged => panic!("the files are damaged"),
+    match ReplicaLog::open(folder, GROUP).expect("open replica") {
+        OpenedReplica::Valid(log) => *log,
+        OpenedReplica::Missing => panic!("the replica has no files"),
+        OpenedReplica::Damaged => panic!("the replica files are damaged"),
     }
 }
 
 fn files(folder: &Path, kind: &str) -> Vec<PathBuf> {
-    let paths = fs::read_dir(folder).expect("a folder").map(|file| file.expect("a file").path());
+    let paths = fs::read_dir(folder).expect("read folder").map(|file| file.expect("read folder entry").path());
     let mut paths: Vec<PathBuf> = paths.filter(|path| path.extension().is_some_and(|found| found == kind)).collect();
     paths.sort();
     paths
 }
 
 #[test]
-fn a_folder_without_files_is_blank_and_groups_are_listed() {
-    let folder = tempfile::tempdir().expect("a folder");
-    assert!(matches!(ReplicaLog::open(folder.path(), GROUP), Ok(FoundReplica::Blank)));
+fn a_replica_without_files_is_missing_and_groups_are_listed() {
+    let folder = tempfile::tempdir().expect("create temporary folder");
+    assert!(matches!(ReplicaLog::open(folder.path(), GROUP), Ok(OpenedReplica::Missing)));
     let _one = create(folder.path());
-    let _other = ReplicaLog::create(folder.path(), GroupId(7), PersistedReplica::default()).expect("it is made");
-    assert_eq!(groups_in(folder.path()).expect("a folder"), vec![GROUP, GroupId(7)]);
+    let _other = ReplicaLog::create(folder.path(), GroupId(7), PersistedReplica::default()).expect("create replica");
+    assert_eq!(list_groups(folder.path()).expect("list groups"), vec![GROUP, GroupId(7)]);
 }
 
 #[test]
-fn a_torn_record_is_cut_off_and_the_log_goes_on_before_it() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn a_torn_record_is_truncated_and_appends_continue() {
+    let folder = tempfile::tempdir().expect("create temporary folder");
     let mut log = create(folder.path());
-    log.write(&[append(1, 3)]).expect("it is written");
-    let path = files(folder.path(), "log").pop().expect("a log");
-    let sound = fs::read(&path).expect("it can be read");
-    log.write(&[append(4, 6)]).expect("it is written");
+    log.write(&[append(1, 3)]).expect("write to log");
+    let path = files(folder.path(), "log").pop().expect("a log file");
+    let valid_prefix = fs::read(&path).expect("read file");
+    log.write(&[append(4, 6)]).expect("write to log");
     drop(log);
-    let whole = fs::read(&path).expect("it can be read");
-    for length in sound.len()..whole.len() {
-        fs::write(&path, &whole[..length]).expect("it can be written");
+    let complete = fs::read(&path).expect("read file");
+    for length in valid_prefix.len()..complete.len() {
+        fs::write(&path, &complete[..length]).expect("write file");
         let mut log = reopen(folder.path());
         assert_eq!(log.contents().entries.len(), 3, "{length} bytes");
-        log.write(&[append(4, 4)]).expect("it is written");
+        log.write(&[append(4, 4)]).expect("write to log");
         assert_eq!(reopen(folder.path()).contents().entries.len(), 4);
     }
-    let mut damaged = whole.clone();
-    damaged[sound.len() + 14] ^= 1;
-    fs::write(&path, &damaged).expect("it can be written");
+    let mut damaged = complete.clone();
+    damaged[valid_prefix.len() + 14] ^= 1;
+    fs::write(&path, &damaged).expect("write file");
     assert_eq!(reopen(folder.path()).contents().entries.len(), 3);
 }
 
 #[test]
-fn a_new_generation_that_is_not_whole_leaves_the_earlier_one_in_force() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn an_incomplete_generation_falls_back_to_the_previous_one() {
+    let folder = tempfile::tempdir().expect("create temporary folder");
     let mut log = create(folder.path());
-    log.write(&[append(1, 9)]).expect("it is written");
-    let earlier = files(folder.path(), "log").pop().expect("a log");
-    let kept = fs::read(&earlier).expect("it can be read");
-    log.write(&[snapshot(5, 100)]).expect("it is written");
-    log.settle().expect("it is written");
+    log.write(&[append(1, 9)]).expect("write to log");
+    let earlier = files(folder.path(), "log").pop().expect("a log file");
+    let saved = fs::read(&earlier).expect("read file");
+    log.write(&[snapshot(5, 100)]).expect("write to log");
+    log.settle().expect("settle log");
     drop(log);
-    assert!(!earlier.exists(), "the earlier generation is removed");
-    // Power went before the new files were synced: the old names are still there, the new contents torn.
-    let newer = files(folder.path(), "log").pop().expect("a log");
-    let whole = fs::read(&newer).expect("it can be read");
-    fs::write(&earlier, &kept).expect("it can be written");
-    fs::write(&newer, &whole[..whole.len() / 2]).expect("it can be written");
+    assert!(!earlier.exists(), "the previous generation must be removed");
+    // Power failure before the new files were synced: the previous log still exists and the new one is torn.
+    let newer = files(folder.path(), "log").pop().expect("a log file");
+    let complete = fs::read(&newer).expect("read file");
+    fs::write(&earlier, &saved).expect("write file");
+    fs::write(&newer, &complete[..complete.len() / 2]).expect("write file");
     let log = reopen(folder.path());
     assert_eq!(log.contents().snapshot.index, LogIndex(0));
     assert_eq!(log.contents().entries.len(), 9);
@@ -103,27 +103,27 @@
 }
 
 #[test]
-fn a_log_without_its_snapshot_is_not_used() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn a_log_without_its_snapshot_is_damaged() {
+    let folder = tempfile::tempdir().expect("create temporary folder");
     let mut log = create(folder.path());
-    log.write(&[append(1, 9)]).expect("it is written");
-    log.write(&[snapshot(5, 100)]).expect("it is written");
-    log.settle().expect("it is written");
+    log.write(&[append(1, 9)]).expect("write to log");
+    log.write(&[snapshot(5, 100)]).expect("write to log");
+    log.settle().expect("settle log");
     drop(log);
-    fs::remove_file(files(folder.path(), "snapshot").pop().expect("a snapshot")).expect("it can be removed");
-    assert!(matches!(ReplicaLog::open(folder.path(), GROUP), Ok(FoundReplica::Damaged)));
+    fs::remove_file(files(folder.path(), "snapshot").pop().expect("a snapshot file")).expect("remove file");
+    assert!(matches!(ReplicaLog::open(folder.path(), GROUP), Ok(OpenedReplica::Damaged)));
 }
 
 #[test]
-fn the_disk_holds_no_more_than_two_snapshots_and_the_log() {
+fn at_most_two_snapshots_are_on_disk() {
     const STATE: usize = 200_000;
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("create temporary folder");
     let mut log = create(folder.path());
     for round in 0..6 {
-        log.write(&[append(round * 10 + 1, round * 10 + 10)]).expect("it is written");
-        log.write(&[snapshot(round * 10 + 10, STATE)]).expect("it is written");
+        log.write(&[append(round * 10 + 1, round * 10 + 10)]).expect("write to log");
+        log.write(&[snapshot(round * 10 + 10, STATE)]).expect("write to log");
         assert!(files(folder.path(), "snapshot").len() <= 2);
-        log.settle().expect("it is written");
+        log.settle().expect("settle log");
         assert_eq!(files(folder.path(), "snapshot").len(), 1);
         assert_eq!(files(folder.path(), "log").len(), 1);
     }
@@ -136,7 +136,7 @@
     Vote(u64),
     Truncate(u64),
     Snapshot(u64),
-    /// A snapshot from a leader, in place of everything.
+    /// Replaces the whole log by a snapshot from the leader.
     Install,
     Settle,
     Reopen,
@@ -154,7 +154,7 @@
     ]
 }
 
-fn write_of(step: &Step, model: &PersistedReplica) -> Option<LogWrite> {
+fn step_write(step: &Step, model: &PersistedReplica) -> Option<LogWrite> {
     let first = model.snapshot.index.0 + 1;
     let last = model.entries.last().map_or(model.snapshot.index.0, |entry| entry.index.0);
     match step {
@@ -172,9 +172,9 @@
     }
 }
 
-/// Whether files hold all that the specification asks for. A snapshot that the replica took itself may not
-/// be there yet; then all entries that it stands for are.
-fn holds_all(found: &PersistedReplica, model: &PersistedReplica) -> bool {
+/// Returns whether reopened files match the model. If a snapshot taken by the replica itself is not durable yet, the
+/// files must have all entries that it covers instead.
+fn matches_model(found: &PersistedReplica, model: &PersistedReplica) -> bool {
     let behind = found.entries.iter().filter(|entry| entry.index <= model.snapshot.index).count() as u64;
     let follows = found.entries.iter().filter(|entry| entry.index > model.snapshot.index);
     found.hard_state == model.hard_state
@@ -184,30 +184,29 @@
 }
 
 proptest! {
-    /// However writes, snapshots and restarts follow each other, the files hold what the specification of
-    /// a write says.
+    /// Any sequence of writes, snapshots and restarts leaves the files equal to the in-memory model.
     #[test]
-    fn files_hold_what_was_written(steps in proptest::collection::vec(step(), 1..40)) {
-        let folder = tempfile::tempdir().expect("a folder");
+    fn files_match_the_write_model(steps in proptest::collection::vec(step(), 1..40)) {
+        let folder = tempfile::tempdir().expect("create temporary folder");
         let mut model = PersistedReplica::default();
         let mut log = create(folder.path());
         for step in &steps {
             if matches!(step, Step::Reopen) {
                 drop(log);
                 log = reopen(folder.path());
-                prop_assert!(holds_all(log.contents(), &model), "{:?} for {:?}", log.contents(), model);
+                prop_assert!(matches_model(log.contents(), &model), "{:?} for {:?}", log.contents(), model);
                 model = log.contents().clone();
             } else if matches!(step, Step::Settle) {
-                log.settle().expect("it is written");
-            } else if let Some(write) = write_of(step, &model) {
+                log.settle().expect("settle log");
+            } else if let Some(write) = step_write(step, &model) {
                 model.write(&write);
-                log.write(&[write]).expect("it is written");
+                log.write(&[write]).expect("write to log");
             }
             prop_assert_eq!(log.contents(), &model);
         }
         drop(log);
         let reopened = reopen(folder.path());
-        prop_assert!(holds_all(reopened.contents(), &model));
+        prop_assert!(matches_model(reopened.contents(), &model));
     }
 }
 
@@ -216,75 +215,75 @@
 }
 
 fn open_folder(folder: &Path, fresh: u64) -> ReplicaFolder {
-    ReplicaFolder::open(folder, &owner(fresh), |_| true).expect("the folder is used")
+    ReplicaFolder::open(folder, &owner(fresh), |_| true).expect("open folder")
 }
 
 #[test]
-fn a_folder_keeps_its_identity_with_its_replicas() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn a_reopened_folder_has_its_identity_and_replicas() {
+    let folder = tempfile::tempdir().expect("create temporary folder");
     let mut opened = open_folder(folder.path(), 11);
     assert!(opened.formatted);
-    opened.take(GROUP).expect("it is made").write(&[append(1, 3)]).expect("it is written");
+    opened.take(GROUP).expect("take replica").write(&[append(1, 3)]).expect("write to log");
     drop(opened);
-    let mut again = open_folder(folder.path(), 12);
-    assert!(!again.formatted);
-    assert_eq!(again.identity, NodeId(11));
-    assert_eq!(again.groups().collect::<Vec<_>>(), vec![GROUP]);
-    assert_eq!(again.take(GROUP).expect("it is there").contents().entries.len(), 3);
+    let mut reopened = open_folder(folder.path(), 12);
+    assert!(!reopened.formatted);
+    assert_eq!(reopened.identity, NodeId(11));
+    assert_eq!(reopened.groups().collect::<Vec<_>>(), vec![GROUP]);
+    assert_eq!(reopened.take(GROUP).expect("take replica").contents().entries.len(), 3);
 }
 
 #[test]
-fn a_damaged_replica_costs_the_folder_its_identity() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn a_damaged_replica_resets_the_folder_identity() {
+    let folder = tempfile::tempdir().expect("create temporary folder");
     let mut opened = open_folder(folder.path(), 11);
-    opened.take(GROUP).expect("it is made").write(&[append(1, 3)]).expect("it is written");
+    opened.take(GROUP).expect("take replica").write(&[append(1, 3)]).expect("write to log");
     drop(opened);
-    fs::write(files(folder.path(), "log").pop().expect("a log"), b"not a log").expect("it can be written");
-    let mut again = open_folder(folder.path(), 12);
-    assert_eq!(again.identity, NodeId(12));
-    assert!(again.set_aside.as_ref().is_some_and(|aside| aside.exists()));
-    assert!(again.take(GROUP).expect("it is made").contents().entries.is_empty());
+    fs::write(files(folder.path(), "log").pop().expect("a log file"), b"not a log").expect("write file");
+    let mut reopened = open_folder(folder.path(), 12);
+    assert_eq!(reopened.identity, NodeId(12));
+    assert!(reopened.set_aside.as_ref().is_some_and(|aside| aside.exists()));
+    assert!(reopened.take(GROUP).expect("take replica").contents().entries.is_empty());
 }
 
 #[test]
-fn replicas_without_their_identity_are_not_used() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn replicas_without_an_identity_are_discarded() {
+    let folder = tempfile::tempdir().expect("create temporary folder");
     let mut opened = open_folder(folder.path(), 11);
-    opened.take(GROUP).expect("it is made").write(&[append(1, 3)]).expect("it is written");
+    opened.take(GROUP).expect("take replica").write(&[append(1, 3)]).expect("write to log");
     drop(opened);
-    fs::remove_file(files(folder.path(), "redb").pop().expect("a store")).expect("it can be removed");
-    let mut again = open_folder(folder.path(), 12);
-    assert_eq!(again.identity, NodeId(12));
-    assert!(again.take(GROUP).expect("it is made").contents().entries.is_empty());
+    fs::remove_file(files(folder.path(), "redb").pop().expect("a store file")).expect("remove file");
+    let mut reopened = open_folder(folder.path(), 12);
+    assert_eq!(reopened.identity, NodeId(12));
+    assert!(reopened.take(GROUP).expect("take replica").contents().entries.is_empty());
 }
 
 #[test]
-fn replicas_of_an_earlier_version_are_taken_over_from_the_store() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let opened = Store::open(folder.path(), &owner(11)).expect("the folder is used");
+fn replicas_are_migrated_from_the_store() {
+    let folder = tempfile::tempdir().expect("create temporary folder");
+    let opened = Store::open(folder.path(), &owner(11)).expect("open folder");
     let write = StoreWrite { groups: vec![(GROUP, append(1, 3))], configuration: None };
-    opened.store.write(&write).expect("it is written");
+    opened.store.write(&write).expect("write to store");
     drop(opened);
     for _ in 0..2 {
-        let mut again = open_folder(folder.path(), 12);
-        assert_eq!(again.identity, NodeId(11));
-        assert_eq!(again.take(GROUP).expect("it is there").contents().entries.len(), 3);
+        let mut reopened = open_folder(folder.path(), 12);
+        assert_eq!(reopened.identity, NodeId(11));
+        assert_eq!(reopened.take(GROUP).expect("take replica").contents().entries.len(), 3);
     }
-    let left = Store::open(folder.path(), &owner(11)).expect("the folder is used");
-    assert!(left.persisted.groups.is_empty(), "the store keeps no copy");
+    let store = Store::open(folder.path(), &owner(11)).expect("open folder");
+    assert!(store.persisted.groups.is_empty(), "the store must not retain a copy");
 }
 
 #[test]
-fn a_snapshot_from_a_leader_is_durable_once_it_is_written() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn an_installed_snapshot_is_durable_when_write_returns() {
+    let folder = tempfile::tempdir().expect("create temporary folder");
     let mut log = create(folder.path());
-    log.write(&[append(1, 3)]).expect("it is written");
+    log.write(&[append(1, 3)]).expect("write to log");
     let install = LogWrite { truncate_from: Some(LogIndex(0)), ..snapshot(9, 100) };
-    log.write(&[install, append(10, 12)]).expect("it is written");
-    let kept = files(folder.path(), "log").into_iter().chain(files(folder.path(), "snapshot"));
-    let copy = tempfile::tempdir().expect("a folder");
-    for path in kept {
-        fs::copy(&path, copy.path().join(path.file_name().expect("a name"))).expect("it can be copied");
+    log.write(&[install, append(10, 12)]).expect("write to log");
+    let saved = files(folder.path(), "log").into_iter().chain(files(folder.path(), "snapshot"));
+    let copy = tempfile::tempdir().expect("create temporary folder");
+    for path in saved {
+        fs::copy(&path, copy.path().join(path.file_name().expect("file name"))).expect("copy file");
     }
     let copied = reopen(copy.path());
     assert_eq!(copied.contents().snapshot.index, LogIndex(9));
--- a/crates/storage/tests/store.rs
+++ b/crates/storage/tests/store.rs
@@ -1,4 +1,5 @@
-//! The store against the specification of a write, and data folders that can't be used.
+//! Checks that the store holds all writes after reopening, and that data folders that are locked, damaged or owned by
+//! another node are not used.
 
 use std::fs;
 use std::path::Path;
@@ -19,7 +20,7 @@
 }
 
 fn open(folder: &Path, fresh: u64) -> OpenedStore {
-    Store::open(folder, &owner(fresh)).expect("the folder is used")
+    Store::open(folder, &owner(fresh)).expect("open folder")
 }
 
 fn entry(index: u64, term: u64) -> Entry {
@@ -37,67 +38,67 @@
 }
 
 #[test]
-fn a_blank_folder_gets_the_fresh_identity_and_keeps_it() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn an_empty_folder_gets_the_fresh_identity_and_keeps_it() {
+    let folder = tempfile::tempdir().expect("create temporary folder");
     let opened = open(folder.path(), 11);
     assert!(opened.formatted);
     assert_eq!(opened.identity, NodeId(11));
     drop(opened);
-    let again = open(folder.path(), 12);
-    assert!(!again.formatted);
-    assert_eq!(again.identity, NodeId(11));
+    let reopened = open(folder.path(), 12);
+    assert!(!reopened.formatted);
+    assert_eq!(reopened.identity, NodeId(11));
 }
 
 #[test]
 fn a_folder_in_use_is_refused() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("create temporary folder");
     let _held = open(folder.path(), 11);
     assert!(matches!(Store::open(folder.path(), &owner(12)), Err(StorageError::Locked { .. })));
 }
 
 #[test]
 fn a_folder_of_another_node_is_refused_unless_adopted() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("create temporary folder");
     drop(open(folder.path(), 11));
     let other = FolderOwner { peer_address: "127.0.0.1:7999".to_owned(), ..owner(12) };
-    let Err(StorageError::Foreign { owner: named, .. }) = Store::open(folder.path(), &other) else {
+    let Err(StorageError::OwnedByOtherNode { owner: recorded_owner, .. }) = Store::open(folder.path(), &other) else {
         panic!("a folder of another node must be refused");
     };
-    assert_eq!(named, "127.0.0.1:7100");
-    let adopted = Store::open(folder.path(), &FolderOwner { adopt: true, ..other.clone() }).expect("adopted");
+    assert_eq!(recorded_owner, "127.0.0.1:7100");
+    let adopted = Store::open(folder.path(), &FolderOwner { adopt: true, ..other.clone() }).expect("adopt folder");
     assert_eq!(adopted.identity, NodeId(11));
     drop(adopted);
-    assert!(Store::open(folder.path(), &other).is_ok(), "an adopted folder stays adopted");
+    assert!(Store::open(folder.path(), &other).is_ok(), "the new owner must be recorded");
 }
 
 #[test]
 fn a_damaged_file_is_set_aside_and_gets_a_new_identity() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("create temporary folder");
     let opened = open(folder.path(), 11);
-    opened.store.write(&write_entries(50)).expect("written");
+    opened.store.write(&write_entries(50)).expect("write to store");
     drop(opened);
     let file = folder.path().join("store.redb");
-    let mut bytes = fs::read(&file).expect("the file");
+    let mut bytes = fs::read(&file).expect("read file");
     let needle = b"37-2";
-    let place = bytes.windows(needle.len()).position(|window| window == needle).expect("an entry's bytes");
-    bytes[place] ^= 0x40;
-    fs::write(&file, bytes).expect("damaged");
-    let again = open(folder.path(), 12);
-    assert!(again.formatted);
-    assert_eq!(again.identity, NodeId(12), "a damaged disk must not vote as the one it was");
-    assert!(again.set_aside.is_some_and(|path| path.exists()));
-    assert!(again.persisted.groups.is_empty());
+    let position = bytes.windows(needle.len()).position(|window| window == needle).expect("an encoded entry");
+    bytes[position] ^= 0x40;
+    fs::write(&file, bytes).expect("write file");
+    let reopened = open(folder.path(), 12);
+    assert!(reopened.formatted);
+    assert_eq!(reopened.identity, NodeId(12), "a node with a damaged store must not vote under its previous identity");
+    assert!(reopened.set_aside.is_some_and(|path| path.exists()));
+    assert!(reopened.persisted.groups.is_empty());
 }
 
 #[test]
-fn a_file_that_is_no_store_is_set_aside() {
-    let folder = tempfile::tempdir().expect("a folder");
-    fs::write(folder.path().join("store.redb"), b"not a database").expect("written");
+fn a_file_that_is_not_a_database_is_set_aside() {
+    let folder = tempfile::tempdir().expect("create temporary folder");
+    fs::write(folder.path().join("store.redb"), b"not a database").expect("write file");
     let opened = open(folder.path(), 12);
     assert!(opened.formatted && opened.set_aside.is_some());
 }
 
-/// A write that a replica could make after what is there already.
+/// Returns a write for a step that is valid for the current contents of the log.
 fn follow_up(current: &PersistedReplica, step: &Step) -> LogWrite {
     let last = current.entries.last().map_or(current.snapshot.index.0, |entry| entry.index.0);
     match step {
@@ -149,15 +150,15 @@
     })]
 
     #[test]
-    fn the_disk_holds_what_was_written(steps in steps()) {
-        let folder = tempfile::tempdir().expect("a folder");
+    fn the_store_matches_the_write_model(steps in steps()) {
+        let folder = tempfile::tempdir().expect("create temporary folder");
         let mut opened = open(folder.path(), 11);
         let mut expected = PersistedReplica::default();
         for (step, reopen) in &steps {
             let write = follow_up(&expected, step);
             expected.write(&write);
             let batch = StoreWrite { groups: vec![(GROUP, write)], configuration: None };
-            opened.store.write(&batch).expect("written");
+            opened.store.write(&batch).expect("write to store");
             if *reopen {
                 drop(opened);
                 opened = open(folder.path(), 12);
