--- a/crates/wire-generator/src/main.rs
+++ b/crates/wire-generator/src/main.rs
@@ -1,5 +1,6 @@
-//! Regenerates `crates/wire/src/generated` from its schema: `cargo run -p stallmoor-wire-generator`.
-//! Needs the `capnp` program; the build does not.
+//! Regenerates `crates/wire/src/generated` from the schema: `cargo run -p stallmoor-wire-generator`.
+//!
+//! Requires the `capnp` compiler, which a normal build does not need.
 
 fn main() -> Result<(), capnp::Error> {
     let wire = concat!(env!("CARGO_MANIFEST_DIR"), "/../wire");
--- a/crates/wire/src/codec/control.rs
+++ b/crates/wire/src/codec/control.rs
@@ -1,4 +1,4 @@
-//! Group requests, configuration, credits and the directory.
+//! Codec for group requests, configuration, credits, leaving engines and the directory.
 
 use std::sync::Arc;
 
@@ -16,18 +16,18 @@
 use stallmoor_core::time::Millis;
 
 use super::{
-    DamagedSnafu, UnknownKindSnafu, WireError, WireResult, read_optional_node, read_text, write_optional_node,
+    MalformedSnafu, UnknownKindSnafu, WireError, WireResult, read_optional_node, read_text, write_optional_node,
 };
 use crate::generated::peer_capnp::{
     configuration, credit, directory_answer, group_answer, group_request, leaving_fact, manifest,
 };
 
-/// Encodes a body in the encoding of the log.
+/// Encodes a body with `postcard`, as in the replicated log.
 pub(super) fn encode_body<T: Serialize>(body: &T) -> Vec<u8> {
     postcard::to_stdvec(body).unwrap_or_default()
 }
 
-/// Decodes a body in the encoding of the log.
+/// Decodes a body encoded by [`encode_body`].
 pub(super) fn decode_body<T: DeserializeOwned>(bytes: &[u8], field: &'static str) -> WireResult<T> {
     postcard::from_bytes(bytes).map_err(|_| WireError::InvalidField { field })
 }
@@ -44,7 +44,7 @@
         id: reader.get_id(),
         from: NodeId(reader.get_from()),
         group: GroupId(reader.get_group()),
-        body: decode_body(reader.get_body().context(DamagedSnafu)?, "groupRequest.body")?,
+        body: decode_body(reader.get_body().context(MalformedSnafu)?, "groupRequest.body")?,
     })
 }
 
@@ -66,10 +66,10 @@
 pub(super) fn read_answer(reader: group_answer::Reader<'_>) -> WireResult<GroupAnswer> {
     use group_answer::result::Which;
     let result = match reader.get_result().which().context(UnknownKindSnafu)? {
-        Which::Body(body) => Ok(decode_body(body.context(DamagedSnafu)?, "groupAnswer.body")?),
+        Which::Body(body) => Ok(decode_body(body.context(MalformedSnafu)?, "groupAnswer.body")?),
         Which::Busy(()) => Err(GroupRefusal::Busy),
         Which::NotLeader(refusal) => {
-            let refusal = refusal.context(DamagedSnafu)?;
+            let refusal = refusal.context(MalformedSnafu)?;
             let leader = read_optional_node(refusal.get_leader());
             Err(GroupRefusal::NotLeader { term: Term(refusal.get_term()), leader })
         }
@@ -94,8 +94,8 @@
         ConfigurationMessage::PartsRequest { from, digests } => {
             builder.set_from(from.0);
             let mut list = builder.init_kind().init_parts_request(digests.len() as u32);
-            for (place, digest) in digests.iter().enumerate() {
-                list.set(place as u32, digest.0);
+            for (index, digest) in digests.iter().enumerate() {
+                list.set(index as u32, digest.0);
             }
         }
         ConfigurationMessage::PartAnswer { digest, content } => {
@@ -113,14 +113,14 @@
         Which::Offer(revision) => ConfigurationMessage::Offer { from, revision },
         Which::ManifestRequest(()) => ConfigurationMessage::ManifestRequest { from },
         Which::ManifestAnswer(manifest) => {
-            ConfigurationMessage::ManifestAnswer { from, manifest: read_manifest(manifest.context(DamagedSnafu)?)? }
+            ConfigurationMessage::ManifestAnswer { from, manifest: read_manifest(manifest.context(MalformedSnafu)?)? }
         }
         Which::PartsRequest(digests) => {
-            let digests = digests.context(DamagedSnafu)?.iter().map(PartDigest).collect();
+            let digests = digests.context(MalformedSnafu)?.iter().map(PartDigest).collect();
             ConfigurationMessage::PartsRequest { from, digests }
         }
         Which::PartAnswer(part) => {
-            let part = part.context(DamagedSnafu)?;
+            let part = part.context(MalformedSnafu)?;
             let content = Arc::from(read_text(part.get_content())?);
             ConfigurationMessage::PartAnswer { digest: PartDigest(part.get_digest()), content }
         }
@@ -130,14 +130,14 @@
 fn write_manifest(mut builder: manifest::Builder<'_>, manifest: &Manifest) {
     builder.set_revision(manifest.revision);
     let mut parts = builder.reborrow().init_parts(manifest.parts.len() as u32);
-    for (place, part) in manifest.parts.iter().enumerate() {
-        let mut target = parts.reborrow().get(place as u32);
+    for (index, part) in manifest.parts.iter().enumerate() {
+        let mut target = parts.reborrow().get(index as u32);
         target.set_name(part.name.as_str());
         target.set_digest(part.digest.0);
     }
     let mut applies = builder.init_applies(manifest.applies.len() as u32);
-    for (place, (id, revision)) in manifest.applies.iter().enumerate() {
-        let mut target = applies.reborrow().get(place as u32);
+    for (index, (id, revision)) in manifest.applies.iter().enumerate() {
+        let mut target = applies.reborrow().get(index as u32);
         target.set_id(id.0);
         target.set_revision(*revision);
     }
@@ -145,11 +145,11 @@
 
 fn read_manifest(reader: manifest::Reader<'_>) -> WireResult<Manifest> {
     let mut parts = Vec::new();
-    for part in reader.get_parts().context(DamagedSnafu)? {
+    for part in reader.get_parts().context(MalformedSnafu)? {
         let name = read_text(part.get_name())?.to_owned();
         parts.push(PartReference { name, digest: PartDigest(part.get_digest()) });
     }
-    let applies = reader.get_applies().context(DamagedSnafu)?;
+    let applies = reader.get_applies().context(MalformedSnafu)?;
     let applies = applies.iter().map(|apply| (ApplyId(apply.get_id()), apply.get_revision())).collect();
     Ok(Manifest { revision: reader.get_revision(), parts, applies })
 }
@@ -183,7 +183,7 @@
         Which::OnlineNotice(in_flight) => CreditMessage::OnlineNotice { engine, from, in_flight },
         Which::Ask(want) => CreditMessage::Ask { engine, from, want },
         Which::Grant(grant) => {
-            let grant = grant.context(DamagedSnafu)?;
+            let grant = grant.context(MalformedSnafu)?;
             let lifetime = Millis(grant.get_lifetime_millis());
             CreditMessage::Grant { engine, limit: grant.get_limit(), lifetime }
         }
@@ -191,8 +191,8 @@
 }
 
 pub(super) fn write_leaving(mut list: capnp::struct_list::Builder<'_, leaving_fact::Owned>, facts: &[LeavingFact]) {
-    for (place, fact) in facts.iter().enumerate() {
-        let mut target = list.reborrow().get(place as u32);
+    for (index, fact) in facts.iter().enumerate() {
+        let mut target = list.reborrow().get(index as u32);
         target.set_engine(&*fact.engine.0);
         target.set_incarnation(fact.incarnation);
     }
@@ -214,27 +214,27 @@
 ) {
     builder.set_group_count(group_count);
     let mut list = builder.init_entries(entries.len() as u32);
-    for (place, entry) in entries.iter().enumerate() {
-        let mut target = list.reborrow().get(place as u32);
+    for (index, entry) in entries.iter().enumerate() {
+        let mut target = list.reborrow().get(index as u32);
         target.set_group(entry.group.0);
         target.set_term(entry.term.0);
         target.set_membership_index(entry.membership_index.0);
         target.set_leader(write_optional_node(entry.leader));
         let mut members = target.init_members(entry.members.len() as u32);
-        for (position, member) in entry.members.iter().enumerate() {
-            members.set(position as u32, member.0);
+        for (member_index, member) in entry.members.iter().enumerate() {
+            members.set(member_index as u32, member.0);
         }
     }
 }
 
 pub(super) fn read_directory(reader: directory_answer::Reader<'_>) -> WireResult<PeerMessage> {
     let mut entries = Vec::new();
-    for entry in reader.get_entries().context(DamagedSnafu)? {
+    for entry in reader.get_entries().context(MalformedSnafu)? {
         entries.push(DirectoryEntry {
             group: GroupId(entry.get_group()),
             term: Term(entry.get_term()),
             membership_index: LogIndex(entry.get_membership_index()),
-            members: entry.get_members().context(DamagedSnafu)?.iter().map(NodeId).collect(),
+            members: entry.get_members().context(MalformedSnafu)?.iter().map(NodeId).collect(),
             leader: read_optional_node(entry.get_leader()),
         });
     }
--- a/crates/wire/src/codec/membership.rs
+++ b/crates/wire/src/codec/membership.rs
@@ -1,4 +1,4 @@
-//! Messages of the membership protocol.
+//! Codec for messages of the membership protocol.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use stallmoor_core::identity::NodeId;
 use stallmoor_core::node::membership::{Member, MemberStatus, MembershipMessage, MembershipPayload};
 
-use super::{DamagedSnafu, WireError, WireResult, read_optional_node, read_text, write_optional_node};
+use super::{MalformedSnafu, WireError, WireResult, read_optional_node, read_text, write_optional_node};
 use crate::generated::peer_capnp::{member, membership};
 
 const PING: u8 = 0;
@@ -30,8 +30,8 @@
     builder.set_kind(kind);
     builder.set_node(write_optional_node(node));
     let mut updates = builder.init_updates(message.updates.len() as u32);
-    for (place, update) in message.updates.iter().enumerate() {
-        write_member(updates.reborrow().get(place as u32), update);
+    for (index, update) in message.updates.iter().enumerate() {
+        write_member(updates.reborrow().get(index as u32), update);
     }
 }
 
@@ -46,9 +46,9 @@
         SYNC_ANSWER => MembershipPayload::SyncAnswer,
         _ => return Err(WireError::InvalidField { field: "membership.kind" }),
     };
-    let updates = reader.get_updates().context(DamagedSnafu)?;
+    let updates = reader.get_updates().context(MalformedSnafu)?;
     Ok(MembershipMessage {
-        sender: read_member(reader.get_sender().context(DamagedSnafu)?)?,
+        sender: read_member(reader.get_sender().context(MalformedSnafu)?)?,
         sequence: reader.get_sequence(),
         configuration_revision: reader.get_configuration_revision(),
         payload,
--- a/crates/wire/src/codec/mod.rs
+++ b/crates/wire/src/codec/mod.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding of whole messages.
+//! Encoding and decoding of complete messages.
 
 mod control;
 mod membership;
@@ -13,70 +13,69 @@
 use crate::PROTOCOL_VERSION;
 use crate::generated::peer_capnp::envelope;
 
-/// Why bytes are not a message.
+/// An error decoding a message.
 #[derive(Debug, Snafu)]
 pub enum WireError {
-    /// The bytes are not a Cap'n Proto message, or end too early.
+    /// The bytes are not a valid Cap'n Proto message, or are truncated.
     #[snafu(display("not a whole message: {source}"))]
-    Damaged {
-        /// What the library found.
+    Malformed {
+        /// The error of the Cap'n Proto library.
         source: capnp::Error,
     },
-    /// A text is not UTF-8.
+    /// A text field is not valid UTF-8.
     #[snafu(display("a text is not UTF-8: {source}"))]
-    NotText {
-        /// Where.
+    InvalidUtf8 {
+        /// The error, with the position of the first invalid byte.
         source: std::str::Utf8Error,
     },
-    /// The message has a kind that this version doesn't know.
+    /// The message, or a union in it, has a variant that is not in the schema.
     #[snafu(display("unknown kind of message: {source}"))]
     UnknownKind {
-        /// Which.
+        /// The discriminant of the variant.
         source: capnp::NotInSchema,
     },
-    /// The sender speaks another version.
+    /// The message has another protocol version than [`PROTOCOL_VERSION`].
     #[snafu(display("protocol version {found}, not {PROTOCOL_VERSION}"))]
-    OtherVersion {
-        /// Its version.
+    UnsupportedVersion {
+        /// Protocol version of the message.
         found: u16,
     },
-    /// A field holds what it must not.
+    /// A field has an invalid value.
     #[snafu(display("{field} holds a value that it must not"))]
     InvalidField {
-        /// Which.
+        /// Path of the field in the schema.
         field: &'static str,
     },
 }
 
-/// Shorthand for results of this module.
 pub(crate) type WireResult<T> = Result<T, WireError>;
 
-/// Encodes a message.
+/// Encodes a message as one envelope.
 pub fn encode(message: &PeerMessage) -> Vec<u8> {
     let mut builder = Builder::new_default();
     let mut root = builder.init_root::<envelope::Builder<'_>>();
     root.set_version(PROTOCOL_VERSION);
     write_message(root.init_message(), message);
     let mut bytes = Vec::new();
-    // Writing to memory can't fail; an empty message would be refused by its reader.
+    // Writing to memory does not fail. If it did, the receiver would reject the empty message.
     if serialize_packed::write_message(&mut bytes, &builder).is_err() {
         bytes.clear();
     }
     bytes
 }
 
-/// Decodes a message.
+/// Decodes one envelope.
 ///
 /// # Errors
 ///
-/// A [`WireError`] if the bytes are not a whole message of this version.
+/// The bytes are not a complete, valid message of this protocol version.
 pub fn decode(bytes: &[u8]) -> Result<PeerMessage, WireError> {
     let mut options = ReaderOptions::new();
     options.traversal_limit_in_words(Some(crate::MAX_FRAME_BYTES / 8));
-    let reader = serialize_packed::read_message(bytes, options).context(DamagedSnafu)?;
-    let root = reader.get_root::<envelope::Reader<'_>>().context(DamagedSnafu)?;
+    let reader = serialize_packed::read_message(bytes, options).context(MalformedSnafu)?;
+    let root = reader.get_root::<envelope::Reader<'_>>().context(MalformedSnafu)?;
     if root.get_version() != PROTOCOL_VERSION {
-        return Err(WireError::OtherVersion { found: root.get_version() });
+        return Err(WireError::UnsupportedVersion { found: root.get_version() });
     }
     read_message(root.get_message())
 }
@@ -112,44 +111,43 @@
 fn read_message(reader: envelope::message::Reader<'_>) -> WireResult<PeerMessage> {
     use envelope::message::Which;
     Ok(match reader.which().context(UnknownKindSnafu)? {
-        Which::Membership(message) => PeerMessage::Membership(membership::read(message.context(DamagedSnafu)?)?),
-        Which::Replication(message) => PeerMessage::Replication(replication::read(message.context(DamagedSnafu)?)?),
+        Which::Membership(message) => PeerMessage::Membership(membership::read(message.context(MalformedSnafu)?)?),
+        Which::Replication(message) => PeerMessage::Replication(replication::read(message.context(MalformedSnafu)?)?),
         Which::GroupRequest(request) => {
-            PeerMessage::GroupRequest(control::read_request(request.context(DamagedSnafu)?)?)
+            PeerMessage::GroupRequest(control::read_request(request.context(MalformedSnafu)?)?)
         }
-        Which::GroupAnswer(answer) => PeerMessage::GroupAnswer(control::read_answer(answer.context(DamagedSnafu)?)?),
+        Which::GroupAnswer(answer) => PeerMessage::GroupAnswer(control::read_answer(answer.context(MalformedSnafu)?)?),
         Which::Configuration(message) => {
-            PeerMessage::Configuration(control::read_configuration(message.context(DamagedSnafu)?)?)
+            PeerMessage::Configuration(control::read_configuration(message.context(MalformedSnafu)?)?)
         }
-        Which::Credit(message) => PeerMessage::Credit(control::read_credit(message.context(DamagedSnafu)?)?),
+        Which::Credit(message) => PeerMessage::Credit(control::read_credit(message.context(MalformedSnafu)?)?),
         Which::EnginesLeaving(facts) => {
-            PeerMessage::EnginesLeaving(control::read_leaving(facts.context(DamagedSnafu)?)?)
+            PeerMessage::EnginesLeaving(control::read_leaving(facts.context(MalformedSnafu)?)?)
         }
         Which::DirectoryRequest(from) => PeerMessage::DirectoryRequest { from: NodeId(from) },
-        Which::DirectoryAnswer(answer) => control::read_directory(answer.context(DamagedSnafu)?)?,
+        Which::DirectoryAnswer(answer) => control::read_directory(answer.context(MalformedSnafu)?)?,
         Which::StatusRequest(request) => {
-            let request = request.context(DamagedSnafu)?;
+            let request = request.context(MalformedSnafu)?;
             PeerMessage::StatusRequest { from: NodeId(request.get_from()), id: request.get_id() }
         }
         Which::StatusAnswer(answer) => {
-            let answer = answer.context(DamagedSnafu)?;
-            let status = control::decode_body(answer.get_status().context(DamagedSnafu)?, "status")?;
+            let answer = answer.context(MalformedSnafu)?;
+            let status = control::decode_body(answer.get_status().context(MalformedSnafu)?, "status")?;
             PeerMessage::StatusAnswer { id: answer.get_id(), status }
         }
     })
 }
 
-/// Reads a text.
 pub(crate) fn read_text(text: capnp::Result<capnp::text::Reader<'_>>) -> WireResult<&str> {
-    text.context(DamagedSnafu)?.to_str().context(NotTextSnafu)
+    text.context(MalformedSnafu)?.to_str().context(InvalidUtf8Snafu)
 }
 
-/// Reads an identity where 0 stands for none.
+/// Reads an optional node ID, which is encoded as 0 if absent.
 pub(crate) fn read_optional_node(value: u64) -> Option<NodeId> {
     (value != 0).then_some(NodeId(value))
 }
 
-/// Writes an identity where 0 stands for none.
+/// Encodes an optional node ID, as 0 if absent.
 pub(crate) fn write_optional_node(node: Option<NodeId>) -> u64 {
     node.map_or(0, |node| node.0)
 }
--- a/crates/wire/src/codec/replication.rs
+++ b/crates/wire/src/codec/replication.rs
@@ -1,4 +1,4 @@
-//! Messages between the replicas of one group.
+//! Codec for messages between the replicas of a group.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 use stallmoor_core::time::Timestamp;
 
-use super::{DamagedSnafu, UnknownKindSnafu, WireResult};
+use super::{MalformedSnafu, UnknownKindSnafu, WireResult};
 use crate::generated::peer_capnp::{entry, group_membership, position, replication, snapshot};
 
 pub(super) fn write(mut builder: replication::Builder<'_>, message: &ReplicationMessage) {
@@ -39,8 +39,8 @@
             append.set_sent_at(sent_at.as_millis());
             write_position(append.reborrow().init_previous(), *previous_index, *previous_term);
             let mut list = append.init_entries(entries.len() as u32);
-            for (place, entry) in entries.iter().enumerate() {
-                write_entry(list.reborrow().get(place as u32), entry);
+            for (index, entry) in entries.iter().enumerate() {
+                write_entry(list.reborrow().get(index as u32), entry);
             }
         }
         MessageKind::AppendAnswer { accepted, index, echo } => {
@@ -68,20 +68,20 @@
     use replication::kind::Which;
     Ok(match reader.which().context(UnknownKindSnafu)? {
         Which::PreVote(position) => {
-            let (last_index, last_term) = read_position(position.context(DamagedSnafu)?);
+            let (last_index, last_term) = read_position(position.context(MalformedSnafu)?);
             MessageKind::PreVote { last_index, last_term }
         }
         Which::PreVoteAnswer(granted) => MessageKind::PreVoteAnswer { granted },
         Which::Vote(vote) => {
-            let vote = vote.context(DamagedSnafu)?;
-            let (last_index, last_term) = read_position(vote.get_last().context(DamagedSnafu)?);
+            let vote = vote.context(MalformedSnafu)?;
+            let (last_index, last_term) = read_position(vote.get_last().context(MalformedSnafu)?);
             MessageKind::Vote { last_index, last_term, transfer: vote.get_transfer() }
         }
         Which::VoteAnswer(granted) => MessageKind::VoteAnswer { granted },
         Which::Append(append) => {
-            let append = append.context(DamagedSnafu)?;
-            let (previous_index, previous_term) = read_position(append.get_previous().context(DamagedSnafu)?);
-            let entries = append.get_entries().context(DamagedSnafu)?;
+            let append = append.context(MalformedSnafu)?;
+            let (previous_index, previous_term) = read_position(append.get_previous().context(MalformedSnafu)?);
+            let entries = append.get_entries().context(MalformedSnafu)?;
             MessageKind::Append {
                 previous_index,
                 previous_term,
@@ -91,7 +91,7 @@
             }
         }
         Which::AppendAnswer(answer) => {
-            let answer = answer.context(DamagedSnafu)?;
+            let answer = answer.context(MalformedSnafu)?;
             let echo = answer.get_echo();
             MessageKind::AppendAnswer {
                 accepted: answer.get_accepted(),
@@ -100,7 +100,7 @@
             }
         }
         Which::InstallSnapshot(snapshot) => {
-            MessageKind::InstallSnapshot(read_snapshot(snapshot.context(DamagedSnafu)?)?)
+            MessageKind::InstallSnapshot(read_snapshot(snapshot.context(MalformedSnafu)?)?)
         }
         Which::TimeoutNow(()) => MessageKind::TimeoutNow,
     })
@@ -130,27 +130,29 @@
     use entry::payload::Which;
     let payload = match reader.get_payload().which().context(UnknownKindSnafu)? {
         Which::Empty(()) => EntryPayload::Empty,
-        Which::Command(command) => EntryPayload::Command(Arc::from(command.context(DamagedSnafu)?)),
-        Which::Membership(membership) => EntryPayload::Membership(read_membership(membership.context(DamagedSnafu)?)?),
+        Which::Command(command) => EntryPayload::Command(Arc::from(command.context(MalformedSnafu)?)),
+        Which::Membership(membership) => {
+            EntryPayload::Membership(read_membership(membership.context(MalformedSnafu)?)?)
+        }
     };
     Ok(Entry { term: Term(reader.get_term()), index: LogIndex(reader.get_index()), payload })
 }
 
 fn write_membership(mut builder: group_membership::Builder<'_>, membership: &GroupMembership) {
     let mut voters = builder.reborrow().init_voters(membership.voters.len() as u32);
-    for (place, voter) in membership.voters.iter().enumerate() {
-        voters.set(place as u32, voter.0);
+    for (index, voter) in membership.voters.iter().enumerate() {
+        voters.set(index as u32, voter.0);
     }
     let mut learners = builder.init_learners(membership.learners.len() as u32);
-    for (place, learner) in membership.learners.iter().enumerate() {
-        learners.set(place as u32, learner.0);
+    for (index, learner) in membership.learners.iter().enumerate() {
+        learners.set(index as u32, learner.0);
     }
 }
 
 fn read_membership(reader: group_membership::Reader<'_>) -> WireResult<GroupMembership> {
     Ok(GroupMembership {
-        voters: reader.get_voters().context(DamagedSnafu)?.iter().map(NodeId).collect(),
-        learners: reader.get_learners().context(DamagedSnafu)?.iter().map(NodeId).collect(),
+        voters: reader.get_voters().context(MalformedSnafu)?.iter().map(NodeId).collect(),
+        learners: reader.get_learners().context(MalformedSnafu)?.iter().map(NodeId).collect(),
     })
 }
 
@@ -165,7 +167,7 @@
     Ok(Snapshot {
         index: LogIndex(reader.get_index()),
         term: Term(reader.get_term()),
-        membership: read_membership(reader.get_membership().context(DamagedSnafu)?)?,
-        state: Arc::from(reader.get_state().context(DamagedSnafu)?),
+        membership: read_membership(reader.get_membership().context(MalformedSnafu)?)?,
+        state: Arc::from(reader.get_state().context(MalformedSnafu)?),
     })
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,19 +1,19 @@
-//! The protocol between nodes: typed messages to bytes and back.
+//! Wire format of messages between nodes.
 //!
-//! Owns the Cap'n Proto schema, its generated code, and the codec between it and
-//! [`PeerMessage`](stallmoor_core::peer_message::PeerMessage). A frame on a TCP stream is a length of four
-//! bytes, little-endian, and that many bytes of one envelope; a datagram is one envelope.
+//! Contains the Cap'n Proto schema, its generated code, and the codec between it and
+//! [`PeerMessage`](stallmoor_core::peer_message::PeerMessage). A frame on a TCP stream is a 4-byte little-endian length
+//! followed by one envelope of that length. A datagram is one envelope.
 //!
-//! Bytes from the network are never trusted: a message that is truncated, of another version, or
-//! holds what it must not is an [`WireError`], never a panic.
+//! Bytes from the network are not trusted: a message that is truncated, invalid or of another protocol version yields a
+//! [`WireError`], never a panic.
 
 mod codec;
 mod generated;
 
 pub use codec::{WireError, decode, encode};
 
-/// The version of the protocol. A node refuses messages of any other.
+/// Version of the protocol. Messages of any other version are rejected.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// Most bytes in one frame.
+/// Maximum length of a frame, without its length prefix.
 pub const MAX_FRAME_BYTES: usize = 256 << 20;
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Messages between nodes against a golden file: nodes of this version and earlier ones understand each other.
+//! Compares encoded messages with a golden file. Guards against encoding changes that keep nodes of different versions
+//! from understanding each other.
 
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
@@ -9,7 +10,7 @@
 use stallmoor_wire::{decode, encode};
 
 #[test]
-fn messages_between_nodes_are_as_ever() {
+fn peer_message_encoding_is_unchanged() {
     let messages = support::all_messages();
     let messages: Vec<_> = messages.iter().map(|(name, message)| (name.as_str(), message.clone())).collect();
     golden::check_bytes("messages.txt", &messages, encode, |bytes| decode(bytes).ok());
--- a/crates/wire/tests/messages.rs
+++ b/crates/wire/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Every kind of message survives the way over the wire, and bytes that are not a message are refused.
+//! Checks that messages of every kind round-trip through the wire format, and that invalid bytes yield an error.
 
 #[path = "../../core/tests/support/golden_values.rs"]
 mod golden_values;
@@ -11,9 +11,9 @@
 use support::all_messages;
 
 #[test]
-fn every_kind_survives_the_wire() {
+fn every_message_kind_round_trips() {
     for (_, message) in all_messages() {
-        let decoded = decode(&encode(&message)).expect("an encoded message is read");
+        let decoded = decode(&encode(&message)).expect("decode an encoded message");
         assert_eq!(decoded, message);
     }
 }
@@ -31,14 +31,14 @@
 #[test]
 fn a_message_of_another_version_is_refused() {
     let bytes = encode(&PeerMessage::DirectoryRequest { from: NodeId(1) });
-    // Packed, the version is some byte that holds 1; changing the others breaks the message in other ways.
-    let places = (0..bytes.len()).filter(|place| bytes[*place] == 1);
-    let is_refused = |place: usize| {
+    // The version is one of the bytes with value 1 in the packed message. Changing another one causes other errors.
+    let offsets = (0..bytes.len()).filter(|offset| bytes[*offset] == 1);
+    let is_refused = |offset: usize| {
         let mut changed = bytes.clone();
-        changed[place] = 2;
-        matches!(decode(&changed), Err(WireError::OtherVersion { found: 2 }))
+        changed[offset] = 2;
+        matches!(decode(&changed), Err(WireError::UnsupportedVersion { found: 2 }))
     };
-    assert_eq!(places.filter(|place| is_refused(*place)).count(), 1);
+    assert_eq!(offsets.filter(|offset| is_refused(*offset)).count(), 1);
 }
 
 proptest! {
@@ -50,13 +50,13 @@
     })]
 
     #[test]
-    fn damaged_bytes_never_panic(place in any::<prop::sample::Index>(), which in any::<prop::sample::Index>(), bits in 1..=255_u8) {
+    fn damaged_bytes_never_panic(offset in any::<prop::sample::Index>(), message_index in any::<prop::sample::Index>(), bits in 1..=255_u8) {
         let messages = all_messages();
-        let (_, message) = which.get(&messages);
+        let (_, message) = message_index.get(&messages);
         let mut bytes = encode(message);
-        let offset = place.index(bytes.len());
+        let offset = offset.index(bytes.len());
         bytes[offset] ^= bits;
-        // Either outcome is right, as long as it is one.
+        // Both a message and an error are valid results.
         let _ = decode(&bytes);
     }
 }
--- a/crates/wire/tests/support/mod.rs
+++ b/crates/wire/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Messages of every kind, by name.
+//! Sample messages of every kind.
 
 use std::sync::Arc;
 
@@ -34,10 +34,10 @@
     submission, tenant,
 };
 
-/// A message and its name.
+/// The label in golden files and the message.
 pub type NamedMessage = (String, PeerMessage);
 
-/// Messages of every kind.
+/// Returns sample messages of every kind.
 pub fn all_messages() -> Vec<NamedMessage> {
     [
         membership_messages(),
@@ -106,7 +106,7 @@
         EntryPayload::Command(Arc::from([1, 2, 3].as_slice())),
         EntryPayload::Membership(membership.clone()),
     ];
-    let entry = |(place, payload)| Entry { term: Term(4), index: LogIndex(place), payload };
+    let entry = |(index, payload)| Entry { term: Term(4), index: LogIndex(index), payload };
     let append = |entries| MessageKind::Append {
         previous_index: LogIndex(7),
         previous_term: Term(3),
@@ -151,14 +151,14 @@
 }
 
 fn loads() -> LoadReport {
-    let news = |worker: &str, told| WorkerReport {
+    let worker_report = |worker: &str, reported| WorkerReport {
         worker: WorkerId(Arc::from(worker)),
         requests: 12,
-        self_reported: told,
+        self_reported: reported,
         ejected_by: 2,
         batch: 4,
     };
-    let workers = vec![news("worker-a", Some(300)), news("worker-b", None)];
+    let workers = vec![worker_report("worker-a", Some(300)), worker_report("worker-b", None)];
     LoadReport { workers, placed_per_s: 450, reporters: 21, nodes: 20, age: Millis(65) }
 }
 
@@ -277,9 +277,10 @@
         away: Millis(70_000),
         held: Millis(900),
     };
-    let asked = ChangesRequest { since: Revision(299), hold: Millis(1_000) };
+    let changes_request = ChangesRequest { since: Revision(299), hold: Millis(1_000) };
     let answers = vec![("since", changes(Some(Revision(299)))), ("all", changes(None))];
-    let mut messages = named("changes", vec![("ask", asked)], |value| request(GroupRequestBody::Changes(value)));
+    let mut messages =
+        named("changes", vec![("ask", changes_request)], |value| request(GroupRequestBody::Changes(value)));
     messages.extend(named("changes-answer", answers, |value| answer(Ok(GroupAnswerBody::Changes(value)))));
     let contents = ContentsAnswer {
         at: Revision(301),
@@ -288,7 +289,7 @@
         held: Millis(900),
         packed: Arc::from([3, 1, 2].as_slice()),
     };
-    messages.push(("follow/ask".to_owned(), request(GroupRequestBody::Follow(asked))));
+    messages.push(("follow/ask".to_owned(), request(GroupRequestBody::Follow(changes_request))));
     messages.push(("follow-answer/contents".to_owned(), answer(Ok(GroupAnswerBody::Contents(contents)))));
     messages
 }
