--- a/crates/storage/tests/replica_log.rs
+++ b/crates/storage/tests/replica_log.rs
@@ -184,7 +184,7 @@
 }
 
 proptest! {
-    /// Any sequence of writes, snapshots and restarts leaves the files equal to the in-memory model.
+    /// Any sequence of writes, snapshots and restarts leaves the files equivalent to the in-memory model.
     #[test]
     fn files_match_the_write_model(steps in proptest::collection::vec(step(), 1..40)) {
         let folder = tempfile::tempdir().expect("create temporary folder");
