--- a/crates/core/src/node/configuration/apply.rs
+++ b/crates/core/src/node/configuration/apply.rs
@@ -1,67 +1,67 @@
-//! One operator's change, made accepted by one compare-and-swap of the manifest.
+//! The state machine that commits an operator's configuration change.
 //!
-//! The parts are written first, each under its digest; writing one again changes nothing. Then the
-//! manifest is swapped against the version that was read. An answer that is lost is resolved by
-//! reading the manifest back: it remembers the ids of the latest changes.
+//! The parts are written first, each under its digest, so repeating a write is idempotent. The change
+//! is then committed by one compare-and-swap of the manifest against the version that was read. If a
+//! response is lost, the manifest is read again: it lists the ids of the most recent changes.
 
 use super::bundle::{ApplyId, Bundle, Manifest, PartDigest};
 use crate::time::{Millis, Timestamp};
 
-/// How long a change may take before its outcome is called unknown.
+/// Maximum duration of a change.
 const APPLY_TIMEOUT: Millis = Millis(10_000);
 
-/// What the state machine wants done next.
+/// The next operation that the caller must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyStep {
     /// Read the manifest.
     ReadManifest,
-    /// Write a part, unless it is there.
+    /// Write a part unless it already exists.
     WritePart(PartDigest),
-    /// Swap the manifest for the next, if its stored version is still `expected`.
+    /// Replace the manifest if its stored version is still `expected`.
     SwapManifest {
-        /// The version that was read; 0 if there was none.
+        /// The version that was read; 0 if no manifest exists.
         expected: u64,
         /// The new manifest.
         manifest: Manifest,
     },
-    /// The change is done.
+    /// The change is complete; no further operation is needed.
     Done(ApplyOutcome),
 }
 
-/// How a change ended.
+/// The final result of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It was accepted.
+    /// The change was committed with this manifest.
     Accepted(Manifest),
-    /// The set is what is in force already.
+    /// The files are identical to the current revision.
     Unchanged(Manifest),
-    /// Another revision was accepted since the one the change was made against.
+    /// The current revision differs from the one the change was based on.
     Conflict {
-        /// The revision now in force.
+        /// The current revision.
         current: u64,
     },
-    /// The key-value service can't be reached, and nothing was swapped.
+    /// The key-value service is unreachable and no swap was sent.
     Unavailable,
-    /// The swap was sent and its outcome could not be learned.
+    /// A swap was sent, but its result could not be determined.
     Unknown,
 }
 
-/// The answer of the key-value service to a step.
+/// The response of the key-value service to a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyAnswer {
-    /// The stored manifest and its version; `None` if there is none yet.
+    /// The stored version and manifest; `None` if no manifest exists yet.
     Manifest(Option<(u64, Manifest)>),
-    /// A part is written.
+    /// The part is stored.
     PartWritten,
-    /// The swap took effect.
+    /// The manifest was replaced.
     Swapped,
-    /// The stored version was another.
+    /// The stored version differs from the expected one.
     VersionMismatch,
-    /// No answer came, or an error. The step may have taken effect.
+    /// The call failed or timed out. The operation may have taken effect.
     NoAnswer,
 }
 
-/// One operator's change under way.
+/// An operator's change in progress.
 #[derive(Clone, Debug)]
 pub struct ConfigurationApply {
     id: ApplyId,
@@ -70,52 +70,52 @@
     deadline: Timestamp,
     unwritten: Vec<PartDigest>,
     base: Option<(u64, Manifest)>,
-    /// Whether a swap was ever sent, so that the change may be in force.
+    /// Whether a swap was sent, in which case the change may be in force.
     swap_sent: bool,
 }
 
 impl ConfigurationApply {
-    /// Starts a change. With `expected_revision`, only that revision may be replaced.
+    /// Creates a change. If `expected_revision` is given, the change replaces only that revision.
     pub fn new(id: ApplyId, bundle: Bundle, expected_revision: Option<u64>, now: Timestamp) -> Self {
         let unwritten = bundle.parts().into_keys().collect();
         let deadline = now + APPLY_TIMEOUT;
         Self { id, bundle, expected_revision, deadline, unwritten, base: None, swap_sent: false }
     }
 
-    /// The change's id.
+    /// Returns the id of the change.
     pub fn id(&self) -> ApplyId {
         self.id
     }
 
-    /// The set of files.
+    /// Returns the files to apply.
     pub fn bundle(&self) -> &Bundle {
         &self.bundle
     }
 
-    /// Whether the step under way writes a part.
+    /// Returns whether the current step writes a part.
     pub fn writes_parts(&self) -> bool {
         self.base.is_some() && !self.unwritten.is_empty()
     }
 
-    /// When the change is given up.
+    /// Returns the time at which the change times out.
     pub fn deadline(&self) -> Timestamp {
         self.deadline
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn begin(&self) -> ApplyStep {
         ApplyStep::ReadManifest
     }
 
-    /// How the change ends if it is given up now.
-    pub fn give_up(&self) -> ApplyOutcome {
+    /// Returns the outcome of the change if it times out now.
+    pub fn timeout_outcome(&self) -> ApplyOutcome {
         if self.swap_sent { ApplyOutcome::Unknown } else { ApplyOutcome::Unavailable }
     }
 
-    /// Takes the answer to the last step and says what to do next.
+    /// Processes the response to the last step and returns the next step.
     pub fn on_answer(&mut self, answer: ApplyAnswer, now: Timestamp) -> ApplyStep {
         if now >= self.deadline {
-            return ApplyStep::Done(self.give_up());
+            return ApplyStep::Done(self.timeout_outcome());
         }
         match answer {
             ApplyAnswer::Manifest(stored) => self.on_manifest(stored),
@@ -138,7 +138,7 @@
         }
         let current = manifest.revision;
         if self.expected_revision.is_some_and(|expected| expected > current) {
-            // A stale read: the operator, or this change itself, saw a later revision.
+            // Stale read: the operator or this change has already seen a later revision.
             return ApplyStep::ReadManifest;
         }
         if self.expected_revision.is_some_and(|expected| expected != current) {
@@ -147,7 +147,7 @@
         if current > 0 && manifest.parts == self.bundle.references() {
             return ApplyStep::Done(ApplyOutcome::Unchanged(manifest));
         }
-        // Without an expected revision the first one read counts as the one the operator saw.
+        // Without an expected revision, the change is based on the first revision read.
         self.expected_revision = Some(current);
         self.base = Some((version, manifest));
         self.write_or_swap()
--- a/crates/core/src/node/configuration/bundle.rs
+++ b/crates/core/src/node/configuration/bundle.rs
@@ -1,8 +1,8 @@
-//! A set of files as it is stored in the key-value service and spread between nodes.
+//! The representation of a set of configuration files in the key-value service and between nodes.
 //!
-//! Each file is a part, stored under the digest of its content and never changed. The manifest names
-//! the parts and is the only thing that a compare-and-swap accepts. A change of one file moves one
-//! part, however large the set.
+//! Each file is an immutable part, stored under the digest of its content. The manifest lists the
+//! parts, and a change is committed by a compare-and-swap of the manifest alone. A change to one file
+//! transfers only that part.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,72 +14,73 @@
 use super::reader::{ConfigurationError, SourceFile};
 use crate::hashing::hash_parts;
 
-/// How many past changes a manifest remembers, to find out whether a change whose answer was lost took effect.
-pub const REMEMBERED_APPLIES: usize = 64;
+/// Maximum number of recent changes listed in a manifest. The list tells whether a change whose response was lost
+/// took effect.
+pub const MAX_RECENT_APPLIES: usize = 64;
 
-/// Names the content of a part.
+/// The digest of a part's content, which identifies the part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PartDigest(pub u64);
 
-/// Names one operator's change. Drawn at random by whoever makes it.
+/// Identifies an operator's change. Chosen at random by the client that submits it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ApplyId(pub u64);
 
-/// A file of the set, by name and digest.
+/// A reference to a file by name and content digest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartReference {
     /// The file's name.
     pub name: String,
-    /// The digest of its content.
+    /// The digest of the file's content.
     pub digest: PartDigest,
 }
 
-/// What one revision consists of.
+/// The contents of one configuration revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Grows by one with each accepted change; the first is 1.
+    /// The revision number, starting at 1 and incremented by each accepted change.
     pub revision: u64,
-    /// The files, in order of name.
+    /// The files, sorted by name.
     pub parts: Vec<PartReference>,
-    /// The latest changes and the revision each made, newest last.
+    /// The most recent changes with the revision that each created, newest last.
     pub applies: Vec<(ApplyId, u64)>,
 }
 
-/// The parts of a set, by digest.
+/// The contents of parts, keyed by digest.
 pub type PartContents = BTreeMap<PartDigest, Arc<str>>;
 
-/// A set of files.
+/// A set of configuration files.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bundle {
-    /// Content by file name.
+    /// File contents, keyed by file name.
     pub files: BTreeMap<String, Arc<str>>,
 }
 
 impl PartDigest {
-    /// The digest of a content.
+    /// Computes the digest of `content`.
     pub fn of(content: &str) -> Self {
         Self(hash_parts(&[content.as_bytes()]))
     }
 }
 
 impl Bundle {
-    /// Checks the set.
+    /// Validates the files and returns the resulting configuration.
     ///
     /// # Errors
     ///
-    /// All errors of all files.
+    /// Returns all errors of all files.
     pub fn check(&self) -> Result<FleetConfiguration, Vec<ConfigurationError>> {
         let files: Vec<SourceFile> =
             self.files.iter().map(|(name, text)| SourceFile { name: name.clone(), text: text.to_string() }).collect();
         check_files(&files)
     }
 
-    /// The parts, by digest.
+    /// Returns the contents of the files, keyed by digest.
     pub fn parts(&self) -> PartContents {
         self.files.values().map(|content| (PartDigest::of(content), content.clone())).collect()
     }
 
-    /// The references to the parts, in order of name.
+    /// Returns references to the files, sorted by name.
     pub fn references(&self) -> Vec<PartReference> {
         self.files
             .iter()
@@ -89,22 +90,22 @@
 }
 
 impl Manifest {
-    /// The manifest that follows this one by a change.
+    /// Returns the manifest that results from applying a change to this one.
     pub fn next(&self, apply: ApplyId, parts: Vec<PartReference>) -> Self {
         let revision = self.revision + 1;
         let mut applies = self.applies.clone();
         applies.push((apply, revision));
-        let excess = applies.len().saturating_sub(REMEMBERED_APPLIES);
+        let excess = applies.len().saturating_sub(MAX_RECENT_APPLIES);
         applies.drain(..excess);
         Self { revision, parts, applies }
     }
 
-    /// The revision that a change made, if it was accepted.
+    /// Returns the revision that a change created, if the change is among the recent ones.
     pub fn revision_of(&self, apply: ApplyId) -> Option<u64> {
         self.applies.iter().find(|(id, _)| *id == apply).map(|(_, revision)| *revision)
     }
 
-    /// The set that this manifest names, or the first part that `contents` lacks.
+    /// Assembles the files of this manifest, or returns the first part that `contents` lacks.
     pub fn assemble(&self, contents: &PartContents) -> Result<Bundle, PartDigest> {
         let mut bundle = Bundle::default();
         for part in &self.parts {
--- a/crates/core/src/node/configuration/check.rs
+++ b/crates/core/src/node/configuration/check.rs
@@ -1,4 +1,4 @@
-//! From a set of files to a checked configuration, or to all of its errors.
+//! Validation of a set of configuration files.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use crate::identity::EngineName;
 use crate::time::Millis;
 
-/// What the files say before references are checked.
+/// The parsed contents of the files, before references are resolved.
 #[derive(Default)]
 struct Draft {
     fleets: Vec<Located<Fleet>>,
@@ -39,11 +39,11 @@
     slots: u32,
 }
 
-/// Checks a set of files as a whole.
+/// Validates a set of files and resolves the references between them.
 ///
 /// # Errors
 ///
-/// Every error of every file, in order of file and line.
+/// Returns all errors of all files, sorted by file and line.
 pub fn check_files(files: &[SourceFile]) -> Result<FleetConfiguration, Vec<ConfigurationError>> {
     let mut errors = Vec::new();
     let mut draft = Draft::default();
@@ -90,7 +90,7 @@
 
 fn read_zone(table: &mut TableReader<'_>) -> Option<Located<Zone>> {
     let name = table.text("name");
-    // Nothing goes by the region yet; a zone must name one all the same.
+    // The region is required but not used yet.
     let region = table.text("region");
     let name = name?;
     region?;
@@ -100,7 +100,7 @@
 
 fn read_service(table: &mut TableReader<'_>) -> Option<Located<Service>> {
     let name = table.text("name");
-    // Nothing goes by this limit yet; it must lie in its range all the same.
+    // The limit is validated but not used yet.
     table.number("tail_harm_limit", 1.0..=10.0, 1.10);
     let online_headroom = table.number("online_headroom", 0.0..=0.9, 0.1);
     let online_queue = table.number("online_queue", 0.0..=16.0, 1.0);
@@ -159,12 +159,12 @@
 
 fn resolve(draft: Draft, files: &[SourceFile], errors: &mut Vec<ConfigurationError>) -> FleetConfiguration {
     let fleet = resolve_fleet(draft.fleets, files, errors);
-    let zones = by_name("zone", draft.zones, |zone| zone.name.clone(), errors);
-    let services = by_name("service", draft.services, |service| service.name.clone(), errors);
+    let zones = index_by_name("zone", draft.zones, |zone| zone.name.clone(), errors);
+    let services = index_by_name("service", draft.services, |service| service.name.clone(), errors);
     let mut models = resolve_models(draft.models, &services, errors);
     resolve_adapters(draft.adapters, &mut models, errors);
     let engines = resolve_engines(draft.engines, &zones, &services, errors);
-    let tenants = by_name("tenant", draft.tenants, |tenant| tenant.name.clone(), errors);
+    let tenants = index_by_name("tenant", draft.tenants, |tenant| tenant.name.clone(), errors);
     FleetConfiguration { fleet, zones, services, models, engines, tenants }
 }
 
@@ -184,28 +184,28 @@
     first.value
 }
 
-/// Files values under their names; a second value of a name is an error.
-fn by_name<T>(
+/// Indexes values by name and reports duplicates.
+fn index_by_name<T>(
     kind: &str,
     values: Vec<Located<T>>,
     name: impl Fn(&T) -> Arc<str>,
     errors: &mut Vec<ConfigurationError>,
 ) -> BTreeMap<Arc<str>, T> {
-    let mut places: BTreeMap<Arc<str>, (String, usize)> = BTreeMap::new();
+    let mut positions: BTreeMap<Arc<str>, (String, usize)> = BTreeMap::new();
     let mut named = BTreeMap::new();
     for located in values {
         let key = name(&located.value);
-        if let Some((file, line)) = places.get(&key) {
+        if let Some((file, line)) = positions.get(&key) {
             errors.push(located.error(format!("duplicate: {kind} \"{key}\" is also at {file}:{line}")));
             continue;
         }
-        places.insert(key.clone(), (located.file.clone(), located.line));
+        positions.insert(key.clone(), (located.file.clone(), located.line));
         named.insert(key, located.value);
     }
     named
 }
 
-/// The value that a reference names, or an error at the reference.
+/// Returns the name that a reference resolves to, or reports an error at the reference.
 fn lookup<'a, T>(
     kind: &str,
     reference: &Located<String>,
@@ -233,9 +233,9 @@
             version: Arc::from(draft.version),
             adapters: Vec::new(),
         };
-        located.push(relocate(&draft.name, model));
+        located.push(with_location_of(&draft.name, model));
     }
-    by_name("model", located, |model| model.name.clone(), errors)
+    index_by_name("model", located, |model| model.name.clone(), errors)
 }
 
 fn resolve_adapters(
@@ -278,12 +278,12 @@
             service,
             slots: draft.slots,
         };
-        located.push(relocate(&draft.name, engine));
+        located.push(with_location_of(&draft.name, engine));
     }
-    let named = by_name("machine", located, |engine| engine.name.0.clone(), errors);
+    let named = index_by_name("machine", located, |engine| engine.name.0.clone(), errors);
     named.into_iter().map(|(name, engine)| (EngineName(name), engine)).collect()
 }
 
-fn relocate<T, U>(place: &Located<T>, value: U) -> Located<U> {
-    Located { value, file: place.file.clone(), line: place.line, field: place.field.clone() }
+fn with_location_of<T, U>(origin: &Located<T>, value: U) -> Located<U> {
+    Located { value, file: origin.file.clone(), line: origin.line, field: origin.field.clone() }
 }
--- a/crates/core/src/node/configuration/fleet.rs
+++ b/crates/core/src/node/configuration/fleet.rs
@@ -1,4 +1,4 @@
-//! What the operators' files say, as checked types.
+//! The validated configuration types.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,104 +7,104 @@
 use crate::identity::EngineName;
 use crate::time::Millis;
 
-/// A checked set of files. References between its parts hold.
+/// A validated configuration. All references between its entries resolve.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetConfiguration {
-    /// The fleet as a whole.
+    /// Fleet-wide settings.
     pub fleet: Fleet,
-    /// Zones by name.
+    /// Zones, keyed by name.
     pub zones: BTreeMap<Arc<str>, Zone>,
-    /// Services by name.
+    /// Services, keyed by name.
     pub services: BTreeMap<Arc<str>, Service>,
-    /// Models by name.
+    /// Models, keyed by name.
     pub models: BTreeMap<Arc<str>, Model>,
-    /// Engines by name.
+    /// Engines, keyed by name.
     pub engines: BTreeMap<EngineName, Engine>,
-    /// Tenants by name.
+    /// Tenants, keyed by name.
     pub tenants: BTreeMap<Arc<str>, Tenant>,
 }
 
-/// The fleet as a whole.
+/// Fleet-wide settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fleet {
-    /// Its name.
+    /// The fleet's name.
     pub name: Arc<str>,
-    /// How many replica groups are founded. Read once, when the fleet starts.
+    /// Number of replica groups to create. Read only when the fleet is bootstrapped.
     pub replica_groups: u32,
-    /// How long ended jobs, marks and idle sessions stay readable.
+    /// How long finished jobs, marks and idle sessions remain readable.
     pub retention: Millis,
 }
 
-/// A zone: machines that may fail together.
+/// A failure domain: machines that may fail together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
-    /// Its name.
+    /// The zone's name, unique in the fleet.
     pub name: Arc<str>,
 }
 
-/// A service: models that are offered on the same engines.
+/// A set of models that are served by the same engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The service's name, unique in the fleet.
     pub name: Arc<str>,
-    /// The share of each engine's slots that batch leaves free.
+    /// Fraction of each engine's slots reserved for online requests.
     pub online_headroom: f64,
-    /// How many online requests may wait at an engine, as a share of its slots.
+    /// Maximum number of online requests queued at an engine, as a fraction of its slots.
     pub online_queue: f64,
-    /// The priority that online requests carry at the engine; lower runs first.
+    /// Engine priority of online requests; lower values run first.
     pub online_priority: u32,
-    /// The priority that batch items carry at the engine.
+    /// Engine priority of batch items; lower values run first.
     pub batch_priority: u32,
-    /// Shortest time between two starts of batch streams at one engine by one node, so that their
-    /// prefills don't fall into one iteration.
+    /// Minimum interval between batch streams that a node starts at one engine, so that their prefills
+    /// don't fall into the same iteration.
     pub batch_start_interval: Millis,
-    /// Most tokens generated for one request.
+    /// Maximum number of tokens generated per request.
     pub max_tokens: u32,
-    /// The deadline of an online request that names none.
+    /// Default deadline of online requests.
     pub online_deadline: Millis,
 }
 
-/// A model.
+/// A model and its adapters.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// Its name.
+    /// The model's name, unique in the fleet.
     pub name: Arc<str>,
-    /// The service that offers it.
+    /// The service that offers the model.
     pub service: Arc<str>,
-    /// The version that engines should have loaded.
+    /// The version that engines should load.
     pub version: Arc<str>,
-    /// Its adapters.
+    /// Names of the model's adapters.
     pub adapters: Vec<Arc<str>>,
 }
 
-/// A back end, and the machine that carries it.
+/// An inference engine and the machine that runs it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Its name, which is also the machine's name in the machine list.
+    /// The engine's name, which is also the machine's name in the machine list.
     pub name: EngineName,
-    /// Where it takes requests.
+    /// The address on which the engine accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: Arc<str>,
-    /// The service it belongs to.
+    /// The service whose models the engine serves.
     pub service: Arc<str>,
-    /// How many sequences it decodes at once.
+    /// Maximum number of sequences decoded concurrently.
     pub slots: u32,
 }
 
-/// A tenant.
+/// A tenant and its limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// The tenant's name, unique in the fleet.
     pub name: Arc<str>,
-    /// Most online requests in flight at one node.
+    /// Maximum number of online requests in flight per node.
     pub requests_in_flight: u32,
-    /// Its share of batch capacity, against other tenants.
+    /// Weight of the tenant's share of batch capacity, relative to other tenants.
     pub batch_weight: u32,
 }
 
 impl FleetConfiguration {
-    /// The service that offers a model.
+    /// Returns the service that offers a model.
     pub fn service_of_model(&self, model: &str) -> Option<&Service> {
         let model = self.models.get(model)?;
         self.services.get(&model.service)
--- a/crates/core/src/node/configuration/mod.rs
+++ b/crates/core/src/node/configuration/mod.rs
@@ -1,11 +1,11 @@
-//! The operators' files, and which revision of them is in force.
+//! The fleet's configuration files and their revisions.
 //!
-//! * [`reader`] walks a TOML file and gathers every error with its line and field.
-//! * [`fleet`] is what the files say, as checked types.
-//! * [`check`] turns a set of files into a [`fleet::FleetConfiguration`] or into all of its errors.
-//! * [`bundle`] is the set as it is stored and spread: parts named by digest and one small manifest.
-//! * [`apply`] makes a change accepted by one compare-and-swap of the manifest.
-//! * [`replica`] keeps the newest revision that this node knows, and never goes back.
+//! * [`reader`] reads TOML tables and collects all errors with line and field.
+//! * [`fleet`] defines the validated configuration types.
+//! * [`check`] validates a set of files and builds a [`fleet::FleetConfiguration`].
+//! * [`bundle`] defines the stored form: content-addressed parts and a small manifest.
+//! * [`apply`] commits a change by one compare-and-swap of the manifest.
+//! * [`replica`] holds the newest revision received by this node.
 
 pub mod apply;
 pub mod bundle;
--- a/crates/core/src/node/configuration/reader.rs
+++ b/crates/core/src/node/configuration/reader.rs
@@ -1,4 +1,4 @@
-//! A reader of TOML tables that reports every error at once, with file, line and field.
+//! A reader for TOML tables that collects all errors with file, line and field.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -9,25 +9,25 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// One file, by name and content.
+/// The name and contents of a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceFile {
-    /// Its name, as errors give it.
+    /// The file name used in error messages.
     pub name: String,
-    /// Its text.
+    /// The contents of the file.
     pub text: String,
 }
 
-/// One error in a file.
+/// An error in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ConfigurationError {
-    /// The file.
+    /// The name of the file.
     pub file: String,
-    /// The line, from 1.
+    /// The line number, starting at 1.
     pub line: usize,
-    /// The field, such as `machine.zone`; empty where the file can't be read as TOML.
+    /// The path of the field, such as `machine.zone`; empty if the file is not valid TOML.
     pub field: String,
-    /// What is wrong and what would be right.
+    /// A description of the error and the accepted values.
     pub message: String,
 }
 
@@ -41,21 +41,21 @@
     }
 }
 
-/// A value with the place it was read from, for errors found later.
+/// A value with its source location, for errors found after parsing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Located<T> {
-    /// The value.
+    /// The parsed value.
     pub value: T,
-    /// The file.
+    /// The name of the file.
     pub file: String,
-    /// The line, from 1.
+    /// The line number, starting at 1.
     pub line: usize,
-    /// The field.
+    /// The path of the field.
     pub field: String,
 }
 
 impl<T> Located<T> {
-    /// An error at this value's place.
+    /// Returns an error at the location of this value.
     pub fn error(&self, message: impl Into<String>) -> ConfigurationError {
         ConfigurationError {
             file: self.file.clone(),
@@ -66,14 +66,14 @@
     }
 }
 
-/// A parsed file.
+/// A parsed TOML file.
 pub struct Document<'a> {
     source: &'a SourceFile,
     root: DeTable<'a>,
 }
 
 impl<'a> Document<'a> {
-    /// Parses a file.
+    /// Parses a file, or returns an error with the line of the first syntax error.
     pub fn parse(source: &'a SourceFile) -> Result<Self, ConfigurationError> {
         match DeTable::parse(&source.text) {
             Ok(root) => Ok(Self { source, root: root.into_inner() }),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A reader of the file's outermost table.
+    /// Returns a reader for the root table.
     pub fn reader<'r>(&'r self, errors: &'r mut Vec<ConfigurationError>) -> TableReader<'r> {
         TableReader {
             source: self.source,
@@ -99,8 +99,7 @@
     }
 }
 
-/// Reads the fields of one table. Every field asked for counts as known; [`finish`](Self::finish)
-/// reports the others.
+/// Reads the fields of a table. [`finish`](Self::finish) reports the fields that were never read as unknown.
 pub struct TableReader<'a> {
     source: &'a SourceFile,
     path: String,
@@ -111,7 +110,7 @@
 }
 
 impl<'a> TableReader<'a> {
-    /// Reports an error at a field of this table, or at the table itself if the field is absent.
+    /// Reports an error at a field of this table, or at the table if the field is absent.
     pub fn report(&mut self, field: &str, message: impl Into<String>) {
         let start = self.table.get(field).map_or(self.span.start, |value| value.span().start);
         let error = ConfigurationError {
@@ -123,7 +122,7 @@
         self.errors.push(error);
     }
 
-    /// Reports every field that was not asked for.
+    /// Reports every field that was never read as unknown.
     pub fn finish(mut self) {
         let unknown: Vec<String> =
             self.table.keys().map(|key| key.get_ref().to_string()).filter(|key| !self.read.contains(key)).collect();
@@ -134,7 +133,7 @@
         }
     }
 
-    /// A string that must be there and not be empty.
+    /// Reads a required, non-empty string.
     pub fn text(&mut self, field: &str) -> Option<Located<String>> {
         let located = self.optional_text(field);
         if located.is_none() && !self.table.contains_key(field) {
@@ -143,7 +142,7 @@
         located
     }
 
-    /// A string that may be absent, but not empty.
+    /// Reads an optional, non-empty string.
     pub fn optional_text(&mut self, field: &str) -> Option<Located<String>> {
         let value = self.take(field)?;
         let Some(text) = value.get_ref().as_str() else {
@@ -157,19 +156,19 @@
         Some(self.locate(field, text.to_owned()))
     }
 
-    /// An IP address with port.
+    /// Reads a required IP address with port.
     pub fn address(&mut self, field: &str) -> Option<Located<SocketAddr>> {
         let text = self.text(field)?;
         self.parse_address(field, &text)
     }
 
-    /// A list of IP addresses with port; absent means empty.
+    /// Reads a list of IP addresses with ports; empty if absent.
     pub fn addresses(&mut self, field: &str) -> Vec<Located<SocketAddr>> {
         let texts = self.texts(field);
         texts.iter().filter_map(|text| self.parse_address(field, text)).collect()
     }
 
-    /// A list of strings; absent means empty.
+    /// Reads a list of strings; empty if absent.
     pub fn texts(&mut self, field: &str) -> Vec<Located<String>> {
         let Some(value) = self.take(field) else { return Vec::new() };
         let Some(items) = value.get_ref().as_array() else {
@@ -183,7 +182,7 @@
         texts.into_iter().flatten().map(|text| self.locate(field, text)).collect()
     }
 
-    /// A whole number within `range`; absent means `default`.
+    /// Reads an integer within `range`, or returns `default` if it is absent or invalid.
     pub fn integer(&mut self, field: &str, range: RangeInclusive<u64>, default: u64) -> u64 {
         let Some(value) = self.take(field) else { return default };
         let parsed = match value.get_ref() {
@@ -199,7 +198,7 @@
         }
     }
 
-    /// A number within `range`; absent means `default`.
+    /// Reads a number within `range`, or returns `default` if it is absent or invalid.
     pub fn number(&mut self, field: &str, range: RangeInclusive<f64>, default: f64) -> f64 {
         let Some(value) = self.take(field) else { return default };
         let parsed = match value.get_ref() {
@@ -216,7 +215,7 @@
         }
     }
 
-    /// True or false; absent means `default`.
+    /// Reads a boolean, or returns `default` if it is absent or invalid.
     pub fn boolean(&mut self, field: &str, default: bool) -> bool {
         let Some(value) = self.take(field) else { return default };
         if let DeValue::Boolean(boolean) = value.get_ref() {
@@ -226,7 +225,7 @@
         default
     }
 
-    /// A table; absent means that `read` isn't called.
+    /// Reads a nested table with `read`; `None` if it is absent or not a table.
     pub fn table<T>(&mut self, field: &str, read: impl FnOnce(&mut TableReader<'_>) -> T) -> Option<T> {
         let value = self.take(field)?;
         let Some(table) = value.get_ref().as_table() else {
@@ -236,7 +235,7 @@
         Some(self.read_inner(field, table, value.span(), read))
     }
 
-    /// A list of tables; absent means empty.
+    /// Reads each table of an array with `read`; empty if absent.
     pub fn tables<T>(&mut self, field: &str, mut read: impl FnMut(&mut TableReader<'_>) -> T) -> Vec<T> {
         let Some(value) = self.take(field) else { return Vec::new() };
         let Some(items) = value.get_ref().as_array() else {
@@ -253,7 +252,7 @@
         values
     }
 
-    /// Gives a value the place of a field of this table.
+    /// Attaches the source location of a field of this table to a value.
     pub fn locate<T>(&self, field: &str, value: T) -> Located<T> {
         let start = self.table.get(field).map_or(self.span.start, |found| found.span().start);
         Located {
@@ -305,7 +304,7 @@
     }
 }
 
-/// The line of a byte offset, from 1.
+/// Returns the line number of a byte offset, starting at 1.
 fn line_of(text: &str, offset: usize) -> usize {
     let offset = offset.min(text.len());
     text.as_bytes()[..offset].iter().filter(|byte| **byte == b'\n').count() + 1
--- a/crates/core/src/node/configuration/replica.rs
+++ b/crates/core/src/node/configuration/replica.rs
@@ -1,4 +1,4 @@
-//! The newest revision that this node knows. It never goes back.
+//! The node's copy of the newest configuration revision. The revision never decreases.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,56 +7,56 @@
 use super::fleet::FleetConfiguration;
 use crate::hashing::hash_parts;
 
-/// A revision in force.
+/// The active configuration revision.
 #[derive(Clone, Debug)]
 pub struct InForce {
-    /// What it consists of.
+    /// The manifest of the revision.
     pub manifest: Manifest,
-    /// Its parts.
+    /// The contents of all parts of the manifest.
     pub contents: PartContents,
-    /// What it says.
+    /// The validated configuration.
     pub fleet: Arc<FleetConfiguration>,
 }
 
-/// What came of an offer.
+/// The result of offering a manifest or a part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// The revision is now in force.
-    Taken,
-    /// It is not newer than what is known.
+    /// The revision is now active.
+    Activated,
+    /// No newer revision is pending.
     NotNewer,
-    /// These parts are missing.
+    /// The pending revision still lacks these parts.
     Missing(Vec<PartDigest>),
-    /// Its files don't pass the check. Only a node of another version could have accepted them.
+    /// The files fail validation, which means that a node of another version accepted them.
     Invalid,
 }
 
-/// The newest revision that this node knows.
+/// The active revision and a newer one whose parts are still being fetched.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationReplica {
     in_force: Option<Arc<InForce>>,
-    /// A newer manifest whose parts are still arriving.
+    /// A newer manifest whose parts are still being fetched.
     pending: Option<Manifest>,
-    arrived: PartContents,
+    received: PartContents,
 }
 
 impl ConfigurationReplica {
-    /// What is in force.
+    /// Returns the active revision, if any.
     pub fn in_force(&self) -> Option<&Arc<InForce>> {
         self.in_force.as_ref()
     }
 
-    /// The revision in force; 0 for none.
+    /// Returns the number of the active revision; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.in_force.as_ref().map_or(0, |in_force| in_force.manifest.revision)
     }
 
-    /// The newest revision known, in force or still arriving.
+    /// Returns the number of the newest revision, active or pending.
     pub fn newest_known(&self) -> u64 {
         self.pending.as_ref().map_or(0, |manifest| manifest.revision).max(self.revision())
     }
 
-    /// Takes a manifest. A revision that is not higher is ignored, whatever its source says.
+    /// Processes a manifest. Revisions that are not newer than the active one are ignored.
     pub fn offer(&mut self, manifest: Manifest) -> OfferOutcome {
         if manifest.revision <= self.revision() {
             return OfferOutcome::NotNewer;
@@ -64,32 +64,32 @@
         if self.pending.as_ref().is_none_or(|pending| pending.revision < manifest.revision) {
             self.pending = Some(manifest);
         }
-        self.try_take()
+        self.try_activate()
     }
 
-    /// Takes a part that was asked for. A content that doesn't match its digest is dropped.
+    /// Processes a requested part. Content that doesn't match the digest is discarded.
     pub fn offer_part(&mut self, digest: PartDigest, content: Arc<str>) -> OfferOutcome {
         let wanted = self.missing().contains(&digest);
         if wanted && PartDigest::of(&content) == digest {
-            self.arrived.insert(digest, content);
+            self.received.insert(digest, content);
         }
-        self.try_take()
+        self.try_activate()
     }
 
-    /// Parts that the pending revision lacks.
+    /// Returns the parts that the pending revision lacks.
     pub fn missing(&self) -> Vec<PartDigest> {
         let Some(pending) = &self.pending else { return Vec::new() };
         let wanted: BTreeSet<PartDigest> = pending.parts.iter().map(|part| part.digest).collect();
         wanted.into_iter().filter(|digest| self.part(*digest).is_none()).collect()
     }
 
-    /// A part that is in force or has arrived.
+    /// Returns a part of the active revision or a received part of the pending one.
     pub fn part(&self, digest: PartDigest) -> Option<&Arc<str>> {
-        let held = self.in_force.as_ref().and_then(|in_force| in_force.contents.get(&digest));
-        held.or_else(|| self.arrived.get(&digest))
+        let active = self.in_force.as_ref().and_then(|in_force| in_force.contents.get(&digest));
+        active.or_else(|| self.received.get(&digest))
     }
 
-    /// A digest of what is in force, to compare nodes by.
+    /// Returns a digest of the active revision for comparison between nodes; 0 if there is none.
     pub fn digest(&self) -> u64 {
         let Some(in_force) = &self.in_force else { return 0 };
         let parts: Vec<[u8; 8]> = in_force.manifest.parts.iter().map(|part| part.digest.0.to_le_bytes()).collect();
@@ -97,7 +97,7 @@
         hash_parts(&slices)
     }
 
-    fn try_take(&mut self) -> OfferOutcome {
+    fn try_activate(&mut self) -> OfferOutcome {
         let Some(pending) = &self.pending else { return OfferOutcome::NotNewer };
         let missing = self.missing();
         if !missing.is_empty() {
@@ -107,10 +107,10 @@
             pending.parts.iter().filter_map(|part| Some((part.digest, self.part(part.digest)?.clone()))).collect();
         let manifest = pending.clone();
         self.pending = None;
-        self.arrived.clear();
+        self.received.clear();
         let checked = manifest.assemble(&contents).ok().and_then(|bundle| bundle.check().ok());
         let Some(fleet) = checked else { return OfferOutcome::Invalid };
         self.in_force = Some(Arc::new(InForce { manifest, contents, fleet: Arc::new(fleet) }));
-        OfferOutcome::Taken
+        OfferOutcome::Activated
     }
 }
--- a/crates/core/src/node/configuration_flow.rs
+++ b/crates/core/src/node/configuration_flow.rs
@@ -1,4 +1,4 @@
-//! Accepting, spreading and taking configuration.
+//! Commits configuration changes and distributes revisions between nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,38 +21,38 @@
 use crate::peer_message::{ConfigurationMessage, PeerMessage};
 use crate::time::{Millis, Timestamp};
 
-/// Where the manifest is kept in the key-value service.
+/// Key of the manifest in the key-value service.
 pub(super) const MANIFEST_KEY: &str = "configuration/manifest";
-/// Parts are kept under this prefix and their digest.
+/// Key prefix of parts; the digest follows in hexadecimal.
 const PART_PREFIX: &str = "configuration/part/";
-/// How many nodes read the manifest on their own.
+/// Number of nodes that poll the manifest.
 const CONFIGURATION_WATCHERS: usize = 3;
-/// To how many nodes a new revision is offered by each that takes it.
-const SPREAD: usize = 4;
-/// Missing parts are asked for again this often.
+/// Number of nodes to which each node offers a revision that it activates.
+const OFFER_FANOUT: usize = 4;
+/// Interval between requests for missing parts.
 const FETCH_INTERVAL: Millis = Millis(400);
-/// How many other nodes must have an accepted revision in force before the operator is answered, so that
-/// it outlives the node that accepted it even if the key-value service goes down right after.
-const CONFIRMATIONS: usize = 2;
-/// How long that is waited for. The revision is accepted either way.
+/// Number of other nodes that must activate an accepted revision before the operator receives a response, so
+/// that the revision survives the loss of this node while the key-value service is down.
+const REQUIRED_CONFIRMATIONS: usize = 2;
+/// Maximum wait for confirmations. The revision stays accepted after a timeout.
 const CONFIRMATION_TIMEOUT: Millis = Millis(2_000);
-/// The wait before a step of a change that got no answer is repeated.
+/// Delay before a failed step of a change is retried.
 const APPLY_BACKOFF: Millis = Millis(150);
 
-/// An accepted change whose operator waits until other nodes have it.
+/// An accepted change that waits for confirmations by other nodes.
 struct Confirmation {
     revision: u64,
     changed: bool,
     needed: usize,
-    holders: BTreeSet<NodeId>,
+    confirmed_by: BTreeSet<NodeId>,
     deadline: Timestamp,
 }
 
-/// What a node keeps for configuration.
+/// The node's pending configuration changes, poll times and source of the pending revision.
 pub(super) struct ConfigurationState {
     applies: BTreeMap<CallerId, ConfigurationApply>,
     confirmations: BTreeMap<CallerId, Confirmation>,
-    next_watch: Timestamp,
+    next_manifest_poll: Timestamp,
     next_fetch: Timestamp,
     source: Option<NodeId>,
 }
@@ -62,7 +62,7 @@
         Self {
             applies: BTreeMap::new(),
             confirmations: BTreeMap::new(),
-            next_watch: now,
+            next_manifest_poll: now,
             next_fetch: now,
             source: None,
         }
@@ -70,7 +70,7 @@
 }
 
 impl Node {
-    /// Takes what the disk held, if it passes the check of this version.
+    /// Restores the persisted configuration if it passes validation.
     pub(super) fn restore_configuration(&mut self, persisted: Option<(Manifest, PartContents)>) {
         let Some((manifest, contents)) = persisted else { return };
         self.configuration.offer(manifest);
@@ -83,9 +83,9 @@
         }
     }
 
-    // An operator's change.
+    // Changes by operators.
 
-    /// Whether an operator waits for a change.
+    /// Returns whether an operator waits for the result of a change.
     pub(super) fn has_applies(&self) -> bool {
         !self.configuration_state.applies.is_empty() || !self.configuration_state.confirmations.is_empty()
     }
@@ -105,10 +105,10 @@
         let apply = ConfigurationApply::new(id, bundle, expected_revision, self.clock.now);
         let step = apply.begin();
         self.configuration_state.applies.insert(caller, apply);
-        self.take_apply_step(caller, step, Millis(0));
+        self.execute_apply_step(caller, step, Millis(0));
     }
 
-    fn take_apply_step(&mut self, caller: CallerId, step: ApplyStep, wait: Millis) {
+    fn execute_apply_step(&mut self, caller: CallerId, step: ApplyStep, wait: Millis) {
         let operation = match step {
             ApplyStep::ReadManifest => KeyValueOperation::Get { key: MANIFEST_KEY.to_owned() },
             ApplyStep::WritePart(digest) => {
@@ -139,7 +139,7 @@
                 Err(_) => ApplyAnswer::NoAnswer,
             },
             KeyValueOutcome::NotFound => ApplyAnswer::Manifest(None),
-            // A part that exists already under its digest is as good as written.
+            // Parts are content-addressed, so an existing part needs no write.
             KeyValueOutcome::Written | KeyValueOutcome::VersionMismatch if is_part => ApplyAnswer::PartWritten,
             KeyValueOutcome::Written => ApplyAnswer::Swapped,
             KeyValueOutcome::VersionMismatch => ApplyAnswer::VersionMismatch,
@@ -147,7 +147,7 @@
         };
         let wait = if answer == ApplyAnswer::NoAnswer { APPLY_BACKOFF } else { Millis(0) };
         let step = apply.on_answer(answer, now);
-        self.take_apply_step(caller, step, wait);
+        self.execute_apply_step(caller, step, wait);
     }
 
     fn end_apply(&mut self, caller: CallerId, outcome: ApplyOutcome) {
@@ -156,12 +156,12 @@
             ApplyOutcome::Accepted(manifest) => {
                 let revision = manifest.revision;
                 self.log(LogEvent::ConfigurationAccepted, format!("revision {revision}"));
-                self.take_manifest(manifest, Some(&apply.bundle().parts()));
+                self.offer_manifest(manifest, Some(&apply.bundle().parts()));
                 self.await_confirmations(caller, revision, true);
             }
             ApplyOutcome::Unchanged(manifest) => {
                 let revision = manifest.revision;
-                self.take_manifest(manifest, Some(&apply.bundle().parts()));
+                self.offer_manifest(manifest, Some(&apply.bundle().parts()));
                 self.await_confirmations(caller, revision, false);
             }
             ApplyOutcome::Conflict { current } => {
@@ -185,19 +185,19 @@
         let confirmation = Confirmation {
             revision,
             changed,
-            needed: CONFIRMATIONS.min(others),
-            holders: BTreeSet::new(),
+            needed: REQUIRED_CONFIRMATIONS.min(others),
+            confirmed_by: BTreeSet::new(),
             deadline: self.clock.now + CONFIRMATION_TIMEOUT,
         };
         self.configuration_state.confirmations.insert(caller, confirmation);
         self.finish_confirmations();
     }
 
-    /// A peer has a revision in force.
-    fn note_holder(&mut self, peer: NodeId, revision: u64) {
+    /// Counts a peer whose active revision is `revision` toward the confirmations of accepted changes.
+    fn record_confirmation(&mut self, peer: NodeId, revision: u64) {
         for confirmation in self.configuration_state.confirmations.values_mut() {
             if revision >= confirmation.revision {
-                confirmation.holders.insert(peer);
+                confirmation.confirmed_by.insert(peer);
             }
         }
         self.finish_confirmations();
@@ -206,7 +206,7 @@
     fn finish_confirmations(&mut self) {
         let now = self.clock.now;
         let is_done = |confirmation: &Confirmation| {
-            confirmation.holders.len() >= confirmation.needed || now >= confirmation.deadline
+            confirmation.confirmed_by.len() >= confirmation.needed || now >= confirmation.deadline
         };
         let done: Vec<CallerId> = self
             .configuration_state
@@ -225,34 +225,34 @@
 
     fn expire_applies(&mut self) {
         let now = self.clock.now;
-        let late: Vec<CallerId> = self
+        let expired: Vec<CallerId> = self
             .configuration_state
             .applies
             .iter()
             .filter(|(_, apply)| now >= apply.deadline())
             .map(|(caller, _)| *caller)
             .collect();
-        for caller in late {
-            let outcome = self.configuration_state.applies.get(&caller).map(ConfigurationApply::give_up);
+        for caller in expired {
+            let outcome = self.configuration_state.applies.get(&caller).map(ConfigurationApply::timeout_outcome);
             if let Some(outcome) = outcome {
                 self.end_apply(caller, outcome);
             }
         }
     }
 
-    // Watching and spreading.
+    // Polling and distribution.
 
     pub(super) fn tick_configuration(&mut self) {
         let now = self.clock.now;
         self.expire_applies();
         self.finish_confirmations();
-        if now >= self.configuration_state.next_watch {
+        if now >= self.configuration_state.next_manifest_poll {
             let poll = self.settings.configuration_poll.0;
-            // Uniform between half the interval and one and a half, so that the watchers' reads don't fall together.
+            // Jitter between 0.5 and 1.5 intervals prevents the watchers from reading at the same time.
             let wait = Millis(poll / 2 + self.random.random_range(0..=poll));
-            self.configuration_state.next_watch = now + wait;
-            // The others get revisions from the watchers; at a cold start of the whole fleet their reads
-            // together would be more than the service bears.
+            self.configuration_state.next_manifest_poll = now + wait;
+            // Other nodes receive revisions from the watchers: if every node polled, a cold start of the whole
+            // fleet would overload the service.
             let is_alone = self.membership.present().count() <= 1;
             if is_alone || self.has_duty("configuration", CONFIGURATION_WATCHERS) {
                 let operation = KeyValueOperation::Get { key: MANIFEST_KEY.to_owned() };
@@ -270,11 +270,11 @@
         if let KeyValueOutcome::Value { value, .. } = outcome
             && let Ok(manifest) = serde_json::from_str::<Manifest>(&value)
         {
-            self.take_manifest(manifest, None);
+            self.offer_manifest(manifest, None);
         }
     }
 
-    fn take_manifest(&mut self, manifest: Manifest, contents: Option<&PartContents>) {
+    fn offer_manifest(&mut self, manifest: Manifest, contents: Option<&PartContents>) {
         let mut offer = self.configuration.offer(manifest);
         for (digest, content) in contents.into_iter().flatten() {
             if matches!(offer, OfferOutcome::Missing(_)) {
@@ -286,7 +286,7 @@
 
     pub(super) fn on_offer(&mut self, offer: OfferOutcome) {
         match offer {
-            OfferOutcome::Taken => self.configuration_taken(),
+            OfferOutcome::Activated => self.on_configuration_activated(),
             OfferOutcome::Missing(_) | OfferOutcome::NotNewer => {}
             OfferOutcome::Invalid => {
                 self.log(LogEvent::ConfigurationRefused, "an accepted revision does not pass this version's check");
@@ -294,7 +294,7 @@
         }
     }
 
-    fn configuration_taken(&mut self) {
+    fn on_configuration_activated(&mut self) {
         let Some(in_force) = self.configuration.in_force().cloned() else { return };
         let revision = in_force.manifest.revision;
         self.engines.configure(&in_force.fleet);
@@ -304,8 +304,8 @@
         }
         self.log(LogEvent::ConfigurationInForce, format!("revision {revision}"));
         let from = self.settings.id;
-        let mut receivers = self.membership.sample_present(SPREAD);
-        // Whoever offered it learns that it is in force here.
+        let mut receivers = self.membership.sample_present(OFFER_FANOUT);
+        // The source of the revision counts this node as a confirmation.
         receivers.extend(self.configuration_state.source.take().filter(|source| !receivers.contains(source)));
         for node in receivers {
             self.send(node, PeerMessage::Configuration(ConfigurationMessage::Offer { from, revision }));
@@ -313,8 +313,8 @@
         self.batch.is_dirty = true;
     }
 
-    /// Asks for missing parts: from the node that offered the revision, from any other node, and if
-    /// this node watches, from the key-value service.
+    /// Requests missing parts from the source of the revision, from a random node, and, if no call is
+    /// waiting, the first of them from the key-value service.
     fn fetch_missing_parts(&mut self) {
         let digests = self.configuration.missing();
         if digests.is_empty() {
@@ -338,7 +338,7 @@
     pub(super) fn on_peer_revision(&mut self, peer: NodeId, revision: u64) {
         let from = self.settings.id;
         let own = self.configuration.revision();
-        self.note_holder(peer, revision);
+        self.record_confirmation(peer, revision);
         if revision > self.configuration.newest_known() {
             self.send(peer, PeerMessage::Configuration(ConfigurationMessage::ManifestRequest { from }));
         } else if revision < own {
@@ -350,7 +350,7 @@
     pub(super) fn on_configuration_message(&mut self, message: ConfigurationMessage) {
         match message {
             ConfigurationMessage::Offer { from, revision } => {
-                self.note_holder(from, revision);
+                self.record_confirmation(from, revision);
                 if revision > self.configuration.newest_known() {
                     self.on_peer_revision(from, revision);
                 }
--- a/crates/core/src/node/control/directory.rs
+++ b/crates/core/src/node/control/directory.rs
@@ -1,26 +1,27 @@
-//! Where each group is found. Only a hint: a wrong entry costs a detour, never correctness.
+//! A cache of the location of each replica group. Entries are hints: a stale entry costs an extra
+//! round trip but never affects correctness.
 
 use std::collections::BTreeMap;
 
 use crate::identity::{GroupId, NodeId};
 use crate::replication::{LogIndex, Term};
 
-/// Where one group is found.
+/// The known members and leader of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryEntry {
-    /// The group.
+    /// The group that this entry describes.
     pub group: GroupId,
-    /// The term in which this was known.
+    /// The term to which `leader` belongs.
     pub term: Term,
-    /// The place of the membership in the group's log.
+    /// The log index of the group's membership.
     pub membership_index: LogIndex,
-    /// Its voters.
+    /// The voters of the group.
     pub members: Vec<NodeId>,
-    /// Its leader in that term, if known.
+    /// The leader in `term`, if known.
     pub leader: Option<NodeId>,
 }
 
-/// Where all groups are found.
+/// The known locations of all groups.
 #[derive(Clone, Debug, Default)]
 pub struct GroupDirectory {
     group_count: u32,
@@ -28,40 +29,40 @@
 }
 
 impl GroupDirectory {
-    /// How many groups were founded; 0 if that is not known yet.
+    /// Returns the number of groups; 0 if it is not known yet.
     pub fn group_count(&self) -> u32 {
         self.group_count
     }
 
-    /// Learns how many groups there are. It never changes after the founding.
+    /// Sets the number of groups unless it is already known. It never changes after the bootstrap.
     pub fn learn_group_count(&mut self, count: u32) {
         if self.group_count == 0 {
             self.group_count = count;
         }
     }
 
-    /// One entry.
+    /// Returns the entry of a group.
     pub fn get(&self, group: GroupId) -> Option<&DirectoryEntry> {
         self.entries.get(&group)
     }
 
-    /// All entries.
+    /// Returns all entries, sorted by group.
     pub fn entries(&self) -> impl Iterator<Item = &DirectoryEntry> {
         self.entries.values()
     }
 
-    /// Learns an entry, unless a later one is held.
+    /// Stores an entry unless a newer one is already known.
     pub fn learn(&mut self, entry: DirectoryEntry) {
-        let age = |entry: &DirectoryEntry| (entry.membership_index, entry.term, entry.leader.is_some());
+        let version = |entry: &DirectoryEntry| (entry.membership_index, entry.term, entry.leader.is_some());
         match self.entries.get(&entry.group) {
-            Some(held) if age(held) > age(&entry) => {}
+            Some(known) if version(known) > version(&entry) => {}
             _ => {
                 self.entries.insert(entry.group, entry);
             }
         }
     }
 
-    /// Learns of a leader of a later term.
+    /// Records the leader of a group unless a later term is already known.
     pub fn learn_leader(&mut self, group: GroupId, leader: NodeId, term: Term) {
         if let Some(entry) = self.entries.get_mut(&group)
             && term >= entry.term
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Drops the leader of a group because it doesn't answer as one.
+    /// Removes the recorded leader of a group after it failed to respond as the leader.
     pub fn forget_leader(&mut self, group: GroupId, leader: NodeId) {
         if let Some(entry) = self.entries.get_mut(&group)
             && entry.leader == Some(leader)
--- a/crates/core/src/node/control/founding.rs
+++ b/crates/core/src/node/control/founding.rs
@@ -1,7 +1,7 @@
-//! The founding of all replica groups by one compare-and-swap.
+//! The bootstrap of all replica groups by one compare-and-swap.
 //!
-//! The key-value service decides only which of several founders wins. After that the groups keep
-//! their own membership in their logs, so that no later step needs the service.
+//! The key-value service only decides which of several concurrent bootstraps wins. Afterwards each
+//! group stores its membership in its own log, independently of the service.
 
 use std::collections::BTreeSet;
 
@@ -10,19 +10,19 @@
 use crate::identity::{GroupId, NodeId};
 use crate::replication::{StoreCandidate, rank_candidates};
 
-/// Where the founding record is kept in the key-value service.
+/// Key of the bootstrap record in the key-value service.
 pub const GROUPS_KEY: &str = "groups";
-/// How many replicas a group has, where there are enough storing nodes.
+/// Number of replicas per group, if there are enough storage nodes.
 pub const REPLICAS_PER_GROUP: usize = 3;
 
-/// The founding record: the first members of each group.
+/// The bootstrap record: the initial members of each group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupsRecord {
-    /// The members of group 0, 1 and so on.
+    /// The initial members, indexed by group id.
     pub groups: Vec<BTreeSet<NodeId>>,
 }
 
-/// Chooses the members of every group: by rendezvous hashing, in different zones as far as there are.
+/// Chooses the members of every group by rendezvous hashing, in distinct zones where possible.
 pub fn plan_groups(candidates: &[StoreCandidate], group_count: u32) -> GroupsRecord {
     let groups = (0..group_count).map(|group| choose_members(candidates, GroupId(group))).collect();
     GroupsRecord { groups }
--- a/crates/core/src/node/control/lease.rs
+++ b/crates/core/src/node/control/lease.rs
@@ -1,121 +1,121 @@
-//! The control lease: at most one node at a time gives orders to engines.
+//! The control lease: at most one node at a time sends orders to engines.
 //!
-//! The lease is one key of the key-value service, changed by compare-and-swap only. The holder writes it
-//! anew before it runs out. Another node takes it once it has seen the same version for a whole lease
-//! by its own clock: no clocks are compared. The holder counts its lease from before it sent the write,
-//! and stops acting a margin earlier, so a holder that was paused or whose answers are late stops in
-//! time. Each new holder raises the epoch, which engines check; an order from a former holder that was
-//! already under way is refused there.
+//! The lease is a key in the key-value service that is changed only by compare-and-swap. The holder
+//! renews it before it expires. Another node takes it over after observing the same version for a full
+//! lease duration on its own clock, so clocks are never compared between nodes. The holder measures the
+//! lease from before it sent the write and stops acting a safety margin before expiry, which covers
+//! pauses and delayed responses. Each new holder increments the epoch, a fencing token: engines reject
+//! in-flight orders of a former holder.
 
 use serde::{Deserialize, Serialize};
 
 use crate::identity::NodeId;
 use crate::time::{Millis, Timestamp};
 
-/// Where the lease is kept.
+/// Key of the lease in the key-value service.
 pub const LEASE_KEY: &str = "control/lease";
-/// How long a lease lasts after the write that made it.
+/// Validity of a lease after the write that created or renewed it.
 pub const LEASE_DURATION: Millis = Millis(12_000);
-/// The holder stops acting this long before its lease runs out.
+/// Safety margin before the expiry of the lease, during which the holder no longer acts.
 pub const LEASE_MARGIN: Millis = Millis(3_000);
-/// Time between two looks, and between two renewals.
-const LEASE_INTERVAL: Millis = Millis(3_000);
+/// Interval between reads by a candidate, and between renewals by the holder.
+const LEASE_POLL_INTERVAL: Millis = Millis(3_000);
 
-/// What the key holds.
+/// The stored value of the lease key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Who holds it.
+    /// The node that holds the lease.
     pub holder: NodeId,
-    /// Raised with each new holder.
+    /// The fencing epoch, incremented by each new holder.
     pub epoch: u64,
-    /// Raised with each renewal.
+    /// The number of renewals by the current holder.
     pub renewal: u64,
 }
 
-/// What the key-value service is asked.
+/// A request to the key-value service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
     /// Read the key.
     Read,
     /// Write the key if its version is still `expected`.
     Write {
-        /// The version that was read; 0 if there was none.
+        /// The version that was read; 0 if the key does not exist.
         expected: u64,
         /// The new record.
         record: LeaseRecord,
     },
 }
 
-/// What the key-value service answered.
+/// A response of the key-value service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseAnswer {
-    /// The record and its version, if there is one.
+    /// The version and the record; `None` if the key does not exist.
     Record(Option<(u64, LeaseRecord)>),
-    /// The write took effect.
+    /// The write succeeded.
     Written,
-    /// The version was another.
+    /// The stored version differs from the expected one.
     VersionMismatch,
-    /// No answer; a write may have taken effect.
+    /// The call failed or timed out; a write may have taken effect.
     NoAnswer,
 }
 
-/// A version that was seen, and since when.
+/// The latest observed version of the lease and the time of its first observation.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct ObservedLease {
     version: u64,
     record: LeaseRecord,
     since: Timestamp,
 }
 
-/// A step that waits for its answer.
+/// A request that awaits its response.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     step: LeaseStep,
     sent_at: Timestamp,
 }
 
-/// One node's part in the lease.
+/// The lease state machine of one node.
 #[derive(Clone, Debug)]
 pub struct ControlLease {
     node: NodeId,
-    seen: Option<Seen>,
+    observed: Option<ObservedLease>,
     pending: Option<Pending>,
-    /// The epoch held, and until when this node may act on it.
+    /// The epoch of the held lease and the time until which this node may act under it.
     held: Option<(u64, Timestamp)>,
     next: Timestamp,
 }
 
 impl ControlLease {
-    /// A node that holds nothing.
+    /// Creates the state of a node that does not hold the lease.
     pub fn new(node: NodeId, now: Timestamp) -> Self {
-        Self { node, seen: None, pending: None, held: None, next: now }
+        Self { node, observed: None, pending: None, held: None, next: now }
     }
 
-    /// The epoch to act under. Must be asked right before each act.
-    pub fn epoch_held(&self, now: Timestamp) -> Option<u64> {
+    /// Returns the epoch under which this node may act at `now`. Must be checked immediately before each action.
+    pub fn active_epoch(&self, now: Timestamp) -> Option<u64> {
         self.held.filter(|(_, until)| now < *until).map(|(epoch, _)| epoch)
     }
 
-    /// Lets time pass. `may_hold` says whether this node is among those that take the lease.
+    /// Returns the request that is due at `now`, if any. `may_hold` tells whether this node may acquire the lease.
     pub fn tick(&mut self, may_hold: bool, now: Timestamp) -> Option<LeaseStep> {
         if now < self.next || self.pending.is_some() {
             return None;
         }
-        let holds = self.epoch_held(now).is_some();
+        let holds = self.active_epoch(now).is_some();
         if !may_hold && !holds {
             return None;
         }
-        self.next = now + LEASE_INTERVAL;
-        let step = match self.seen {
-            Some(seen) if holds && seen.record.holder == self.node => self.renewal(seen),
-            Some(seen) if may_hold && now.since(seen.since) >= LEASE_DURATION => self.takeover(seen),
+        self.next = now + LEASE_POLL_INTERVAL;
+        let step = match self.observed {
+            Some(observed) if holds && observed.record.holder == self.node => self.renewal(observed),
+            Some(observed) if may_hold && now.since(observed.since) >= LEASE_DURATION => self.takeover(observed),
             _ => LeaseStep::Read,
         };
         self.pending = Some(Pending { step, sent_at: now });
         Some(step)
     }
 
-    /// Takes the answer to the step under way. May want another step at once.
+    /// Processes the response to the pending request and returns a follow-up request, if any.
     pub fn on_answer(&mut self, answer: LeaseAnswer, now: Timestamp) -> Option<LeaseStep> {
         let pending = self.pending.take()?;
         match (pending.step, answer) {
@@ -127,34 +127,35 @@
                 return Some(step);
             }
             (LeaseStep::Write { expected, record }, LeaseAnswer::Written) => {
-                self.seen = Some(Seen { version: expected + 1, record, since: now });
+                self.observed = Some(ObservedLease { version: expected + 1, record, since: now });
                 let until = pending.sent_at + Millis(LEASE_DURATION.0 - LEASE_MARGIN.0);
                 self.held = Some((record.epoch, until));
             }
             (LeaseStep::Write { .. }, LeaseAnswer::VersionMismatch) => {
-                // Another node wrote, or an earlier write of this one whose answer was lost.
-                self.seen = None;
+                // Another node wrote the key, or an earlier write of this node took effect but its response was lost.
+                self.observed = None;
             }
             _ => {}
         }
         None
     }
 
-    fn renewal(&self, seen: Seen) -> LeaseStep {
-        let record = LeaseRecord { renewal: seen.record.renewal + 1, ..seen.record };
-        LeaseStep::Write { expected: seen.version, record }
+    fn renewal(&self, observed: ObservedLease) -> LeaseStep {
+        let record = LeaseRecord { renewal: observed.record.renewal + 1, ..observed.record };
+        LeaseStep::Write { expected: observed.version, record }
     }
 
-    fn takeover(&self, seen: Seen) -> LeaseStep {
-        let record = LeaseRecord { holder: self.node, epoch: seen.record.epoch + 1, renewal: 0 };
-        LeaseStep::Write { expected: seen.version, record }
+    fn takeover(&self, observed: ObservedLease) -> LeaseStep {
+        let record = LeaseRecord { holder: self.node, epoch: observed.record.epoch + 1, renewal: 0 };
+        LeaseStep::Write { expected: observed.version, record }
     }
 
-    /// A version counts from when it was first seen. A lower one is a stale read.
+    /// Records a newer version. Versions that are not newer are ignored: an equal one keeps the time of its
+    /// first observation, and a lower one is a stale read.
     fn observe(&mut self, version: u64, record: LeaseRecord, now: Timestamp) {
-        let is_newer = self.seen.is_none_or(|seen| version > seen.version);
+        let is_newer = self.observed.is_none_or(|observed| version > observed.version);
         if is_newer {
-            self.seen = Some(Seen { version, record, since: now });
+            self.observed = Some(ObservedLease { version, record, since: now });
         }
     }
 }
--- a/crates/core/src/node/control/mod.rs
+++ b/crates/core/src/node/control/mod.rs
@@ -1,4 +1,4 @@
-//! Founding and finding replica groups; the control lease, and the placement of models.
+//! Bootstrap and location of replica groups, the control lease, and model placement.
 
 mod directory;
 mod founding;
--- a/crates/core/src/node/control/placement.rs
+++ b/crates/core/src/node/control/placement.rs
@@ -1,48 +1,49 @@
-//! Which models engines should have loaded, and the next orders toward it.
+//! Plans which models engines load and unload.
 //!
-//! Loads are paced to what the weight store bears. A model's former version is unloaded only once the
-//! wanted one is there, so that the engine goes on serving.
+//! Concurrent loads are limited to protect the weight store. A model's previous version is unloaded only
+//! after the desired one is loaded, so that the engine keeps serving.
 
 use std::collections::BTreeMap;
 
 use crate::identity::EngineName;
 use crate::node::configuration::FleetConfiguration;
 
-/// An order to an engine.
+/// A load or unload order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ModelOrder {
-    /// Load a model version, written `model@version`.
+    /// Load a model version, in the form `model@version`.
     Load(String),
-    /// Unload a model version.
+    /// Unload a model version, in the form `model@version`.
     Unload(String),
 }
 
-/// One engine as placement sees it.
+/// The state of an engine as input to placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EnginePlacement {
-    /// The engine.
+    /// The name of the engine.
     pub engine: EngineName,
-    /// What it has loaded.
+    /// The loaded model versions, in the form `model@version`.
     pub loaded: Vec<String>,
-    /// An order to it has no answer yet.
+    /// Whether an order to the engine is pending.
     pub is_busy: bool,
 }
 
-/// The next orders: at most `loads_at_once` loads under way, engines with the fewest models first.
+/// Returns the next orders, with at most `max_concurrent_loads` loads pending. Engines with the fewest loaded
+/// models come first.
 pub fn plan_placement(
     fleet: &FleetConfiguration,
     engines: &[EnginePlacement],
-    loads_at_once: usize,
+    max_concurrent_loads: usize,
 ) -> BTreeMap<EngineName, ModelOrder> {
     let busy = engines.iter().filter(|engine| engine.is_busy).count();
-    let mut loads_left = loads_at_once.saturating_sub(busy);
+    let mut remaining_loads = max_concurrent_loads.saturating_sub(busy);
     let mut idle: Vec<&EnginePlacement> = engines.iter().filter(|engine| !engine.is_busy).collect();
     idle.sort_by_key(|engine| engine.loaded.len());
     let mut orders = BTreeMap::new();
     for engine in idle {
         match next_order(fleet, engine) {
-            Some(order @ ModelOrder::Load(_)) if loads_left > 0 => {
-                loads_left -= 1;
+            Some(order @ ModelOrder::Load(_)) if remaining_loads > 0 => {
+                remaining_loads -= 1;
                 orders.insert(engine.engine.clone(), order);
             }
             Some(order @ ModelOrder::Unload(_)) => {
--- a/crates/core/src/node/control_flow.rs
+++ b/crates/core/src/node/control_flow.rs
@@ -1,4 +1,4 @@
-//! Holding the control lease, and giving orders to engines under it.
+//! Maintains the control lease and sends orders to engines under it.
 
 use std::collections::BTreeMap;
 
@@ -13,23 +13,23 @@
 };
 use crate::time::{Millis, Timestamp};
 
-/// How many nodes stand ready to take the lease.
+/// Number of nodes that may acquire the lease.
 const CONTROL_CANDIDATES: usize = 3;
-/// Time between two looks at the placement.
+/// Interval between placement runs.
 const PLACEMENT_INTERVAL: Millis = Millis(2_000);
-/// Loads under way at once, so that the weight store bears them.
-const LOADS_AT_ONCE: usize = 2;
-/// An order without an answer for this long is given again.
+/// Maximum number of concurrent model loads, to protect the weight store.
+const MAX_CONCURRENT_LOADS: usize = 2;
+/// Time after which an unanswered order may be sent again.
 const ORDER_TIMEOUT: Millis = Millis(60_000);
-/// The holder looks at each engine this often, whoever else polls it.
-const CONTROL_POLL: Millis = Millis(10_000);
+/// Interval at which the lease holder polls all engines, in addition to polls by other nodes.
+const CONTROL_POLL_INTERVAL: Millis = Millis(10_000);
 
-/// What a node keeps for control.
+/// The lease and the pending orders of a node.
 pub(super) struct ControlState {
     lease: ControlLease,
     next_placement: Timestamp,
     next_poll: Timestamp,
-    /// Orders without an answer, and when they were given.
+    /// Pending orders and the times at which they were sent.
     orders: BTreeMap<EngineName, Timestamp>,
     last_epoch: Option<u64>,
 }
@@ -47,21 +47,21 @@
 }
 
 impl Node {
-    /// The control epoch that this node may act under now.
+    /// Returns the control epoch under which this node may act at `now`.
     pub fn control_epoch(&self, now: Timestamp) -> Option<u64> {
-        self.control.lease.epoch_held(now)
+        self.control.lease.active_epoch(now)
     }
 
     pub(super) fn tick_control(&mut self) {
         let now = self.clock.now;
         let may_hold = self.stopping.is_none() && self.has_duty("control", CONTROL_CANDIDATES);
         if let Some(step) = self.control.lease.tick(may_hold, now) {
-            self.take_lease_step(step);
+            self.execute_lease_step(step);
         }
-        self.note_lease();
+        self.update_lease_state();
         let Some(_) = self.control_epoch(now) else { return };
         if now >= self.control.next_poll {
-            self.control.next_poll = now + CONTROL_POLL;
+            self.control.next_poll = now + CONTROL_POLL_INTERVAL;
             self.poll_all_engines();
         }
         if now >= self.control.next_placement {
@@ -70,7 +70,7 @@
         }
     }
 
-    fn note_lease(&mut self) {
+    fn update_lease_state(&mut self) {
         let held = self.control_epoch(self.clock.now);
         if held == self.control.last_epoch {
             return;
@@ -85,7 +85,7 @@
         }
     }
 
-    fn take_lease_step(&mut self, step: LeaseStep) {
+    fn execute_lease_step(&mut self, step: LeaseStep) {
         let operation = match step {
             LeaseStep::Read => KeyValueOperation::Get { key: LEASE_KEY.to_owned() },
             LeaseStep::Write { expected, record } => {
@@ -109,17 +109,17 @@
         };
         let now = self.clock.now;
         if let Some(step) = self.control.lease.on_answer(answer, now) {
-            self.take_lease_step(step);
+            self.execute_lease_step(step);
         }
-        self.note_lease();
+        self.update_lease_state();
     }
 
-    /// Gives the next orders. The lease is asked right before, and engines check its epoch.
+    /// Sends the next placement orders. The lease is checked immediately before, and engines reject stale epochs.
     fn place_models(&mut self) {
         let now = self.clock.now;
         let Some(fleet) = self.fleet() else { return };
         let Some(epoch) = self.control_epoch(now) else { return };
-        self.control.orders.retain(|_, given| now.since(*given) < ORDER_TIMEOUT);
+        self.control.orders.retain(|_, sent_at| now.since(*sent_at) < ORDER_TIMEOUT);
         let reported = self.engines.iter().filter(|(_, state)| state.is_usable(now));
         let placements: Vec<EnginePlacement> = reported
             .filter_map(|(name, state)| {
@@ -128,12 +128,12 @@
                 Some(EnginePlacement { engine: name.clone(), loaded: report.loaded.clone(), is_busy })
             })
             .collect();
-        for (engine, order) in plan_placement(&fleet, &placements, LOADS_AT_ONCE) {
-            self.give_order(engine, epoch, order);
+        for (engine, order) in plan_placement(&fleet, &placements, MAX_CONCURRENT_LOADS) {
+            self.send_order(engine, epoch, order);
         }
     }
 
-    fn give_order(&mut self, engine: EngineName, epoch: u64, order: ModelOrder) {
+    fn send_order(&mut self, engine: EngineName, epoch: u64, order: ModelOrder) {
         let Some(address) = self.engines.get(&engine).map(|state| state.configured.address) else { return };
         self.control.orders.insert(engine.clone(), self.clock.now);
         self.log(LogEvent::OrderGiven, format!("{engine}: {order:?} under epoch {epoch}"));
--- a/crates/core/src/node/discovery_flow.rs
+++ b/crates/core/src/node/discovery_flow.rs
@@ -1,8 +1,8 @@
-//! How a node that knows nobody finds the others.
+//! Discovery of other nodes through the key-value service.
 //!
-//! Every node may be replaced, so the seeds of a settings file may all be gone one day. One node at a
-//! time therefore keeps a few addresses of present nodes in the key-value service, and a node that
-//! sees nobody reads them. No step depends on it while a seed answers.
+//! Every node may be replaced over time, so all seeds of a settings file may become obsolete. One node at
+//! a time therefore publishes the addresses of a few present nodes in the key-value service, and a node
+//! without peers reads them. The service is not needed while any seed responds.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,16 +13,16 @@
 use super::machine::Node;
 use crate::time::{Millis, Timestamp};
 
-/// Where the addresses are kept.
+/// Key of the address list in the key-value service.
 const NODES_KEY: &str = "nodes";
-/// Most addresses kept.
-const MOST_LISTED: usize = 16;
-/// Time between two looks at the list by the node that keeps it.
-const KEEP_INTERVAL: Millis = Millis(15_000);
-/// Time between two reads by a node that sees nobody.
+/// Maximum number of addresses in the list.
+const MAX_LISTED_ADDRESSES: usize = 16;
+/// Interval at which the publishing node checks the list.
+const UPDATE_INTERVAL: Millis = Millis(15_000);
+/// Interval between reads by a node without peers.
 const SEARCH_INTERVAL: Millis = Millis(3_000);
 
-/// When the list is looked at next.
+/// The time of the next check of the address list.
 pub(super) struct DiscoveryState {
     next: Timestamp,
 }
@@ -40,7 +40,7 @@
             return;
         }
         let is_alone = self.membership.present().count() <= 1;
-        self.discovery.next = now + if is_alone { SEARCH_INTERVAL } else { KEEP_INTERVAL };
+        self.discovery.next = now + if is_alone { SEARCH_INTERVAL } else { UPDATE_INTERVAL };
         if is_alone || self.has_duty("node-list", 1) {
             let operation = KeyValueOperation::Get { key: NODES_KEY.to_owned() };
             self.call_key_value(KeyValuePurpose::ReadNodes, operation);
@@ -55,20 +55,20 @@
         };
         self.membership.add_seeds(&listed);
         if self.has_duty("node-list", 1) {
-            self.keep_node_list(version, &listed);
+            self.update_node_list(version, &listed);
         }
     }
 
-    /// Writes the list anew if it lacks a node it has room for, or names one that is gone. A write that
-    /// is lost, or loses against another, is made up for at the next look.
-    fn keep_node_list(&mut self, version: u64, listed: &BTreeSet<SocketAddr>) {
+    /// Rewrites the list if it contains an absent node or has capacity for an unlisted one. A failed or
+    /// conflicting write is corrected by the next check.
+    fn update_node_list(&mut self, version: u64, listed: &BTreeSet<SocketAddr>) {
         let present: BTreeSet<SocketAddr> = self.membership.present().map(|member| member.peer_address).collect();
-        // A node that sees nobody must not write over what others know.
+        // A node without peers must not overwrite the addresses published by others.
         if present.len() <= 1 && !listed.is_empty() {
             return;
         }
-        let kept = listed.intersection(&present).copied();
-        let wanted: BTreeSet<SocketAddr> = kept.chain(present.iter().copied()).take(MOST_LISTED).collect();
+        let retained = listed.intersection(&present).copied();
+        let wanted: BTreeSet<SocketAddr> = retained.chain(present.iter().copied()).take(MAX_LISTED_ADDRESSES).collect();
         if wanted == *listed {
             return;
         }
--- a/crates/core/src/node/founding_flow.rs
+++ b/crates/core/src/node/founding_flow.rs
@@ -1,4 +1,4 @@
-//! Founding groups, and finding those that were founded.
+//! Bootstraps the replica groups and locates existing ones.
 
 use rand::Rng;
 
@@ -13,22 +13,22 @@
 use crate::replication::{GroupMembership, LogIndex, StoreCandidate, Term};
 use crate::time::{Millis, Timestamp};
 
-/// Time between two tries to learn of the groups.
-const FIND_INTERVAL: Millis = Millis(1_000);
-/// Time between two reads of the founding record by any of the storing nodes.
-const READ_SPREAD: Millis = Millis(200);
-/// Time between two looks at the directory once it is known.
-const REFRESH_INTERVAL: Millis = Millis(5_000);
-/// How many nodes are asked for their directory at a time.
+/// Interval between directory requests while the number of groups is unknown.
+const DIRECTORY_RETRY_INTERVAL: Millis = Millis(1_000);
+/// Mean interval between reads of the bootstrap record, over all storage nodes together.
+const RECORD_READ_INTERVAL: Millis = Millis(200);
+/// Interval between directory checks once the number of groups is known.
+const DIRECTORY_REFRESH_INTERVAL: Millis = Millis(5_000);
+/// Number of nodes queried for their directory at a time.
 const DIRECTORY_PEERS: usize = 2;
 
-/// What a node keeps until the groups are found.
+/// Progress in locating or bootstrapping the groups.
 pub(super) struct FoundingState {
     next: Timestamp,
     call_pending: bool,
-    /// The record was read, so that it need not be again: it never changes.
+    /// Whether the bootstrap record was read or written. It is immutable and need not be read again.
     record_read: bool,
-    /// When the record may be read next.
+    /// Earliest time of the next read of the bootstrap record.
     next_read: Timestamp,
 }
 
@@ -45,8 +45,8 @@
             return;
         }
         let is_known = self.directory.group_count() > 0;
-        self.founding.next = now + if is_known { REFRESH_INTERVAL } else { FIND_INTERVAL };
-        self.ask_directory();
+        self.founding.next = now + if is_known { DIRECTORY_REFRESH_INTERVAL } else { DIRECTORY_RETRY_INTERVAL };
+        self.request_directory();
         if self.may_read_record() {
             self.founding.call_pending = true;
             let operation = KeyValueOperation::Get { key: GROUPS_KEY.to_owned() };
@@ -54,8 +54,10 @@
         }
     }
 
-    /// Storing nodes read the record until they have it, since it may name them; together they do so no
-    /// more often than a few times a second. The others learn of the groups from their peers.
+    /// Returns whether the bootstrap record is due to be read, and schedules the next read.
+    ///
+    /// Storage nodes read the record until they have it, because they may be members of a group. The reads are
+    /// spread over all storage nodes to limit the load on the service. Other nodes query their peers instead.
     fn may_read_record(&mut self) -> bool {
         let now = self.clock.now;
         let founding = &self.founding;
@@ -63,17 +65,17 @@
             return false;
         }
         let stores = self.membership.present().filter(|member| member.stores).count() as u64;
-        let spread = READ_SPREAD.0 * stores.max(1);
-        // Uniform between half the spread and one and a half, so that the reads of the nodes don't fall together.
-        let wait = spread / 2 + self.random.random_range(0..=spread);
+        let mean_wait = RECORD_READ_INTERVAL.0 * stores.max(1);
+        // Jitter between 0.5 and 1.5 times the mean prevents the nodes from reading at the same time.
+        let wait = mean_wait / 2 + self.random.random_range(0..=mean_wait);
         self.founding.next_read = now + Millis(wait);
         true
     }
 
-    /// Asks a storing node where the groups are, if this node knows too little.
-    fn ask_directory(&mut self) {
-        let known = self.directory.entries().filter(|entry| entry.leader.is_some()).count();
-        if known > 0 && known == self.directory.group_count() as usize {
+    /// Queries random nodes for their directory unless the leader of every group is known.
+    fn request_directory(&mut self) {
+        let known_leaders = self.directory.entries().filter(|entry| entry.leader.is_some()).count();
+        if known_leaders > 0 && known_leaders == self.directory.group_count() as usize {
             return;
         }
         let from = self.settings.id;
@@ -104,16 +106,16 @@
             KeyValueOutcome::Value { value, .. } => {
                 if let Ok(record) = serde_json::from_str::<GroupsRecord>(&value) {
                     self.founding.record_read = true;
-                    self.take_groups(&record);
+                    self.apply_groups_record(&record);
                 }
             }
-            KeyValueOutcome::NotFound => self.found_groups(),
+            KeyValueOutcome::NotFound => self.bootstrap_groups(),
             _ => {}
         }
     }
 
-    /// Tries to found the groups. If another node was first, its record is read at the next tick.
-    fn found_groups(&mut self) {
+    /// Attempts to bootstrap the groups. If another node wins, its record is read on the next tick.
+    fn bootstrap_groups(&mut self) {
         let Some(fleet) = self.fleet() else { return };
         if !self.settings.stores || fleet.fleet.replica_groups == 0 {
             return;
@@ -131,24 +133,24 @@
         let Ok(value) = serde_json::to_string(&record) else { return };
         let operation = KeyValueOperation::CompareAndSwap { key: GROUPS_KEY.to_owned(), expected: 0, value };
         self.founding.call_pending = true;
-        self.call_key_value(KeyValuePurpose::FoundGroups(record), operation);
+        self.call_key_value(KeyValuePurpose::WriteGroups(record), operation);
     }
 
-    pub(super) fn on_groups_founded(&mut self, record: &GroupsRecord, outcome: KeyValueOutcome) {
+    pub(super) fn on_groups_written(&mut self, record: &GroupsRecord, outcome: KeyValueOutcome) {
         self.founding.call_pending = false;
         self.founding.next = self.clock.now;
         self.founding.next_read = self.clock.now;
         if matches!(outcome, KeyValueOutcome::Written) {
             self.founding.record_read = true;
             self.log(LogEvent::GroupFounded, format!("{} groups", record.groups.len()));
-            self.take_groups(record);
+            self.apply_groups_record(record);
         }
     }
 
-    fn take_groups(&mut self, record: &GroupsRecord) {
+    fn apply_groups_record(&mut self, record: &GroupsRecord) {
         self.directory.learn_group_count(record.groups.len() as u32);
-        for (place, members) in record.groups.iter().enumerate() {
-            let group = GroupId(place as u32);
+        for (index, members) in record.groups.iter().enumerate() {
+            let group = GroupId(index as u32);
             self.directory.learn(DirectoryEntry {
                 group,
                 term: Term(0),
--- a/crates/core/src/node/key_value_flow.rs
+++ b/crates/core/src/node/key_value_flow.rs
@@ -1,4 +1,4 @@
-//! Calls to the key-value service, within its rate limit and with a reserve for operators.
+//! Rate-limited calls to the key-value service, with a token reserve for operators' changes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,38 +11,37 @@
 use crate::node::control::GroupsRecord;
 use crate::time::{Millis, Timestamp};
 
-/// Tokens that one call takes.
+/// Tokens consumed by one call.
 const CALL_TOKENS: f64 = 1.0;
-/// Tokens that only a change of configuration may use, so that an operator need not wait for the node's own calls.
+/// Tokens reserved for configuration changes, so that an operator does not wait behind background calls.
 const RESERVED_TOKENS: f64 = 4.0;
-/// Most tokens saved up, which bounds a burst of calls.
-const MOST_TOKENS: f64 = 16.0;
-/// Milliseconds in the second that the rate is given for.
+/// Capacity of the token bucket, which bounds a burst of calls.
+const MAX_TOKENS: f64 = 16.0;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// What a call to the key-value service is for.
+/// The purpose of a call, which determines the handler of its response.
 #[derive(Clone, Debug)]
 pub(super) enum KeyValuePurpose {
-    /// A watching node reads the manifest.
+    /// Polls the manifest.
     WatchManifest,
-    /// A watching node reads a part.
+    /// Reads a missing configuration part.
     FetchPart(PartDigest),
-    /// A step of a change.
+    /// A step of an operator's configuration change.
     Apply(CallerId),
-    /// A step of the control lease.
+    /// Reads or writes the control lease.
     Lease,
-    /// A node looks for others.
+    /// Reads the published node addresses.
     ReadNodes,
-    /// Addresses of present nodes are written.
+    /// Writes the published node addresses.
     WriteNodes,
-    /// The founding record is read.
+    /// Reads the bootstrap record.
     ReadGroups,
-    /// The founding record is written.
-    FoundGroups(GroupsRecord),
+    /// Writes the bootstrap record.
+    WriteGroups(GroupsRecord),
 }
 
 impl KeyValuePurpose {
-    /// Operators' changes may use the reserve.
+    /// Returns whether the call may use the reserved tokens.
     fn is_urgent(&self) -> bool {
         matches!(self, Self::Apply(_))
     }
@@ -54,14 +53,14 @@
     not_before: Timestamp,
 }
 
-/// What a node keeps for its calls.
+/// Pending and queued calls and the token bucket.
 pub(super) struct KeyValueState {
     calls: BTreeMap<KeyValueCall, KeyValuePurpose>,
     waiting: VecDeque<WaitingCall>,
     next_call: u64,
     tokens: f64,
-    tokens_at: Timestamp,
-    service_answers: bool,
+    refilled_at: Timestamp,
+    is_available: bool,
 }
 
 impl KeyValueState {
@@ -70,13 +69,13 @@
             calls: BTreeMap::new(),
             waiting: VecDeque::new(),
             next_call: 1,
-            tokens: MOST_TOKENS,
-            tokens_at: now,
-            service_answers: true,
+            tokens: MAX_TOKENS,
+            refilled_at: now,
+            is_available: true,
         }
     }
 
-    /// Whether no call waits to be sent.
+    /// Returns whether no call is queued.
     pub(super) fn is_idle(&self) -> bool {
         self.waiting.is_empty()
     }
@@ -98,18 +97,18 @@
         self.send_waiting_calls();
     }
 
-    /// Sends the calls that the rate limit allows; those of operators may use its reserve.
+    /// Sends the queued calls that the rate limit allows.
     pub(super) fn send_waiting_calls(&mut self) {
         let now = self.clock.now;
         let state = &mut self.key_value;
-        let earned = now.since(state.tokens_at).0 as f64 / MILLIS_PER_SECOND * self.settings.key_value_rate;
-        state.tokens = (state.tokens + earned).min(MOST_TOKENS);
-        state.tokens_at = now;
-        let mut kept = VecDeque::new();
+        let refill = now.since(state.refilled_at).0 as f64 / MILLIS_PER_SECOND * self.settings.key_value_rate;
+        state.tokens = (state.tokens + refill).min(MAX_TOKENS);
+        state.refilled_at = now;
+        let mut deferred = VecDeque::new();
         while let Some(waiting) = state.waiting.pop_front() {
             let floor = if waiting.purpose.is_urgent() { CALL_TOKENS } else { CALL_TOKENS + RESERVED_TOKENS };
             if now < waiting.not_before || state.tokens < floor {
-                kept.push_back(waiting);
+                deferred.push_back(waiting);
                 continue;
             }
             state.tokens -= CALL_TOKENS;
@@ -118,12 +117,12 @@
             state.calls.insert(call, waiting.purpose);
             self.effects.push(Effect::KeyValue { call, operation: waiting.operation });
         }
-        state.waiting = kept;
+        state.waiting = deferred;
     }
 
     pub(super) fn on_key_value(&mut self, call: KeyValueCall, outcome: KeyValueOutcome) {
         let Some(purpose) = self.key_value.calls.remove(&call) else { return };
-        self.note_service(&outcome);
+        self.update_availability(&outcome);
         match purpose {
             KeyValuePurpose::WatchManifest => self.on_watched_manifest(outcome),
             KeyValuePurpose::FetchPart(digest) => {
@@ -137,18 +136,18 @@
             KeyValuePurpose::ReadNodes => self.on_nodes_read(&outcome),
             KeyValuePurpose::WriteNodes => {}
             KeyValuePurpose::ReadGroups => self.on_groups_read(outcome),
-            KeyValuePurpose::FoundGroups(record) => self.on_groups_founded(&record, outcome),
+            KeyValuePurpose::WriteGroups(record) => self.on_groups_written(&record, outcome),
         }
     }
 
-    fn note_service(&mut self, outcome: &KeyValueOutcome) {
-        let answers = !matches!(outcome, KeyValueOutcome::NoAnswer);
-        if !answers {
+    fn update_availability(&mut self, outcome: &KeyValueOutcome) {
+        let is_available = !matches!(outcome, KeyValueOutcome::NoAnswer);
+        if !is_available {
             self.counters.key_value_failures += 1;
         }
-        if answers != self.key_value.service_answers {
-            self.key_value.service_answers = answers;
-            let event = if answers { LogEvent::PlatformRecovered } else { LogEvent::PlatformUnavailable };
+        if is_available != self.key_value.is_available {
+            self.key_value.is_available = is_available;
+            let event = if is_available { LogEvent::PlatformRecovered } else { LogEvent::PlatformUnavailable };
             self.log(event, "key-value service");
         }
     }
--- a/crates/core/src/node/membership/member.rs
+++ b/crates/core/src/node/membership/member.rs
@@ -1,49 +1,50 @@
-//! What is known of one node.
+//! The membership record of a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use crate::identity::NodeId;
 
-/// How a node is held to be.
+/// The liveness state of a node, ordered by severity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberStatus {
-    /// It answers.
+    /// The node responds to probes.
     Alive,
-    /// It missed a probe and may refute.
+    /// The node missed a probe and may still refute the suspicion.
     Suspect,
-    /// It did not refute in time.
+    /// The node did not refute the suspicion in time.
     Dead,
-    /// It left by a planned stop.
+    /// The node left by a graceful shutdown.
     Left,
 }
 
-/// What is known of one node. Spread as a whole; the higher incarnation wins, then the worse status.
+/// The record of a node. Of two records, the one with the higher incarnation wins, then the one with the more
+/// severe status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The node.
+    /// The id of the node.
     pub id: NodeId,
-    /// Raised by the node itself only.
+    /// The incarnation number, incremented only by the node itself.
     pub incarnation: u64,
-    /// How it is held to be.
+    /// The liveness state.
     pub status: MemberStatus,
-    /// Where it takes messages of other nodes.
+    /// The address for messages from other nodes.
     pub peer_address: SocketAddr,
-    /// Where it serves callers and operators.
+    /// The address for requests from callers and operators.
     pub caller_address: SocketAddr,
-    /// Its zone.
+    /// The zone of the node.
     pub zone: Arc<str>,
-    /// Whether it stores replicas.
+    /// Whether the node stores replicas.
     pub stores: bool,
 }
 
 impl Member {
-    /// Whether this knowledge replaces `other`.
+    /// Returns whether this record replaces `other`.
     pub fn supersedes(&self, other: &Member) -> bool {
         (self.incarnation, self.status) > (other.incarnation, other.status)
     }
 
-    /// Whether the node may be given work: alive or only suspected.
+    /// Returns whether the node may receive work, that is, whether it is alive or suspected.
     pub fn is_present(&self) -> bool {
         matches!(self.status, MemberStatus::Alive | MemberStatus::Suspect)
     }
--- a/crates/core/src/node/membership/message.rs
+++ b/crates/core/src/node/membership/message.rs
@@ -3,41 +3,41 @@
 use super::member::Member;
 use crate::identity::NodeId;
 
-/// What a message is for.
+/// The type-specific content of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipPayload {
-    /// Answer me. `target` is `None` when only the address is known.
+    /// A probe that requests an `Ack`.
     Ping {
-        /// Who should answer.
+        /// The node that should respond; `None` if only its address is known.
         target: Option<NodeId>,
     },
-    /// The answer to a ping: `subject` is alive.
+    /// The response to a ping.
     Ack {
-        /// The node that is alive.
+        /// The node that was found to be alive.
         subject: NodeId,
     },
-    /// Ping `target` for me.
+    /// Requests an indirect probe of another node.
     PingRequest {
         /// The node to ping.
         target: NodeId,
     },
-    /// All I know; answer with all you know.
+    /// Carries the sender's full view and requests the receiver's.
     SyncRequest,
-    /// All I know.
+    /// Carries the sender's full view.
     SyncAnswer,
 }
 
-/// One message of the membership protocol, with what it carries along.
+/// A message of the membership protocol with piggybacked updates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipMessage {
-    /// The sender, as it is now.
+    /// The sender's current record of itself.
     pub sender: Member,
-    /// Matches an answer to its ping.
+    /// The sequence number, which matches an ack to its ping.
     pub sequence: u64,
-    /// The configuration revision in force at the sender; 0 for none.
+    /// The active configuration revision of the sender; 0 if there is none.
     pub configuration_revision: u64,
-    /// What the message is for.
+    /// The type-specific content.
     pub payload: MembershipPayload,
-    /// What the sender learned lately, or everything for a sync.
+    /// Recently changed records, or the full view for a sync.
     pub updates: Vec<Member>,
 }
--- a/crates/core/src/node/membership/mod.rs
+++ b/crates/core/src/node/membership/mod.rs
@@ -1,12 +1,12 @@
-//! Which nodes are alive.
+//! Membership and failure detection.
 //!
-//! The rules are those of SWIM (Das, Gupta and Motivala, 2002): each node probes one other node a
-//! period, asks a few more to probe it when it doesn't answer, suspects it before it calls it dead,
-//! and spreads what it learned on the probes themselves. A node refutes its own suspicion by a higher
-//! incarnation. The cost for a node is constant whatever the number of nodes.
+//! Implements SWIM (Das, Gupta and Motivala, 2002). In each period a node probes one other node. If the
+//! target doesn't respond, the node requests indirect probes from a few others, and suspects the target
+//! before it declares it dead. Changes are piggybacked on the probes. A suspected node refutes the
+//! suspicion with a higher incarnation. The probe load per node is independent of the number of nodes.
 //!
-//! Added: a full exchange when a node joins and now and then after, and a probe of a dead or seed
-//! node now and then, so that two halves of a cut find each other again.
+//! Two extensions: nodes exchange their full views on joining and periodically, and periodically contact
+//! a seed or a dead node so that the sides of a network partition rejoin after it heals.
 
 mod dissemination;
 mod member;
--- a/crates/core/src/node/membership/probing.rs
+++ b/crates/core/src/node/membership/probing.rs
@@ -1,6 +1,7 @@
-//! Probing the other nodes: directly, then by way of others, then suspicion until its timeout.
+//! Direct and indirect probes, and the expiry of suspicions.
 //!
-//! Owns the probe under way and the probes made for others. Relies on `dissemination` to spread a change.
+//! Maintains the pending probe and the probes made on behalf of other nodes. Status changes are spread by
+//! `dissemination`.
 
 use std::net::SocketAddr;
 
@@ -12,7 +13,7 @@
 use crate::identity::NodeId;
 use crate::time::{Millis, Timestamp};
 
-/// A probe that waits for its answer.
+/// A probe that awaits its ack.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Probe {
     pub(super) target: NodeId,
@@ -21,9 +22,9 @@
     pub(super) indirect_sent: bool,
 }
 
-/// A probe made for another node.
+/// An indirect probe made on behalf of another node.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Relay {
+pub(super) struct RelayedProbe {
     pub(super) origin: SocketAddr,
     pub(super) origin_sequence: u64,
     pub(super) deadline: Timestamp,
@@ -39,7 +40,7 @@
     }
 
     pub(super) fn on_ack(&mut self, subject: NodeId, sequence: u64, now: Timestamp) {
-        if let Some(relay) = self.relays.remove(&sequence) {
+        if let Some(relay) = self.relayed_probes.remove(&sequence) {
             self.send_with_sequence(relay.origin, relay.origin_sequence, MembershipPayload::Ack { subject });
         }
         if self.probe.is_some_and(|probe| probe.target == subject && probe.sequence == sequence) {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// An answer by way of another node clears a suspicion that was only raised here.
+    /// Restarts the suspicion timeout of a suspected member that acknowledged a probe.
     fn confirm_alive(&mut self, subject: NodeId, now: Timestamp) {
         if let Some(known) = self.members.get_mut(&subject)
             && known.member.status == MemberStatus::Suspect
@@ -59,9 +60,9 @@
 
     pub(super) fn on_ping_request(&mut self, target: NodeId, origin_sequence: u64, origin: SocketAddr, now: Timestamp) {
         let Some(address) = self.member(target).map(|member| member.peer_address) else { return };
-        let sequence = self.take_sequence();
+        let sequence = self.allocate_sequence();
         let deadline = now + self.settings.probe_interval;
-        self.relays.insert(sequence, Relay { origin, origin_sequence, deadline });
+        self.relayed_probes.insert(sequence, RelayedProbe { origin, origin_sequence, deadline });
         self.send_with_sequence(address, sequence, MembershipPayload::Ping { target: Some(target) });
     }
 
@@ -71,13 +72,13 @@
         }
         let Some(target) = self.next_probe_target() else { return };
         let Some(address) = self.member(target).map(|member| member.peer_address) else { return };
-        let sequence = self.take_sequence();
+        let sequence = self.allocate_sequence();
         self.probe = Some(Probe { target, sequence, started: now, indirect_sent: false });
         self.send_with_sequence(address, sequence, MembershipPayload::Ping { target: Some(target) });
     }
 
-    /// Goes through all members in a random order before it starts over, so that a dead node is
-    /// probed within a bounded time.
+    /// Returns the next member of a shuffled round over all members, which bounds the time until a dead node is
+    /// probed.
     fn next_probe_target(&mut self) -> Option<NodeId> {
         loop {
             if self.probe_order.is_empty() {
@@ -112,7 +113,7 @@
         let Some(known) = self.members.get(&probe.target) else { return };
         if known.member.status == MemberStatus::Alive {
             let suspect = Member { status: MemberStatus::Suspect, ..known.member.clone() };
-            self.learn(suspect, now);
+            self.merge(suspect, now);
         }
     }
 
@@ -126,7 +127,7 @@
             .map(|known| Member { status: MemberStatus::Dead, ..known.member.clone() })
             .collect();
         for dead in expired {
-            self.learn(dead, now);
+            self.merge(dead, now);
         }
         self.members.retain(|_, known| known.member.is_present() || now.since(known.changed_at) < forget_after);
     }
--- a/crates/core/src/node/membership/swim.rs
+++ b/crates/core/src/node/membership/swim.rs
@@ -1,8 +1,6 @@
-//! The SWIM state machine: one node's view of all nodes, what it does as time passes, and the messages
-//! it takes.
+//! The SWIM state machine: one node's view of all nodes, its timers and its message handling.
 //!
-//! Owns the view. Relies on `probing` to find out who answers, and on `dissemination` to merge and
-//! spread what is known.
+//! Owns the view. `probing` detects failures; `dissemination` merges and spreads records.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,41 +9,40 @@
 use rand::seq::IndexedRandom;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use super::dissemination::KnownMember;
+use super::dissemination::MemberRecord;
 use super::member::{Member, MemberStatus};
 use super::message::{MembershipMessage, MembershipPayload};
-use super::probing::{Probe, Relay};
+use super::probing::{Probe, RelayedProbe};
 use crate::identity::NodeId;
 use crate::time::{Millis, Timestamp};
 
-/// Most seeds remembered; the oldest are dropped.
-const MOST_SEEDS: usize = 64;
-/// How many nodes are sent a planned stop directly.
-const DEPARTURE_MESSAGES: usize = 16;
+/// Maximum number of seeds; the oldest are dropped.
+const MAX_SEEDS: usize = 64;
+/// Maximum number of nodes that are notified directly of a graceful shutdown.
+const MAX_DEPARTURE_MESSAGES: usize = 16;
 
-/// Times and limits of the membership protocol.
+/// Intervals, timeouts and limits of the membership protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipSettings {
-    /// Time between two probes.
+    /// Interval between probes.
     pub probe_interval: Millis,
-    /// How long a direct probe may take before others are asked.
+    /// Time without an ack after which indirect probes are requested.
     pub probe_timeout: Millis,
-    /// How many others are asked.
+    /// Number of indirect probes requested per direct probe.
     pub indirect_probes: usize,
-    /// Suspicion lasts this many probe intervals, times the logarithm of the number of nodes.
+    /// Suspicion timeout in probe intervals, multiplied by the logarithm of the number of nodes.
     pub suspicion_factor: u64,
-    /// Most updates on one message.
+    /// Maximum number of piggybacked updates per message.
     pub updates_per_message: usize,
-    /// Time between two full exchanges.
+    /// Interval between exchanges of the full view.
     pub sync_interval: Millis,
-    /// Time between two tries to reach a seed or a dead node.
+    /// Interval between attempts to contact a seed or a dead node.
     pub reconnect_interval: Millis,
-    /// How long a dead or departed node is remembered.
+    /// Time after which the record of a dead or departed node is removed.
     pub forget_after: Millis,
 }
 
-/// A dead node is probed, suspected and declared dead within seconds, and a node sends two probes a second whatever the
-/// number of nodes.
+/// With the defaults, each node sends two probes per second, and a failed node is declared dead within seconds.
 impl Default for MembershipSettings {
     fn default() -> Self {
         Self {
@@ -61,26 +58,26 @@
     }
 }
 
-/// What a driver must do.
+/// An action that the caller must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEffect {
     /// Send a message.
     Send {
-        /// Where to.
+        /// The peer address of the receiver.
         to: SocketAddr,
-        /// The message.
+        /// The message to send.
         message: MembershipMessage,
     },
-    /// A member's status changed.
+    /// A member was added or its status changed.
     Changed {
-        /// The member as it is now.
+        /// The member's new record.
         member: Member,
     },
-    /// A peer has a configuration revision in force.
+    /// A peer reported its active configuration revision.
     PeerRevision {
-        /// The peer.
+        /// The peer that reported the revision.
         peer: NodeId,
-        /// The revision.
+        /// The active revision; 0 if there is none.
         revision: u64,
     },
 }
@@ -91,10 +88,10 @@
     pub(super) own: Member,
     pub(super) configuration_revision: u64,
     pub(super) seeds: Vec<SocketAddr>,
-    pub(super) members: BTreeMap<NodeId, KnownMember>,
+    pub(super) members: BTreeMap<NodeId, MemberRecord>,
     pub(super) probe_order: Vec<NodeId>,
     pub(super) probe: Option<Probe>,
-    pub(super) relays: BTreeMap<u64, Relay>,
+    pub(super) relayed_probes: BTreeMap<u64, RelayedProbe>,
     pub(super) next_sequence: u64,
     pub(super) next_probe: Timestamp,
     pub(super) next_sync: Timestamp,
@@ -104,7 +101,7 @@
 }
 
 impl Membership {
-    /// Starts with this node alone; `seeds` are addresses of nodes that may be up.
+    /// Creates a view that contains only this node. `seeds` are addresses of nodes to contact.
     pub fn new(settings: MembershipSettings, own: Member, seeds: Vec<SocketAddr>, now: Timestamp, seed: u64) -> Self {
         let seeds = seeds.into_iter().filter(|address| *address != own.peer_address).collect();
         Self {
@@ -115,7 +112,7 @@
             members: BTreeMap::new(),
             probe_order: Vec::new(),
             probe: None,
-            relays: BTreeMap::new(),
+            relayed_probes: BTreeMap::new(),
             next_sequence: 1,
             next_probe: now,
             next_sync: now + settings.sync_interval,
@@ -125,72 +122,72 @@
         }
     }
 
-    /// This node as it spreads itself.
+    /// Returns this node's own record.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// A member other than this node.
+    /// Returns the record of a member other than this node.
     pub fn member(&self, id: NodeId) -> Option<&Member> {
         self.members.get(&id).map(|known| &known.member)
     }
 
-    /// All members other than this node, dead ones included.
+    /// Returns all members other than this node, including dead ones.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.members.values().map(|known| &known.member)
     }
 
-    /// This node (unless it left) and all others that are alive or only suspected.
+    /// Returns all members that are alive or suspected, including this node unless it has left.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         std::iter::once(&self.own).chain(self.others()).filter(|member| member.is_present())
     }
 
-    /// Since when a member has its present status.
+    /// Returns the time of the last status change of a member, or of its last ack while suspected.
     pub fn changed_at(&self, id: NodeId) -> Option<Timestamp> {
         self.members.get(&id).map(|known| known.changed_at)
     }
 
-    /// Notes the configuration revision that is in force here.
+    /// Sets the active configuration revision that is reported to peers.
     pub fn set_configuration_revision(&mut self, revision: u64) {
         self.configuration_revision = revision;
     }
 
-    /// Adds addresses of nodes that may be up.
+    /// Adds addresses of nodes to contact.
     pub fn add_seeds(&mut self, addresses: &BTreeSet<SocketAddr>) {
         for address in addresses {
             if *address != self.own.peer_address && !self.seeds.contains(address) {
                 self.seeds.push(*address);
             }
         }
-        let excess = self.seeds.len().saturating_sub(MOST_SEEDS);
+        let excess = self.seeds.len().saturating_sub(MAX_SEEDS);
         self.seeds.drain(..excess);
     }
 
-    /// Some members that are present, at random.
+    /// Returns up to `count` random present members other than this node.
     pub fn sample_present(&mut self, count: usize) -> Vec<NodeId> {
         let present: Vec<NodeId> = self.others().filter(|member| member.is_present()).map(|member| member.id).collect();
         present.choose_multiple(&mut self.random, count).copied().collect()
     }
 
-    /// Takes the effects gathered so far.
+    /// Takes the accumulated effects.
     pub fn take_effects(&mut self) -> Vec<MembershipEffect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Announces that this node leaves by a planned stop.
+    /// Announces that this node leaves by a graceful shutdown.
     pub fn leave(&mut self) {
         self.own.incarnation += 1;
         self.own.status = MemberStatus::Left;
         let addresses: Vec<SocketAddr> =
             self.others().filter(|member| member.is_present()).map(|member| member.peer_address).collect();
-        for address in addresses.into_iter().take(DEPARTURE_MESSAGES) {
+        for address in addresses.into_iter().take(MAX_DEPARTURE_MESSAGES) {
             self.send(address, MembershipPayload::Ping { target: None });
         }
     }
 
-    /// Lets time pass.
+    /// Processes all timers that are due at `now`.
     pub fn tick(&mut self, now: Timestamp) {
-        self.relays.retain(|_, relay| relay.deadline > now);
+        self.relayed_probes.retain(|_, relay| relay.deadline > now);
         self.continue_probe(now);
         if now >= self.next_probe {
             self.next_probe = now + self.settings.probe_interval;
@@ -204,11 +201,11 @@
         }
         if now >= self.next_sync {
             self.next_sync = now + self.settings.sync_interval;
-            self.sync_with_one();
+            self.sync_with_random_member();
         }
     }
 
-    /// Takes a message from another node.
+    /// Processes a message from another node.
     pub fn step(&mut self, message: MembershipMessage, now: Timestamp) {
         let sender = message.sender.id;
         if sender == self.own.id {
@@ -216,9 +213,9 @@
         }
         let reply_to = message.sender.peer_address;
         let is_new = !self.members.contains_key(&sender);
-        self.learn(message.sender.clone(), now);
+        self.merge(message.sender.clone(), now);
         for update in message.updates {
-            self.learn(update, now);
+            self.merge(update, now);
         }
         self.effects.push(MembershipEffect::PeerRevision { peer: sender, revision: message.configuration_revision });
         match message.payload {
@@ -227,34 +224,34 @@
             MembershipPayload::PingRequest { target } => {
                 self.on_ping_request(target, message.sequence, reply_to, now);
             }
-            MembershipPayload::SyncRequest => self.send_all(reply_to, MembershipPayload::SyncAnswer),
+            MembershipPayload::SyncRequest => self.send_full_view(reply_to, MembershipPayload::SyncAnswer),
             MembershipPayload::SyncAnswer => {}
         }
         if is_new && self.own.is_present() {
-            self.send_all(reply_to, MembershipPayload::SyncRequest);
+            self.send_full_view(reply_to, MembershipPayload::SyncRequest);
         }
     }
 
     fn reconnect(&mut self) {
-        let known_up: Vec<SocketAddr> =
+        let present_addresses: Vec<SocketAddr> =
             self.others().filter(|member| member.is_present()).map(|member| member.peer_address).collect();
-        let lost: Vec<SocketAddr> = self
+        let unreachable: Vec<SocketAddr> = self
             .seeds
             .iter()
             .copied()
             .chain(self.others().filter(|member| member.status == MemberStatus::Dead).map(|member| member.peer_address))
-            .filter(|address| !known_up.contains(address))
+            .filter(|address| !present_addresses.contains(address))
             .collect();
-        if let Some(address) = lost.choose(&mut self.random).copied() {
-            self.send_all(address, MembershipPayload::SyncRequest);
+        if let Some(address) = unreachable.choose(&mut self.random).copied() {
+            self.send_full_view(address, MembershipPayload::SyncRequest);
         }
     }
 
-    fn sync_with_one(&mut self) {
+    fn sync_with_random_member(&mut self) {
         let chosen = self.sample_present(1);
         let address = chosen.first().and_then(|id| self.member(*id)).map(|member| member.peer_address);
         if let Some(address) = address {
-            self.send_all(address, MembershipPayload::SyncRequest);
+            self.send_full_view(address, MembershipPayload::SyncRequest);
         }
     }
 }
--- a/crates/core/tests/configuration_store.rs
+++ b/crates/core/tests/configuration_store.rs
@@ -1,5 +1,5 @@
-//! Changes of configuration that race, against a key-value service that loses answers, and nodes that
-//! are offered revisions in any order. The oracle is the list of accepted revisions.
+//! Concurrent configuration changes against a key-value service with lost responses and stale reads.
+//! Guards against lost or duplicated changes and against a replica that returns to an older revision.
 
 mod support;
 
@@ -19,14 +19,24 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An operator begins a change against the newest revision that it knows.
-    Begin { operator: usize },
-    /// The service carries out an operator's step; the answer may be lost, or be of an earlier time.
-    Answer { operator: usize, lost: bool, dropped: bool, stale: bool },
-    /// Time passes.
-    Wait { millis: u64 },
-    /// A node is offered some revision that was ever in force.
-    Offer { revision: usize },
+    /// An operator starts a change based on the newest known revision.
+    Begin {
+        operator: usize,
+    },
+    /// The service processes an operator's step. The request may be dropped, the response lost, or the read stale.
+    Answer {
+        operator: usize,
+        lost: bool,
+        dropped: bool,
+        stale: bool,
+    },
+    Wait {
+        millis: u64,
+    },
+    /// A node receives any current or earlier revision.
+    Offer {
+        revision: usize,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -56,7 +66,7 @@
     }
 }
 
-/// The service's one key that matters here.
+/// The manifest key of the key-value service with all its versions.
 #[derive(Default)]
 struct Service {
     version: u64,
@@ -69,12 +79,12 @@
     changes: BTreeMap<usize, (ConfigurationApply, ApplyStep)>,
     known_revision: u64,
     started: u64,
-    /// Ids by outcome.
+    /// Accepted changes and the revision that each created.
     accepted: BTreeMap<ApplyId, u64>,
     refused: BTreeSet<ApplyId>,
     replica: ConfigurationReplica,
     contents: BTreeMap<u64, Bundle>,
-    highest: u64,
+    highest_revision: u64,
 }
 
 fn bundle(number: u64) -> Bundle {
@@ -96,7 +106,7 @@
         let id = change.id();
         match outcome {
             ApplyOutcome::Accepted(manifest) => {
-                let revision = manifest.revision_of(id).expect("an accepted change is in its manifest");
+                let revision = manifest.revision_of(id).expect("the manifest must list the accepted change");
                 self.accepted.insert(id, revision);
                 self.known_revision = self.known_revision.max(manifest.revision);
             }
@@ -112,12 +122,12 @@
         self.changes.remove(&operator);
     }
 
-    fn carry_out(&mut self, step: &ApplyStep, stale: bool) -> ApplyAnswer {
+    fn execute(&mut self, step: &ApplyStep, stale: bool) -> ApplyAnswer {
         match step {
             ApplyStep::ReadManifest => {
-                let back = if stale && self.service.manifests.len() > 1 { 2 } else { 1 };
-                let place = self.service.manifests.len().checked_sub(back);
-                let read = place.map(|place| (place as u64 + 1, self.service.manifests[place].clone()));
+                let offset = if stale && self.service.manifests.len() > 1 { 2 } else { 1 };
+                let index = self.service.manifests.len().checked_sub(offset);
+                let read = index.map(|index| (index as u64 + 1, self.service.manifests[index].clone()));
                 ApplyAnswer::Manifest(read)
             }
             ApplyStep::WritePart(_) => ApplyAnswer::PartWritten,
@@ -129,7 +139,7 @@
                 self.service.manifests.push(manifest.clone());
                 ApplyAnswer::Swapped
             }
-            ApplyStep::Done(_) => unreachable!("a change that is done is removed"),
+            ApplyStep::Done(_) => unreachable!("completed changes are removed"),
         }
     }
 }
@@ -151,7 +161,7 @@
             refused: BTreeSet::new(),
             replica: ConfigurationReplica::default(),
             contents: BTreeMap::new(),
-            highest: 0,
+            highest_revision: 0,
         }
     }
 
@@ -170,7 +180,7 @@
             }
             Step::Answer { operator, lost, dropped, stale } => {
                 let Some((_, step)) = world.changes.get(&operator).cloned() else { return world };
-                let answer = if dropped { ApplyAnswer::NoAnswer } else { world.carry_out(&step, stale) };
+                let answer = if dropped { ApplyAnswer::NoAnswer } else { world.execute(&step, stale) };
                 let answer = if lost { ApplyAnswer::NoAnswer } else { answer };
                 let now = world.time();
                 let next = world.changes.get_mut(&operator).map(|(change, _)| change.on_answer(answer, now));
@@ -181,7 +191,7 @@
             Step::Wait { millis } => world.now += millis,
             Step::Offer { revision } => {
                 if let Some(manifest) = world.service.manifests.get(revision).cloned() {
-                    let (id, _) = *manifest.applies.last().expect("a revision was made by a change");
+                    let (id, _) = *manifest.applies.last().expect("every revision must list its change");
                     world.replica.offer(manifest);
                     for (digest, content) in world.contents[&id.0].parts() {
                         world.replica.offer_part(digest, content);
@@ -190,20 +200,24 @@
             }
         }
         let revision = world.replica.revision();
-        assert!(revision >= world.highest, "the revision in force went from {} to {revision}", world.highest);
-        world.highest = revision;
+        assert!(
+            revision >= world.highest_revision,
+            "the active revision decreased from {} to {revision}",
+            world.highest_revision
+        );
+        world.highest_revision = revision;
         world
     }
 
     fn check_invariants(world: &World, _state: &()) {
         let revisions: BTreeSet<u64> = world.accepted.values().copied().collect();
-        assert_eq!(revisions.len(), world.accepted.len(), "two changes were accepted as one revision");
+        assert_eq!(revisions.len(), world.accepted.len(), "two accepted changes share a revision");
         if let Some(newest) = world.service.manifests.last() {
             for (id, revision) in &world.accepted {
-                assert_eq!(newest.revision_of(*id), Some(*revision), "an accepted change is gone");
+                assert_eq!(newest.revision_of(*id), Some(*revision), "an accepted change is missing from the manifest");
             }
             for id in &world.refused {
-                assert_eq!(newest.revision_of(*id), None, "a refused change was applied");
+                assert_eq!(newest.revision_of(*id), None, "a rejected change was applied");
             }
         }
     }
