--- a/crates/core/src/node/configuration/replica.rs
+++ b/crates/core/src/node/configuration/replica.rs
@@ -23,7 +23,7 @@
 pub enum OfferOutcome {
     /// The revision is now active.
     Activated,
-    /// No newer revision is pending.
+    /// The revision is not newer than the active one, or no revision is pending.
     NotNewer,
     /// The pending revision still lacks these parts.
     Missing(Vec<PartDigest>),
--- a/crates/core/src/node/membership/swim.rs
+++ b/crates/core/src/node/membership/swim.rs
@@ -28,7 +28,7 @@
     pub probe_interval: Millis,
     /// Time without an ack after which indirect probes are requested.
     pub probe_timeout: Millis,
-    /// Number of indirect probes requested per direct probe.
+    /// Number of indirect probes requested after a direct probe times out.
     pub indirect_probes: usize,
     /// Suspicion timeout in probe intervals, multiplied by the logarithm of the number of nodes.
     pub suspicion_factor: u64,
--- a/crates/core/tests/configuration_store.rs
+++ b/crates/core/tests/configuration_store.rs
@@ -23,7 +23,7 @@
     Begin {
         operator: usize,
     },
-    /// The service processes an operator's step. The request may be dropped, the response lost, or the read stale.
+    /// The service processes a step. The request may be dropped, the response lost, or the read stale.
     Answer {
         operator: usize,
         lost: bool,
