--- a/crates/core/tests/configuration_store.rs
+++ b/crates/core/tests/configuration_store.rs
@@ -20,23 +20,13 @@
 #[derive(Clone, Debug)]
 enum Step {
     /// An operator starts a change based on the newest known revision.
-    Begin {
-        operator: usize,
-    },
-    /// The service processes a step. The request may be dropped, the response lost, or the read stale.
-    Answer {
-        operator: usize,
-        lost: bool,
-        dropped: bool,
-        stale: bool,
-    },
-    Wait {
-        millis: u64,
-    },
+    Begin { operator: usize },
+    /// The service processes a step; the request or the response may be lost, or the read stale.
+    Answer { operator: usize, lost: bool, dropped: bool, stale: bool },
+    /// The clock advances.
+    Wait { millis: u64 },
     /// A node receives any current or earlier revision.
-    Offer {
-        revision: usize,
-    },
+    Offer { revision: usize },
 }
 
 #[derive(Clone, Debug)]
