--- a/crates/core/src/node/callers.rs
+++ b/crates/core/src/node/callers.rs
@@ -1,4 +1,4 @@
-//! Short answers to callers and operators.
+//! Handlers of simple queries: models, configuration, and explanations.
 
 use std::sync::Arc;
 
--- a/crates/core/src/node/engines_flow.rs
+++ b/crates/core/src/node/engines_flow.rs
@@ -13,28 +13,28 @@
 use crate::time::{Millis, Timestamp};
 
 /// Up to this many engines every node polls many of them.
-const SMALL_FLEET: usize = 48;
+const MAX_SMALL_FLEET_ENGINES: usize = 48;
 /// Most engines that one node of a small fleet polls besides those it is steward of.
-const POLLED_IN_SMALL_FLEET: usize = 24;
+const MAX_POLLED_IN_SMALL_FLEET: usize = 24;
 /// The same in a large fleet, where polls would otherwise be most of what a node sends.
-const POLLED_IN_LARGE_FLEET: usize = 8;
+const MAX_POLLED_IN_LARGE_FLEET: usize = 8;
 /// In a large fleet polls are this many times as far apart.
-const LARGE_FLEET_SLOWDOWN: u64 = 2;
+const LARGE_FLEET_INTERVAL_FACTOR: u64 = 2;
 /// How many nodes read the machine list.
-const MACHINE_WATCHERS: usize = 3;
+const MACHINE_LIST_READERS: usize = 3;
 /// To how many nodes a fact is passed on by each that learns it.
-const SPREAD: usize = 4;
+const LEAVING_FANOUT: usize = 4;
 /// Time between the first polls of two engines next to each other in the list, so that the polls of one node spread
 /// over the interval.
 const POLL_STAGGER: Millis = Millis(37);
 /// Time between two reminders, each of which gives all leaving facts to one random node.
-const REMINDER_INTERVAL: Millis = Millis(5_000);
+const LEAVING_SYNC_INTERVAL: Millis = Millis(5_000);
 
 /// When engines and machines are polled next.
 pub(super) struct EnginePolls {
     due: BTreeMap<EngineName, Timestamp>,
-    next_machines: Timestamp,
-    next_reminder: Timestamp,
+    next_machine_poll: Timestamp,
+    next_leaving_sync: Timestamp,
     pub(super) prefix_index: PrefixIndex,
 }
 
@@ -42,8 +42,8 @@
     pub(super) fn new(now: Timestamp) -> Self {
         Self {
             due: BTreeMap::new(),
-            next_machines: now,
-            next_reminder: now + REMINDER_INTERVAL,
+            next_machine_poll: now,
+            next_leaving_sync: now + LEAVING_SYNC_INTERVAL,
             prefix_index: PrefixIndex::default(),
         }
     }
@@ -52,15 +52,15 @@
 impl Node {
     pub(super) fn tick_engines(&mut self) {
         let now = self.clock.now;
-        if now >= self.polls.next_machines {
-            self.polls.next_machines = now + self.settings.machine_poll;
-            if self.has_duty("machine-list", MACHINE_WATCHERS) {
+        if now >= self.polls.next_machine_poll {
+            self.polls.next_machine_poll = now + self.settings.machine_poll;
+            if self.has_duty("machine-list", MACHINE_LIST_READERS) {
                 self.effects.push(Effect::ReadMachines);
             }
-            self.choose_polled_engines();
+            self.select_polled_engines();
         }
-        if now >= self.polls.next_reminder {
-            self.polls.next_reminder = now + REMINDER_INTERVAL;
+        if now >= self.polls.next_leaving_sync {
+            self.polls.next_leaving_sync = now + LEAVING_SYNC_INTERVAL;
             let chosen = self.membership.sample_present(1);
             for node in chosen {
                 self.send_leaving_facts(node);
@@ -70,33 +70,33 @@
     }
 
     fn is_large_fleet(&self) -> bool {
-        self.engines.iter().count() > SMALL_FLEET
+        self.engines.iter().count() > MAX_SMALL_FLEET_ENGINES
     }
 
-    fn most_polled(&self) -> usize {
-        if self.is_large_fleet() { POLLED_IN_LARGE_FLEET } else { POLLED_IN_SMALL_FLEET }
+    fn max_polled_engines(&self) -> usize {
+        if self.is_large_fleet() { MAX_POLLED_IN_LARGE_FLEET } else { MAX_POLLED_IN_SMALL_FLEET }
     }
 
     fn poll_interval(&self) -> Millis {
-        let slowdown = if self.is_large_fleet() { LARGE_FLEET_SLOWDOWN } else { 1 };
-        Millis(self.settings.engine_poll.0 * slowdown)
+        let factor = if self.is_large_fleet() { LARGE_FLEET_INTERVAL_FACTOR } else { 1 };
+        Millis(self.settings.engine_poll.0 * factor)
     }
 
     /// All engines where they are few, else a part that differs from node to node; and always those
     /// that this node is steward of.
-    fn choose_polled_engines(&mut self) {
+    fn select_polled_engines(&mut self) {
         let now = self.clock.now;
         let key = hash_parts(&[b"poll", &self.settings.id.0.to_le_bytes()]);
         let names = self.engines.iter().map(|(name, _)| name);
         let mut chosen: Vec<EngineName> =
-            rendezvous(key, names, |name| hash_bytes(name.0.as_bytes()), self.most_polled())
+            rendezvous(key, names, |name| hash_bytes(name.0.as_bytes()), self.max_polled_engines())
                 .into_iter()
                 .cloned()
                 .collect();
         chosen.extend(self.stewards.keys().cloned());
         let earlier = std::mem::take(&mut self.polls.due);
-        for (place, engine) in chosen.into_iter().enumerate() {
-            let offset = Millis(place as u64 * POLL_STAGGER.0 % self.poll_interval().0.max(1));
+        for (index, engine) in chosen.into_iter().enumerate() {
+            let offset = Millis(index as u64 * POLL_STAGGER.0 % self.poll_interval().0.max(1));
             let due = earlier.get(&engine).copied().unwrap_or(now + offset);
             self.polls.due.insert(engine, due);
         }
@@ -109,7 +109,7 @@
         let others: Vec<(EngineName, std::net::SocketAddr)> =
             others.map(|(name, state)| (name.clone(), state.configured.address)).collect();
         for (engine, address) in others {
-            let cache_from = self.polls.prefix_index.wanted(&engine);
+            let cache_from = self.polls.prefix_index.next_wanted(&engine);
             self.effects.push(Effect::PollEngine { engine, address, cache_from });
         }
     }
@@ -122,7 +122,7 @@
             self.polls.due.insert(engine.clone(), now + self.poll_interval());
             let Some(state) = self.engines.get(&engine) else { continue };
             let address = state.configured.address;
-            let cache_from = self.polls.prefix_index.wanted(&engine);
+            let cache_from = self.polls.prefix_index.next_wanted(&engine);
             self.effects.push(Effect::PollEngine { engine, address, cache_from });
         }
     }
@@ -145,41 +145,41 @@
         if let Some(batch) = cache {
             self.polls.prefix_index.record(engine, batch);
         }
-        let new_fact = self.engines.reported(engine, report, now);
-        self.spread_leaving(new_fact.into_iter().collect());
+        let new_fact = self.engines.record_report(engine, report, now);
+        self.disseminate_leaving(new_fact.into_iter().collect());
     }
 
     pub(super) fn on_machines(&mut self, machines: &[MachineReport]) {
         let mut new_facts = Vec::new();
         for machine in machines {
-            self.engines.learn_incarnation(&machine.engine, machine.incarnation);
+            self.engines.record_incarnation(&machine.engine, machine.incarnation);
             if machine.leaving {
                 let fact = LeavingFact { engine: machine.engine.clone(), incarnation: machine.incarnation };
-                new_facts.extend(self.engines.learn_leaving(&fact));
+                new_facts.extend(self.engines.record_leaving(&fact));
             }
         }
-        self.spread_leaving(new_facts);
+        self.disseminate_leaving(new_facts);
     }
 
     pub(super) fn on_engines_leaving(&mut self, facts: &[LeavingFact]) {
-        let new_facts: Vec<LeavingFact> = facts.iter().filter_map(|fact| self.engines.learn_leaving(fact)).collect();
-        self.spread_leaving(new_facts);
+        let new_facts: Vec<LeavingFact> = facts.iter().filter_map(|fact| self.engines.record_leaving(fact)).collect();
+        self.disseminate_leaving(new_facts);
     }
 
     pub(super) fn engine_refused_as_leaving(&mut self, engine: &EngineName) {
-        let new_fact = self.engines.refused_as_leaving(engine);
-        self.spread_leaving(new_fact.into_iter().collect());
+        let new_fact = self.engines.record_leaving_refusal(engine);
+        self.disseminate_leaving(new_fact.into_iter().collect());
     }
 
     /// Passes new facts on to a few nodes, each of which does the same.
-    fn spread_leaving(&mut self, facts: Vec<LeavingFact>) {
+    fn disseminate_leaving(&mut self, facts: Vec<LeavingFact>) {
         if facts.is_empty() {
             return;
         }
         for fact in &facts {
             self.log(LogEvent::EngineLeaving, format!("{} incarnation {}", fact.engine, fact.incarnation));
         }
-        for node in self.membership.sample_present(SPREAD) {
+        for node in self.membership.sample_present(LEAVING_FANOUT) {
             self.send(node, PeerMessage::EnginesLeaving(facts.clone()));
         }
         self.batch.is_dirty = true;
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,43 +1,43 @@
-//! The decisions of `stallmoor node`: the state machines of each matter, and one node composed of them.
+//! The deterministic core of `stallmoor node`: one state machine per concern, composed into a [`Node`].
 //!
-//! [`Node::handle`] takes an event and the time and returns effects. The running node feeds it from
-//! sockets and clocks; the simulation feeds it from a seeded queue. A driver carries out effects in
-//! order, and must make every persist effect durable before any later effect of the same batch.
+//! [`Node::handle`] takes an event and the current time and returns effects. In production, events come
+//! from sockets and clocks; in the simulation, from a seeded queue. The caller executes effects in order
+//! and must make every persist effect durable before executing any later effect of the same batch.
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! |---|---|
-//! | [`configuration`] | the operators' files: parsing, checking, and which revision is in force |
-//! | [`membership`] | which nodes are alive, after SWIM |
-//! | [`partition`] | the state each group replicates: jobs, items, results, marks, sessions |
-//! | [`routing`] | engines, their load, and which one serves a request |
+//! | [`configuration`] | configuration files: parsing, validation, and the active revision |
+//! | [`membership`] | SWIM-based failure detection and the set of live nodes |
+//! | [`partition`] | the replicated state of each group: jobs, items, results, marks, sessions |
+//! | [`routing`] | engines, their load, and engine selection |
 //! | [`scheduling`] | batch credits and the dispatch of batch items |
-//! | [`online`] | the life of one online request, from admission to its last piece |
-//! | [`control`] | founding of replica groups, the control lease, placement of models |
+//! | [`online`] | the lifecycle of an online request, from admission to the last chunk |
+//! | [`control`] | bootstrap of replica groups, the control lease, placement of models |
 //!
-//! The composition:
+//! These modules implement [`Node`] on top of the state machines:
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! |---|---|
-//! | `callers` | what callers and operators ask, and the answers |
-//! | `online_flow` | online requests: admission, answers, refusals |
-//! | `online_attempts` | their attempts at engines, and what follows a failure |
-//! | `online_records` | marks of not-repeatable requests, and session records |
-//! | `upload` | taking in a batch job |
+//! | `callers` | simple queries of callers and operators |
+//! | `online_flow` | online requests: admission, completion, refusals |
+//! | `online_attempts` | attempts of online requests on engines, and failure handling |
+//! | `online_records` | marks of non-repeatable requests, and session records |
+//! | `upload` | submission of batch jobs |
 //! | `batch_flow` | running batch items within granted limits |
-//! | `batch_demand` | asking stewards for room, and the limits they grant |
-//! | `groups` | the replicas that this node hosts |
-//! | `group_requests` | requests to those replicas, and their answers |
-//! | `group_repair` | replacing lost members of the groups this node leads |
-//! | `group_client` | requests to groups, wherever they are |
-//! | `configuration_flow` | accepting, spreading and taking configuration |
-//! | `engines_flow` | polling engines and the machine list, spreading what leaves |
-//! | `control_flow` | the control lease and the orders given under it |
-//! | `discovery_flow` | finding other nodes when no seed answers |
-//! | `founding_flow` | founding and finding groups |
-//! | `key_value_flow` | calls to the key-value service, within its rate limit |
-//! | `steward_flow` | dividing an engine between batch holders |
+//! | `batch_demand` | requesting batch capacity from stewards, and the limits they grant |
+//! | `groups` | the replicas hosted by this node |
+//! | `group_requests` | requests to those replicas, and their responses |
+//! | `group_repair` | replacing lost members of groups led by this node |
+//! | `group_client` | requests to local and remote groups |
+//! | `configuration_flow` | accepting, distributing and applying configuration |
+//! | `engines_flow` | polling engines and the machine list, disseminating departures |
+//! | `control_flow` | the control lease and the orders issued under it |
+//! | `discovery_flow` | discovering other nodes when no seed responds |
+//! | `founding_flow` | bootstrapping and locating groups |
+//! | `key_value_flow` | rate-limited calls to the key-value service |
+//! | `steward_flow` | dividing the batch capacity of an engine among nodes |
 //! | `status_flow` | the status of this node and of the fleet |
-//! | `stopping` | the planned stop |
+//! | `stopping` | graceful shutdown |
 
 pub mod configuration;
 pub mod control;
--- a/crates/core/src/node/online/explanation.rs
+++ b/crates/core/src/node/online/explanation.rs
@@ -1,4 +1,4 @@
-//! What was decided for a request, step by step, for `stallmoor explain`.
+//! Per-request decision traces, shown by `stallmoor explain`.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -8,71 +8,71 @@
 use crate::identity::EngineName;
 use crate::node::routing::Candidate;
 
-/// Most explanations kept on a node.
-const CAPACITY: usize = 4_096;
+/// Maximum number of explanations retained by a node.
+const MAX_EXPLANATIONS: usize = 4_096;
 
-/// One decision.
+/// A decision made while processing a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DecisionStep {
-    /// The request was taken in.
+    /// The request was admitted.
     Admitted {
-        /// The service that offers its model.
+        /// The service that serves the requested model.
         service: String,
     },
-    /// The mark of a not-repeatable request is replicated.
+    /// The mark of a non-repeatable request was replicated.
     Marked,
     /// The session's record was found.
     SessionFound {
-        /// The engine that holds the session.
+        /// The engine that has the session's KV cache.
         engine: EngineName,
-        /// How often the session has moved.
+        /// Generation of the session record, incremented each time the session is placed.
         generation: u64,
     },
-    /// The session's record could not be read in time, so the request was placed without it.
+    /// The session's record could not be read in time, so the request was routed without it.
     SessionUnavailable,
-    /// An engine was chosen.
+    /// An engine was selected.
     Chosen {
-        /// The engine.
+        /// The engine concerned.
         engine: EngineName,
-        /// Those considered, with the reason for each.
+        /// The candidates, each with the reason it was or was not selected.
         considered: Vec<String>,
-        /// The token to start from.
+        /// Index of the first token to generate.
         from_token: u32,
     },
-    /// The engine did not give a whole answer.
+    /// The engine did not return a complete answer.
     EngineFailed {
-        /// The engine.
+        /// The engine concerned.
         engine: EngineName,
-        /// What happened.
+        /// Description of the failure.
         cause: String,
     },
     /// The request was refused.
     Refused {
-        /// The code of the refusal.
+        /// Error code.
         code: String,
-        /// What exactly was wrong.
+        /// Details of the error.
         detail: String,
     },
-    /// The whole answer was sent.
+    /// The complete answer was sent.
     Answered {
-        /// Tokens in the answer.
+        /// Number of tokens in the answer.
         tokens: u32,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// All decisions for one request.
+/// The decision trace of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The request's id.
+    /// Request ID.
     pub id: Arc<str>,
-    /// Milliseconds since the request came in, and the decision.
+    /// Decisions in order, each with the milliseconds elapsed since the request arrived.
     pub steps: Vec<(u64, DecisionStep)>,
 }
 
-/// The latest explanations of a node.
+/// The most recent explanations of a node; the oldest are evicted first.
 #[derive(Clone, Debug, Default)]
 pub struct ExplanationStore {
     explanations: BTreeMap<Arc<str>, Explanation>,
@@ -80,8 +80,8 @@
 }
 
 impl ExplanationStore {
-    /// Notes a decision.
-    pub fn note(&mut self, id: &Arc<str>, after_ms: u64, step: DecisionStep) {
+    /// Appends a decision to the explanation of request `id`.
+    pub fn record_step(&mut self, id: &Arc<str>, after_ms: u64, step: DecisionStep) {
         if !self.explanations.contains_key(id) {
             self.order.push_back(id.clone());
             let explanation = Explanation { id: id.clone(), steps: Vec::new() };
@@ -90,14 +90,14 @@
         if let Some(explanation) = self.explanations.get_mut(id) {
             explanation.steps.push((after_ms, step));
         }
-        while self.order.len() > CAPACITY {
+        while self.order.len() > MAX_EXPLANATIONS {
             if let Some(oldest) = self.order.pop_front() {
                 self.explanations.remove(&oldest);
             }
         }
     }
 
-    /// The decisions for a request.
+    /// Returns the explanation of request `id`, if it is still retained.
     pub fn get(&self, id: &str) -> Option<&Explanation> {
         self.explanations.get(id)
     }
--- a/crates/core/src/node/online/mod.rs
+++ b/crates/core/src/node/online/mod.rs
@@ -1,4 +1,4 @@
-//! The life of one online request.
+//! State of online requests, their decision traces, and cached session records.
 
 mod explanation;
 mod request;
@@ -10,5 +10,6 @@
 
 use crate::retry_budget::RetryBudgetLimits;
 
-/// Retries of one node: one for every five requests in the long run, 50 saved up, 10 at the start.
-pub(super) const RETRY_LIMITS: RetryBudgetLimits = RetryBudgetLimits { deposit: 0.2, capacity: 50.0, initial: 10.0 };
+/// Retry budget of a node: one retry per five requests, with a burst of 50.
+pub(super) const RETRY_BUDGET_LIMITS: RetryBudgetLimits =
+    RetryBudgetLimits { deposit: 0.2, capacity: 50.0, initial: 10.0 };
--- a/crates/core/src/node/online/request.rs
+++ b/crates/core/src/node/online/request.rs
@@ -1,4 +1,4 @@
-//! One online request: what was asked, how far its answer is, and what may still be done for it.
+//! State of one online request: its parameters, delivery progress, and whether it may be retried.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,119 +8,120 @@
 use crate::node::routing::BlockHash;
 use crate::time::{Millis, Timestamp};
 
-/// What a caller asks.
+/// An online call as received from a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OnlineCall {
-    /// The request's id, for the explanation. Unique.
+    /// Unique request ID, under which the explanation is stored.
     pub id: Arc<str>,
-    /// Who asks.
+    /// Tenant of the caller.
     pub tenant: Arc<str>,
-    /// The model.
+    /// Name of the requested model.
     pub model: Arc<str>,
-    /// The adapter, if any.
+    /// Adapter to apply to the model, if any.
     pub adapter: Option<Arc<str>>,
-    /// The session, if the request belongs to one.
+    /// Session that the request belongs to, if any.
     pub session: Option<Arc<str>>,
-    /// The idempotency key, if any. A not-repeatable request must have one.
+    /// Idempotency key. Required for non-repeatable requests.
     pub key: Option<Arc<str>>,
-    /// Whether the request may run more than once.
+    /// Whether the request may be executed more than once.
     pub repeatable: bool,
-    /// How long the caller waits; `None` takes the service's deadline.
+    /// Time limit set by the caller; defaults to the service's limit.
     pub deadline: Option<Millis>,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: Arc<str>,
-    /// Most tokens to generate; `None` takes the service's limit.
+    /// Maximum number of tokens to generate; defaults to the service's limit.
     pub max_tokens: Option<u32>,
-    /// The token to continue a broken stream from.
+    /// Index of the first token to send, nonzero when resuming an interrupted stream.
     pub from_token: u32,
 }
 
-/// Where a request stands.
+/// Processing phase of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OnlinePhase {
-    /// Its mark is being replicated.
+    /// The request's mark is being replicated.
     Marking,
-    /// Its session's record is being read.
+    /// The session record is being read.
     LookingUpSession,
-    /// An engine runs it.
+    /// The request was sent to an engine.
     Running {
-        /// The attempt.
+        /// ID of the current attempt.
         attempt: AttemptId,
-        /// The engine.
+        /// Engine that the attempt was sent to.
         engine: EngineName,
         /// When the attempt was sent.
         sent_at: Timestamp,
     },
 }
 
-/// What the caller has been sent.
+/// Progress of the answer as sent to the caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Delivery {
-    /// The next token that the caller needs.
+    /// Index of the next token to send.
     pub next_token: u32,
-    /// Whether any piece was sent.
+    /// Whether any chunk has been sent.
     pub begun: bool,
 }
 
-/// What to do with a piece of an answer.
+/// How to handle a chunk of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PieceOutcome {
-    /// Send it on.
+    /// Forward it to the caller.
     Deliver,
-    /// The caller has it already.
+    /// Drop it: the caller has already received it.
     Duplicate,
-    /// Tokens are missing before it: the stream can't be trusted any further.
+    /// Tokens before it are missing, so the stream is invalid.
     Gap,
 }
 
-/// One online request.
+/// An online request in progress.
 #[derive(Clone, Debug)]
 pub struct OnlineRequest {
-    /// What was asked.
+    /// The call as received.
     pub call: OnlineCall,
-    /// The service that offers the model.
+    /// Name of the service that serves the model.
     pub service: Arc<str>,
-    /// When it came in.
+    /// Time of arrival.
     pub arrived: Timestamp,
-    /// When it is given up.
+    /// Time at which the request fails if it has not completed.
     pub deadline: Timestamp,
-    /// Where it stands.
+    /// Current processing phase.
     pub phase: OnlinePhase,
-    /// What the caller has been sent.
+    /// Progress of the answer as sent to the caller.
     pub delivery: Delivery,
-    /// The holder of its mark, if it is not repeatable.
+    /// Identifies this submission as the owner of the mark of a non-repeatable request.
     pub holder: AttemptId,
-    /// Whether its mark may be replicated, so that it must be settled.
+    /// Whether the mark may have been replicated and therefore must be settled.
     pub marked: bool,
-    /// Whether its mark is replicated for certain. Only then is it known that no earlier submission
-    /// under the same key ran.
+    /// Whether replication of the mark is confirmed, which proves that no earlier submission with the
+    /// same key ran.
     pub mark_confirmed: bool,
-    /// Whether it was sent to an engine that may have run it.
+    /// Whether a failed attempt may have been executed by an engine.
     pub may_have_run: bool,
-    /// Engines that failed it.
+    /// Engines on which an attempt failed; they are not selected again.
     pub excluded: BTreeSet<EngineName>,
-    /// Its session's record, if found.
+    /// Session record, if found.
     pub session: Option<SessionRecord>,
-    /// The prompt's blocks.
+    /// Block hashes of the prompt.
     pub blocks: Vec<BlockHash>,
-    /// How often it was moved.
+    /// Number of failed attempts that qualified for a retry.
     pub moves: u32,
 }
 
 impl OnlineRequest {
-    /// The key of its session.
+    /// Returns the key of the request's session, if it has one.
     pub fn session_key(&self) -> Option<SessionKey> {
         let session = self.call.session.clone()?;
         Some(SessionKey { tenant: self.call.tenant.clone(), session })
     }
 
-    /// Whether another attempt is allowed: anything that is repeatable, or certainly did not run.
+    /// Returns whether another attempt is safe: the request is repeatable or was definitely not executed.
     pub fn may_retry(&self) -> bool {
         self.call.repeatable || !self.may_have_run
     }
 
-    /// Judges a piece that begins at token `first` and holds `tokens` tokens.
-    pub fn judge_piece(&mut self, first: u32, tokens: u32) -> PieceOutcome {
+    /// Classifies a chunk of `tokens` tokens starting at index `first`, and advances the delivery
+    /// progress if the chunk is to be delivered.
+    pub fn accept_piece(&mut self, first: u32, tokens: u32) -> PieceOutcome {
         let expected = self.delivery.next_token;
         if first > expected {
             return PieceOutcome::Gap;
@@ -133,8 +134,8 @@
         PieceOutcome::Deliver
     }
 
-    /// Whether the answer is whole when the engine says that it ends at token `length`.
-    pub fn is_whole(&self, length: u32) -> bool {
+    /// Returns whether all `length` tokens of the answer have been delivered.
+    pub fn is_complete(&self, length: u32) -> bool {
         self.delivery.next_token == length
     }
 }
--- a/crates/core/src/node/online/session_cache.rs
+++ b/crates/core/src/node/online/session_cache.rs
@@ -1,14 +1,14 @@
-//! Session records that this node read or wrote lately.
+//! Cache of recently used session records.
 
 use std::collections::BTreeMap;
 
 use crate::node::partition::{SessionKey, SessionRecord};
 
-/// Most records kept.
-const CAPACITY: usize = 8_192;
+/// Maximum number of cached records.
+const MAX_RECORDS: usize = 8_192;
 
-/// A bounded cache of session records. It may be stale: the record's generation settles that when the
-/// session is next placed.
+/// An LRU cache of session records. Entries may be stale; the record's generation resolves conflicts
+/// when the session is next placed.
 #[derive(Clone, Debug, Default)]
 pub struct SessionCache {
     records: BTreeMap<SessionKey, (u64, SessionRecord)>,
@@ -17,17 +17,17 @@
 }
 
 impl SessionCache {
-    /// A record, which counts as used.
+    /// Returns a record and marks it as recently used.
     pub fn get(&mut self, key: &SessionKey) -> Option<SessionRecord> {
         let record = self.records.get(key)?.1.clone();
         self.insert(key.clone(), record.clone());
         Some(record)
     }
 
-    /// Keeps a record, unless a later generation is held.
+    /// Inserts a record unless a later generation is already cached.
     pub fn insert(&mut self, key: SessionKey, record: SessionRecord) {
-        if let Some((used, held)) = self.records.get(&key) {
-            if held.generation > record.generation {
+        if let Some((used, stored)) = self.records.get(&key) {
+            if stored.generation > record.generation {
                 return;
             }
             self.by_use.remove(used);
@@ -35,7 +35,7 @@
         self.uses += 1;
         self.by_use.insert(self.uses, key.clone());
         self.records.insert(key, (self.uses, record));
-        while self.records.len() > CAPACITY {
+        while self.records.len() > MAX_RECORDS {
             let Some((_, oldest)) = self.by_use.pop_first() else { break };
             self.records.remove(&oldest);
         }
--- a/crates/core/src/node/online_attempts.rs
+++ b/crates/core/src/node/online_attempts.rs
@@ -1,10 +1,10 @@
-//! The attempts of online requests at engines: choosing an engine, passing its pieces to the caller, and
-//! what follows a failure.
+//! Attempts of online requests on engines: selecting an engine, forwarding its chunks to the caller, and
+//! handling failures.
 //!
-//! A failure leads to another engine if the request may run again or certainly did not run; otherwise to
-//! a refusal, at once.
+//! A failed request is retried on another engine if it is repeatable or was definitely not executed;
+//! otherwise it is refused immediately.
 //!
-//! Owns which attempt serves which request. Relies on `online_flow` for the requests and their endings.
+//! This module maps attempts to requests; `online_flow` owns the requests and completes them.
 
 use super::effect::{Effect, EngineRequest, RequestClass};
 use super::event::{CallerAnswer, StreamEvent};
@@ -18,11 +18,11 @@
 use crate::node::partition::Settlement;
 use crate::node::routing::{OnlineDemand, RoutingRefusal, Selection, select_online};
 
-/// Bytes of the prompt that make the affinity of a request without a session.
-const AFFINITY_BYTES: usize = 256;
+/// Length in bytes of the prompt prefix hashed into the affinity of a request without a session.
+const AFFINITY_PREFIX_BYTES: usize = 256;
 
 impl Node {
-    /// Chooses an engine and sends the request there.
+    /// Selects an engine and sends it the request, or refuses the request if no engine is available.
     pub(super) fn place(&mut self, caller: CallerId) {
         let now = self.clock.now;
         let Some(fleet) = self.fleet() else { return };
@@ -80,20 +80,22 @@
         self.engines.online_started(&engine);
         self.batch.notices_due.insert(engine.clone());
         let considered = selection.considered.iter().map(String::from).collect();
-        self.note(caller, DecisionStep::Chosen { engine: engine.clone(), considered, from_token });
+        self.record_step(caller, DecisionStep::Chosen { engine: engine.clone(), considered, from_token });
         self.effects.push(Effect::StartStream(engine_request));
         self.record_session(caller, &engine);
     }
 
     pub(super) fn on_stream(&mut self, attempt: AttemptId, event: StreamEvent) {
-        let is_own = match &event {
-            StreamEvent::Piece { attempt: said, .. } | StreamEvent::End { attempt: said, .. } => *said == attempt,
+        let is_matching = match &event {
+            StreamEvent::Piece { attempt: reported, .. } | StreamEvent::End { attempt: reported, .. } => {
+                *reported == attempt
+            }
             _ => true,
         };
         let is_known = self.online.attempts.contains_key(&attempt) || self.batch.dispatcher.contains(attempt);
-        if !is_own || !is_known {
+        if !is_matching || !is_known {
             self.counters.pieces_dropped += 1;
-            if !is_own {
+            if !is_matching {
                 self.log(LogEvent::PieceDropped, format!("{attempt} was sent another attempt's piece"));
             }
             return;
@@ -109,12 +111,12 @@
         match event {
             StreamEvent::Piece { first, tokens, text, .. } => self.on_online_piece(caller, first, tokens, text),
             StreamEvent::End { length, .. } => self.on_online_end(caller, length),
-            StreamEvent::NotSent => self.on_engine_unreached(caller, "no connection"),
+            StreamEvent::NotSent => self.on_attempt_not_run(caller, "no connection"),
             StreamEvent::Refused { leaving } => {
                 if leaving {
-                    self.note_leaving_refusal(caller);
+                    self.handle_leaving_refusal(caller);
                 }
-                self.on_engine_unreached(caller, if leaving { "leaving" } else { "refused" });
+                self.on_attempt_not_run(caller, if leaving { "leaving" } else { "refused" });
             }
             StreamEvent::Rejected { detail } => {
                 self.release_engine(caller, true);
@@ -126,7 +128,7 @@
 
     fn on_online_piece(&mut self, caller: CallerId, first: u32, tokens: u32, text: String) {
         let Some(request) = self.online.requests.get_mut(&caller) else { return };
-        match request.judge_piece(first, tokens) {
+        match request.accept_piece(first, tokens) {
             PieceOutcome::Deliver => self.answer(caller, CallerAnswer::Piece { first, tokens, text }),
             PieceOutcome::Duplicate => self.counters.pieces_dropped += 1,
             PieceOutcome::Gap => {
@@ -139,32 +141,32 @@
 
     fn on_online_end(&mut self, caller: CallerId, length: u32) {
         let Some(request) = self.online.requests.get(&caller) else { return };
-        if !request.is_whole(length) {
+        if !request.is_complete(length) {
             self.on_engine_lost(caller, "the stream ended short of its length");
             return;
         }
         let engine = self.release_engine(caller, true);
         let Some(request) = self.take_online(caller) else { return };
         self.counters.online_answered += 1;
-        self.note_request(&request, DecisionStep::Answered { tokens: length });
+        self.record_request_step(&request, DecisionStep::Answered { tokens: length });
         self.settle(&request, Settlement::Answered);
         if let Some(engine) = engine {
             self.answer(caller, CallerAnswer::End { tokens: length, engine });
         }
     }
 
-    /// The engine certainly did not run the request.
-    fn on_engine_unreached(&mut self, caller: CallerId, cause: &str) {
+    /// Handles a failed attempt that the engine definitely did not execute.
+    fn on_attempt_not_run(&mut self, caller: CallerId, cause: &str) {
         self.fail_attempt(caller, cause, false);
-        self.move_or_refuse(caller, ErrorKind::EngineRefused);
+        self.retry_or_refuse(caller, ErrorKind::EngineRefused);
     }
 
-    /// The engine may have run the request.
+    /// Handles a failed attempt that the engine may have executed.
     pub(super) fn on_engine_lost(&mut self, caller: CallerId, cause: &str) {
         self.fail_attempt(caller, cause, true);
         let begun = self.online.requests.get(&caller).is_some_and(|request| request.delivery.begun);
         let kind = if begun { ErrorKind::AnswerIncomplete } else { ErrorKind::EngineLost };
-        self.move_or_refuse(caller, kind);
+        self.retry_or_refuse(caller, kind);
     }
 
     fn fail_attempt(&mut self, caller: CallerId, cause: &str, may_have_run: bool) {
@@ -173,11 +175,11 @@
             request.excluded.insert(engine.clone());
             request.may_have_run |= may_have_run;
         }
-        self.note(caller, DecisionStep::EngineFailed { engine, cause: cause.to_owned() });
+        self.record_step(caller, DecisionStep::EngineFailed { engine, cause: cause.to_owned() });
     }
 
-    /// Another engine, if the request may be tried again and the budget allows it; else a refusal.
-    fn move_or_refuse(&mut self, caller: CallerId, kind: ErrorKind) {
+    /// Retries on another engine if the request and the retry budget allow it; otherwise refuses the request.
+    fn retry_or_refuse(&mut self, caller: CallerId, kind: ErrorKind) {
         let now = self.clock.now;
         let Some(request) = self.online.requests.get_mut(&caller) else { return };
         let in_time = now < request.deadline;
@@ -195,7 +197,7 @@
         self.place(caller);
     }
 
-    /// Takes a request's attempt off its engine.
+    /// Ends the current attempt and records its outcome for the engine. Returns the engine, if one was assigned.
     pub(super) fn release_engine(&mut self, caller: CallerId, succeeded: bool) -> Option<EngineName> {
         let request = self.online.requests.get(&caller)?;
         let OnlinePhase::Running { attempt, engine, .. } = request.phase.clone() else { return None };
@@ -219,7 +221,7 @@
         }
     }
 
-    fn note_leaving_refusal(&mut self, caller: CallerId) {
+    fn handle_leaving_refusal(&mut self, caller: CallerId) {
         if let Some(request) = self.online.requests.get(&caller)
             && let OnlinePhase::Running { engine, .. } = &request.phase
         {
@@ -234,7 +236,7 @@
         Some(session) => hash_parts(&[call.tenant.as_bytes(), session.as_bytes()]),
         None => {
             let prompt = call.prompt.as_bytes();
-            hash_parts(&[call.model.as_bytes(), &prompt[..prompt.len().min(AFFINITY_BYTES)]])
+            hash_parts(&[call.model.as_bytes(), &prompt[..prompt.len().min(AFFINITY_PREFIX_BYTES)]])
         }
     }
 }
--- a/crates/core/src/node/online_flow.rs
+++ b/crates/core/src/node/online_flow.rs
@@ -1,10 +1,10 @@
-//! Online requests: admission at one end, the answer or refusal at the other.
+//! Lifecycle of online requests, from admission to the answer or refusal.
 //!
-//! Admission, then the mark if the request is not repeatable, then the session's record, then an
-//! engine. A refusal says truthfully whether the request ran.
+//! An admitted request is first marked if it is not repeatable; then its session record is read and the
+//! request is sent to an engine. A refusal states whether the request ran.
 //!
-//! Owns the requests in hand. Relies on `online_records` for marks and sessions, and on
-//! `online_attempts` for the engines.
+//! This module owns the requests in progress; `online_records` handles marks and sessions, and
+//! `online_attempts` communicates with engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,16 +16,16 @@
 use crate::identity::{AttemptId, CallerId};
 use crate::node::configuration::fleet::Service;
 use crate::node::online::{
-    DecisionStep, Delivery, ExplanationStore, OnlineCall, OnlinePhase, OnlineRequest, RETRY_LIMITS, SessionCache,
+    DecisionStep, Delivery, ExplanationStore, OnlineCall, OnlinePhase, OnlineRequest, RETRY_BUDGET_LIMITS, SessionCache,
 };
 use crate::node::partition::{RequestKey, Settlement};
 use crate::node::routing::prompt_blocks;
 use crate::retry_budget::RetryBudget;
 use crate::time::{Millis, Timestamp};
 
-/// An engine that sends nothing for this long counts as lost.
-const SILENCE_TIMEOUT: Millis = Millis(10_000);
-/// Online requests of one node and what they share.
+/// An attempt fails if its engine sends nothing for this long.
+const ENGINE_IDLE_TIMEOUT: Millis = Millis(10_000);
+/// Online requests of a node and the state they share.
 pub(super) struct OnlineState {
     pub(super) requests: BTreeMap<CallerId, OnlineRequest>,
     pub(super) attempts: BTreeMap<AttemptId, CallerId>,
@@ -43,7 +43,7 @@
             attempts: BTreeMap::new(),
             last_contact: BTreeMap::new(),
             tenant_in_flight: BTreeMap::new(),
-            retry_budget: RetryBudget::new(RETRY_LIMITS),
+            retry_budget: RetryBudget::new(RETRY_BUDGET_LIMITS),
             sessions: SessionCache::default(),
             explanations: ExplanationStore::default(),
         }
@@ -53,19 +53,19 @@
 impl Node {
     pub(super) fn on_online_call(&mut self, caller: CallerId, call: OnlineCall) {
         match self.admit(&call) {
-            Ok(service) => self.begin_online(caller, call, &service),
+            Ok(service) => self.start_online(caller, call, &service),
             Err(refusal) => {
                 let refusal = refusal_before_mark(&call, refusal);
                 self.counters.online_refused += 1;
                 let step =
                     DecisionStep::Refused { code: refusal.kind.code().to_owned(), detail: refusal.detail.clone() };
-                self.online.explanations.note(&call.id, 0, step);
+                self.online.explanations.record_step(&call.id, 0, step);
                 self.answer(caller, CallerAnswer::Refused(refusal));
             }
         }
     }
 
-    /// Checks a request before anything is done for it.
+    /// Validates a request and returns the service that handles it.
     fn admit(&self, call: &OnlineCall) -> Result<Service, Refusal> {
         if self.stopping.is_some() {
             return Err(Refusal::new(ErrorKind::Stopping, "ask another node"));
@@ -93,7 +93,7 @@
             .ok_or_else(|| Refusal::new(ErrorKind::UnknownModel, call.model.to_string()))
     }
 
-    fn begin_online(&mut self, caller: CallerId, call: OnlineCall, service: &Service) {
+    fn start_online(&mut self, caller: CallerId, call: OnlineCall, service: &Service) {
         let now = self.clock.now;
         let holder = self.draw_attempt();
         let within = call.deadline.unwrap_or(service.online_deadline);
@@ -118,7 +118,7 @@
         self.counters.online_admitted += 1;
         let repeatable = request.call.repeatable;
         self.online.requests.insert(caller, request);
-        self.note(caller, DecisionStep::Admitted { service: service.name.to_string() });
+        self.record_step(caller, DecisionStep::Admitted { service: service.name.to_string() });
         if repeatable {
             self.find_session(caller);
         } else {
@@ -126,10 +126,10 @@
         }
     }
 
-    /// Ends a request with a refusal that says truthfully whether it ran.
+    /// Completes a request with a refusal that states whether the request ran.
     pub(super) fn refuse_online(&mut self, caller: CallerId, refusal: Refusal) {
         let Some(request) = self.take_online(caller) else { return };
-        let ran = truth_of(&request, &refusal);
+        let ran = ran_state(&request, &refusal);
         let refusal = refusal.with_ran(ran);
         self.counters.online_refused += 1;
         let settlement = match ran {
@@ -142,7 +142,7 @@
             self.settle(&request, settlement);
         }
         let step = DecisionStep::Refused { code: refusal.kind.code().to_owned(), detail: refusal.detail.clone() };
-        self.note_request(&request, step);
+        self.record_request_step(&request, step);
         self.answer(caller, CallerAnswer::Refused(refusal));
     }
 
@@ -168,7 +168,7 @@
             .is_some_and(|request| request.may_have_run || matches!(request.phase, OnlinePhase::Running { .. }));
         self.cancel_attempt(caller);
         self.release_engine(caller, true);
-        self.note(caller, DecisionStep::CallerGone);
+        self.record_step(caller, DecisionStep::CallerGone);
         if let Some(request) = self.take_online(caller) {
             let settlement = if was_sent { Settlement::Unknown } else { Settlement::NotRun };
             self.settle(&request, settlement);
@@ -185,23 +185,23 @@
             .map(|(caller, _)| *caller)
             .collect();
         for caller in late {
-            self.give_up(caller);
+            self.fail_at_deadline(caller);
         }
-        let silent: Vec<CallerId> = self
+        let stalled: Vec<CallerId> = self
             .online
             .last_contact
             .iter()
-            .filter(|(_, contact)| now.since(**contact) >= SILENCE_TIMEOUT)
+            .filter(|(_, contact)| now.since(**contact) >= ENGINE_IDLE_TIMEOUT)
             .filter_map(|(attempt, _)| self.online.attempts.get(attempt).copied())
             .collect();
-        for caller in silent {
+        for caller in stalled {
             self.cancel_attempt(caller);
             self.on_engine_lost(caller, "the engine fell silent");
         }
     }
 
-    /// The deadline passed: the final answer goes out at once.
-    fn give_up(&mut self, caller: CallerId) {
+    /// Refuses a request whose deadline has passed.
+    fn fail_at_deadline(&mut self, caller: CallerId) {
         let Some(request) = self.online.requests.get_mut(&caller) else { return };
         let was_sent = matches!(request.phase, OnlinePhase::Running { .. });
         request.may_have_run |= was_sent;
@@ -212,32 +212,33 @@
         if let Some(request) = self.online.requests.get_mut(&caller)
             && matches!(request.phase, OnlinePhase::Marking)
         {
-            // The mark may be replicated already.
+            // The mark may already be replicated and must then be settled.
             request.marked = true;
         }
         self.refuse_online(caller, Refusal::new(kind, "the deadline passed"));
     }
 
-    pub(super) fn note(&mut self, caller: CallerId, step: DecisionStep) {
+    pub(super) fn record_step(&mut self, caller: CallerId, step: DecisionStep) {
         if let Some(request) = self.online.requests.get(&caller) {
             let after = self.clock.now.since(request.arrived);
-            self.online.explanations.note(&request.call.id, after.0, step);
+            self.online.explanations.record_step(&request.call.id, after.0, step);
         }
     }
 
-    pub(super) fn note_request(&mut self, request: &OnlineRequest, step: DecisionStep) {
+    pub(super) fn record_request_step(&mut self, request: &OnlineRequest, step: DecisionStep) {
         let after = self.clock.now.since(request.arrived);
-        self.online.explanations.note(&request.call.id, after.0, step);
+        self.online.explanations.record_step(&request.call.id, after.0, step);
     }
 }
 
-/// A refusal of a request whose mark was not read: nothing is known of earlier submissions under its key.
+/// Adjusts a refusal issued before the request was marked: an earlier submission of a non-repeatable
+/// request with the same key may have run.
 pub(super) fn refusal_before_mark(call: &OnlineCall, refusal: Refusal) -> Refusal {
     if call.repeatable { refusal } else { refusal.with_ran(Ran::Unknown) }
 }
 
-/// What is known about whether a refused request ran.
-fn truth_of(request: &OnlineRequest, refusal: &Refusal) -> Ran {
+/// Returns whether a refused request ran, as far as this node can tell.
+fn ran_state(request: &OnlineRequest, refusal: &Refusal) -> Ran {
     match refusal.kind {
         ErrorKind::AlreadyRan => Ran::Ran,
         ErrorKind::OutcomeUnknown => Ran::Unknown,
--- a/crates/core/src/node/online_records.rs
+++ b/crates/core/src/node/online_records.rs
@@ -1,4 +1,4 @@
-//! The replicated records of online requests: marks of those that must run at most once, and sessions.
+//! Replicated records of online requests: marks, which ensure at-most-once execution, and sessions.
 
 use super::group_client::{GroupReply, Purpose};
 use super::machine::Node;
@@ -10,12 +10,12 @@
 use crate::node::partition::{Command, CommandOutcome, Query, QueryAnswer, SessionKey, SessionRecord, Settlement};
 use crate::time::Millis;
 
-/// How long the mark of a not-repeatable request may take.
+/// Timeout for replicating the mark of a non-repeatable request.
 const MARK_TIMEOUT: Millis = Millis(3_000);
-/// How long a session's record may take; after it the request is placed without.
-const SESSION_TIMEOUT: Millis = Millis(600);
-/// How long a settlement or a session's new record is tried.
-const BACKGROUND_TIMEOUT: Millis = Millis(15_000);
+/// Timeout for reading a session record, after which the request is routed without it.
+const SESSION_QUERY_TIMEOUT: Millis = Millis(600);
+/// Timeout for writing a settlement or a session record, which no caller waits for.
+const BACKGROUND_COMMAND_TIMEOUT: Millis = Millis(15_000);
 
 impl Node {
     pub(super) fn mark(&mut self, caller: CallerId) {
@@ -50,7 +50,7 @@
                     request.marked = true;
                     request.mark_confirmed = true;
                 }
-                self.note(caller, DecisionStep::Marked);
+                self.record_step(caller, DecisionStep::Marked);
                 self.find_session(caller);
             }
             GroupReply::Outcome(CommandOutcome::AlreadyMarked { settlement: Some(Settlement::Answered) }) => {
@@ -66,7 +66,7 @@
                 self.refuse_online(caller, Refusal::new(ErrorKind::KeyConflict, detail));
             }
             _ => {
-                // The mark may be replicated all the same; settling it lets a resend through.
+                // The mark may have been replicated anyway; settling it allows the caller to resend the request.
                 if let Some(request) = self.online.requests.get_mut(&caller) {
                     request.marked = true;
                 }
@@ -89,10 +89,10 @@
             at: self.clock.civil,
         };
         let group = group_of(&key.tenant, &key.key, self.directory.group_count());
-        self.command(group, command, Purpose::Settle(key), BACKGROUND_TIMEOUT);
+        self.command(group, command, Purpose::Settle(key), BACKGROUND_COMMAND_TIMEOUT);
     }
 
-    // The session's record.
+    // Session records.
 
     pub(super) fn find_session(&mut self, caller: CallerId) {
         let group_count = self.directory.group_count();
@@ -107,7 +107,7 @@
             return;
         }
         let group = group_of(&key.tenant, &key.session, group_count);
-        self.query(group, Query::Session { session: key }, Purpose::FindSession(caller), SESSION_TIMEOUT);
+        self.query(group, Query::Session { session: key }, Purpose::FindSession(caller), SESSION_QUERY_TIMEOUT);
     }
 
     pub(super) fn on_session_found(&mut self, caller: CallerId, reply: GroupReply) {
@@ -121,7 +121,7 @@
             }
             GroupReply::Answer(_) => self.place(caller),
             _ => {
-                self.note(caller, DecisionStep::SessionUnavailable);
+                self.record_step(caller, DecisionStep::SessionUnavailable);
                 self.place(caller);
             }
         }
@@ -132,11 +132,11 @@
         if let Some(request) = self.online.requests.get_mut(&caller) {
             request.session = Some(record);
         }
-        self.note(caller, step);
+        self.record_step(caller, step);
         self.place(caller);
     }
 
-    /// Replicates where a session lives, if that changed.
+    /// Replicates the session's engine if it changed.
     pub(super) fn record_session(&mut self, caller: CallerId, engine: &EngineName) {
         let at = self.clock.civil;
         let group_count = self.directory.group_count();
@@ -151,7 +151,7 @@
         request.session = Some(record.clone());
         let group = group_of(&key.tenant, &key.session, group_count);
         let command = Command::PlaceSession { session: key.clone(), record };
-        self.command(group, command, Purpose::PlaceSession(key), BACKGROUND_TIMEOUT);
+        self.command(group, command, Purpose::PlaceSession(key), BACKGROUND_COMMAND_TIMEOUT);
     }
 
     pub(super) fn on_session_placed(&mut self, session: SessionKey, reply: GroupReply) {
--- a/crates/core/src/node/routing/engine_table.rs
+++ b/crates/core/src/node/routing/engine_table.rs
@@ -9,11 +9,11 @@
 use crate::time::{Millis, Timestamp};
 
 /// Failures in a row before an engine is ejected.
-const FAILURES_TO_EJECT: u32 = 3;
+const EJECTION_FAILURE_THRESHOLD: u32 = 3;
 /// How long an engine is ejected. Doubles from the first value to the second.
-const EJECTION: Backoff = Backoff::new(Millis(2_000), Millis(30_000));
+const EJECTION_BACKOFF: Backoff = Backoff::new(Millis(2_000), Millis(30_000));
 /// A report older than this is not used.
-const REPORT_LIFETIME: Millis = Millis(3_000);
+const MAX_REPORT_AGE: Millis = Millis(3_000);
 
 /// An engine's incarnation is leaving. This only grows: an incarnation that leaves never returns.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -95,7 +95,7 @@
     /// or saw finished since.
     pub fn estimated_online(&self, now: Timestamp) -> u32 {
         match &self.report {
-            Some((at, report)) if now.since(*at) < REPORT_LIFETIME => {
+            Some((at, report)) if now.since(*at) < MAX_REPORT_AGE => {
                 let others = report.online().saturating_sub(self.own_online_at_report);
                 others + self.own_online
             }
@@ -148,7 +148,7 @@
     }
 
     /// Takes a load report. Returns a fact to spread if the engine newly says that it is leaving.
-    pub fn reported(&mut self, name: &EngineName, report: LoadReport, now: Timestamp) -> Option<LeavingFact> {
+    pub fn record_report(&mut self, name: &EngineName, report: LoadReport, now: Timestamp) -> Option<LeavingFact> {
         let state = self.engines.get_mut(name)?;
         if report.incarnation < state.incarnation {
             return None;
@@ -157,7 +157,7 @@
         state.incarnation = incarnation;
         state.own_online_at_report = state.own_online;
         state.report = Some((now, report));
-        if leaving { self.learn_leaving(&LeavingFact { engine: name.clone(), incarnation }) } else { None }
+        if leaving { self.record_leaving(&LeavingFact { engine: name.clone(), incarnation }) } else { None }
     }
 
     /// Notes what an engine has loaded, from its answer to an order.
@@ -169,14 +169,14 @@
     }
 
     /// Notes that an incarnation exists, from the machine list.
-    pub fn learn_incarnation(&mut self, name: &EngineName, incarnation: u64) {
+    pub fn record_incarnation(&mut self, name: &EngineName, incarnation: u64) {
         if let Some(state) = self.engines.get_mut(name) {
             state.incarnation = state.incarnation.max(incarnation);
         }
     }
 
     /// Learns that an engine is leaving. Returns the fact if it is new.
-    pub fn learn_leaving(&mut self, fact: &LeavingFact) -> Option<LeavingFact> {
+    pub fn record_leaving(&mut self, fact: &LeavingFact) -> Option<LeavingFact> {
         let is_new = self.leaving.get(&fact.engine).is_none_or(|known| *known < fact.incarnation);
         if !is_new {
             return None;
@@ -189,9 +189,9 @@
     }
 
     /// An engine refused work because it is leaving. Returns the fact if it is new.
-    pub fn refused_as_leaving(&mut self, name: &EngineName) -> Option<LeavingFact> {
+    pub fn record_leaving_refusal(&mut self, name: &EngineName) -> Option<LeavingFact> {
         let incarnation = self.engines.get(name)?.incarnation;
-        self.learn_leaving(&LeavingFact { engine: name.clone(), incarnation })
+        self.record_leaving(&LeavingFact { engine: name.clone(), incarnation })
     }
 
     /// All that is known of leaving engines.
@@ -216,10 +216,10 @@
     pub fn failed(&mut self, name: &EngineName, now: Timestamp) -> bool {
         let Some(state) = self.engines.get_mut(name) else { return false };
         state.failures += 1;
-        if state.failures < FAILURES_TO_EJECT {
+        if state.failures < EJECTION_FAILURE_THRESHOLD {
             return false;
         }
-        state.ejected_until = Some(now + EJECTION.wait(state.ejections));
+        state.ejected_until = Some(now + EJECTION_BACKOFF.wait(state.ejections));
         state.failures = 0;
         state.ejections += 1;
         true
--- a/crates/core/src/node/routing/prefix_index.rs
+++ b/crates/core/src/node/routing/prefix_index.rs
@@ -55,7 +55,7 @@
 struct EngineBlocks {
     blocks: BTreeSet<BlockHash>,
     next: u64,
-    trusted: bool,
+    in_sync: bool,
 }
 
 /// Which engines hold which prefixes.
@@ -67,37 +67,37 @@
 impl PrefixIndex {
     /// Takes events of an engine. Returns whether the engine is trusted after them.
     pub fn record(&mut self, engine: &EngineName, batch: &CacheEventBatch) -> bool {
-        let held = self.engines.entry(engine.clone()).or_default();
+        let cache = self.engines.entry(engine.clone()).or_default();
         if batch.is_snapshot {
-            held.blocks.clear();
-            held.trusted = true;
-        } else if batch.first > held.next {
-            held.trusted = false;
+            cache.blocks.clear();
+            cache.in_sync = true;
+        } else if batch.first > cache.next {
+            cache.in_sync = false;
         }
-        let known = held.next.saturating_sub(batch.first) as usize;
-        let skip = if batch.is_snapshot { 0 } else { known };
+        let already_applied = cache.next.saturating_sub(batch.first) as usize;
+        let skip = if batch.is_snapshot { 0 } else { already_applied };
         for event in batch.events.iter().skip(skip) {
             match event {
-                CacheEvent::Stored(block) => held.blocks.insert(*block),
-                CacheEvent::Removed(block) => held.blocks.remove(block),
+                CacheEvent::Stored(block) => cache.blocks.insert(*block),
+                CacheEvent::Removed(block) => cache.blocks.remove(block),
             };
         }
-        while held.blocks.len() > MAX_BLOCKS_PER_ENGINE {
-            held.blocks.pop_first();
+        while cache.blocks.len() > MAX_BLOCKS_PER_ENGINE {
+            cache.blocks.pop_first();
         }
-        held.next = held.next.max(batch.first + batch.events.len() as u64);
-        held.trusted
+        cache.next = cache.next.max(batch.first + batch.events.len() as u64);
+        cache.in_sync
     }
 
     /// The sequence number of the next event wanted of an engine, or `None` if its whole state is.
-    pub fn wanted(&self, engine: &EngineName) -> Option<u64> {
-        self.engines.get(engine).filter(|held| held.trusted).map(|held| held.next)
+    pub fn next_wanted(&self, engine: &EngineName) -> Option<u64> {
+        self.engines.get(engine).filter(|cache| cache.in_sync).map(|cache| cache.next)
     }
 
     /// How many leading blocks of a prompt an engine holds. A distrusted engine holds none.
     pub fn overlap(&self, engine: &EngineName, blocks: &[BlockHash]) -> usize {
-        let Some(held) = self.engines.get(engine).filter(|held| held.trusted) else { return 0 };
-        blocks.iter().take_while(|block| held.blocks.contains(block)).count()
+        let Some(cache) = self.engines.get(engine).filter(|cache| cache.in_sync) else { return 0 };
+        blocks.iter().take_while(|block| cache.blocks.contains(block)).count()
     }
 
     /// Forgets an engine, because it started anew.
--- a/crates/core/src/node/routing/selector.rs
+++ b/crates/core/src/node/routing/selector.rs
@@ -16,7 +16,7 @@
 /// How many candidates rendezvous hashing gives for an affinity.
 const AFFINITY_CANDIDATES: usize = 3;
 /// A candidate is busy once its online load passes this share of its slots.
-const BUSY_SHARE: f64 = 0.5;
+const BUSY_LOAD_FRACTION: f64 = 0.5;
 /// The `Retry-After` for a full fleet, in milliseconds.
 const OVERLOAD_RETRY_MS: u64 = 500;
 
@@ -91,33 +91,33 @@
     if usable.is_empty() {
         return Err(RoutingRefusal::NoEngine);
     }
-    let mut chooser = Chooser { index, demand, now, considered: Vec::new() };
-    let taken = chooser
+    let mut selector = EngineSelector { index, demand, now, considered: Vec::new() };
+    let taken = selector
         .session_engine(&usable)
-        .or_else(|| chooser.affinity_engine(&usable))
-        .or_else(|| chooser.least_loaded(&usable));
+        .or_else(|| selector.affinity_engine(&usable))
+        .or_else(|| selector.least_loaded(&usable));
     match taken {
-        Some(engine) => Ok(Selection { engine, considered: chooser.considered }),
+        Some(engine) => Ok(Selection { engine, considered: selector.considered }),
         None => Err(RoutingRefusal::Overloaded { retry_after_ms: OVERLOAD_RETRY_MS }),
     }
 }
 
-struct Chooser<'a> {
+struct EngineSelector<'a> {
     index: &'a PrefixIndex,
     demand: &'a OnlineDemand<'a>,
     now: Timestamp,
     considered: Vec<Candidate>,
 }
 
-impl Chooser<'_> {
+impl EngineSelector<'_> {
     /// The session's own engine, while it has a slot for the request.
     fn session_engine(&mut self, usable: &[(&EngineName, &EngineState)]) -> Option<EngineName> {
-        let wanted = self.demand.session_engine?;
-        let (name, state) = usable.iter().find(|(name, _)| *name == wanted)?;
-        let has_room = state.estimated_online(self.now) < state.slots();
-        let reason = if has_room { "taken: holds the session" } else { "holds the session but is full" };
+        let session_engine = self.demand.session_engine?;
+        let (name, state) = usable.iter().find(|(name, _)| *name == session_engine)?;
+        let has_capacity = state.estimated_online(self.now) < state.slots();
+        let reason = if has_capacity { "taken: holds the session" } else { "holds the session but is full" };
         self.consider(name, state, reason);
-        has_room.then(|| (*name).clone())
+        has_capacity.then(|| (*name).clone())
     }
 
     /// The candidate with the longest cached prefix that is not busy.
@@ -130,7 +130,7 @@
         );
         let mut best: Option<(usize, EngineName)> = None;
         for (name, state) in candidates {
-            let busy = f64::from(state.estimated_online(self.now)) >= BUSY_SHARE * f64::from(state.slots());
+            let busy = f64::from(state.estimated_online(self.now)) >= BUSY_LOAD_FRACTION * f64::from(state.slots());
             let overlap = self.index.overlap(name, self.demand.blocks);
             self.consider(name, state, if busy { "affinity candidate but busy" } else { "affinity candidate" });
             if !busy && best.as_ref().is_none_or(|(longest, _)| overlap > *longest) {
@@ -150,10 +150,10 @@
             let right_key = (load(right), &*right.configured.zone != zone);
             left_key.partial_cmp(&right_key).unwrap_or(std::cmp::Ordering::Equal)
         })?;
-        let has_room = load(state) < 1.0 + self.demand.service.online_queue;
-        let reason = if has_room { "taken: least loaded" } else { "least loaded but its queue is full" };
+        let has_capacity = load(state) < 1.0 + self.demand.service.online_queue;
+        let reason = if has_capacity { "taken: least loaded" } else { "least loaded but its queue is full" };
         self.consider(name, state, reason);
-        has_room.then(|| (*name).clone())
+        has_capacity.then(|| (*name).clone())
     }
 
     fn consider(&mut self, name: &EngineName, state: &EngineState, reason: &'static str) {
--- a/crates/core/src/node/scheduling/dispatcher.rs
+++ b/crates/core/src/node/scheduling/dispatcher.rs
@@ -56,13 +56,13 @@
 
 /// The part of an answer that an item keeps between attempts.
 #[derive(Clone, Debug, Default)]
-struct Partial {
+struct PartialAnswer {
     text: String,
     tokens: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Wait {
+struct RetryDelay {
     failures: u32,
     until: Timestamp,
 }
@@ -79,8 +79,8 @@
     streams: BTreeMap<AttemptId, BatchStream>,
     by_engine: BTreeMap<EngineName, BTreeSet<AttemptId>>,
     in_flight: BTreeSet<ItemKey>,
-    partials: BTreeMap<ItemKey, Partial>,
-    waits: BTreeMap<ItemKey, Wait>,
+    partials: BTreeMap<ItemKey, PartialAnswer>,
+    retry_delays: BTreeMap<ItemKey, RetryDelay>,
     /// Items whose result is proposed and not yet committed.
     proposed: BTreeSet<ItemKey>,
     /// The first item of a job that was never started.
@@ -178,7 +178,7 @@
 
     fn first_ready_retry(&self, job: JobId, now: Timestamp) -> Option<u32> {
         let waiting = self.retries.get(&job)?;
-        let is_ready = |item: &&u32| self.waits.get(&(job, **item)).is_none_or(|wait| now >= wait.until);
+        let is_ready = |item: &&u32| self.retry_delays.get(&(job, **item)).is_none_or(|delay| now >= delay.until);
         waiting.iter().find(is_ready).copied()
     }
 
@@ -193,7 +193,7 @@
     }
 
     /// Puts an item back that could not be started.
-    pub fn put_back(&mut self, job: JobId, item: u32) {
+    pub fn requeue(&mut self, job: JobId, item: u32) {
         self.retries.entry(job).or_default().insert(item);
     }
 
@@ -208,7 +208,7 @@
         now: Timestamp,
     ) -> u32 {
         let key = (job, item);
-        let Partial { text, tokens } = self.partials.remove(&key).unwrap_or_default();
+        let PartialAnswer { text, tokens } = self.partials.remove(&key).unwrap_or_default();
         self.in_flight.insert(key);
         self.usage.started(&tenant);
         self.by_engine.entry(engine.clone()).or_default().insert(attempt);
@@ -234,9 +234,9 @@
                 self.proposed.insert(key);
             }
             StreamEnd::Abandoned => {}
-            StreamEnd::Paused => self.keep_partial(key, &stream),
+            StreamEnd::Paused => self.store_partial(key, &stream),
             StreamEnd::Failed => {
-                self.keep_partial(key, &stream);
+                self.store_partial(key, &stream);
                 self.back_off(key, now);
             }
         }
@@ -246,13 +246,13 @@
     /// A result was committed, or will never be.
     pub fn settled(&mut self, job: JobId, item: u32) {
         self.proposed.remove(&(job, item));
-        self.waits.remove(&(job, item));
+        self.retry_delays.remove(&(job, item));
     }
 
     /// A result's proposal was lost: the item needs another attempt.
     pub fn proposal_lost(&mut self, job: JobId, item: u32) {
         if self.proposed.remove(&(job, item)) {
-            self.put_back(job, item);
+            self.requeue(job, item);
         }
     }
 
@@ -261,7 +261,7 @@
         self.cursors.remove(&job);
         self.retries.remove(&job);
         self.partials.retain(|(other, _), _| *other != job);
-        self.waits.retain(|(other, _), _| *other != job);
+        self.retry_delays.retain(|(other, _), _| *other != job);
         self.proposed.retain(|(other, _)| *other != job);
         let of_job = self.streams.iter().filter(|(_, stream)| stream.job == job);
         of_job.map(|(attempt, _)| *attempt).collect()
@@ -278,14 +278,14 @@
         self.in_flight.len() + self.proposed.len()
     }
 
-    fn keep_partial(&mut self, key: ItemKey, stream: &BatchStream) {
-        self.partials.insert(key, Partial { text: stream.text.clone(), tokens: stream.tokens });
-        self.put_back(key.0, key.1);
+    fn store_partial(&mut self, key: ItemKey, stream: &BatchStream) {
+        self.partials.insert(key, PartialAnswer { text: stream.text.clone(), tokens: stream.tokens });
+        self.requeue(key.0, key.1);
     }
 
     fn back_off(&mut self, key: ItemKey, now: Timestamp) {
-        let failures = self.waits.get(&key).map_or(0, |wait| wait.failures) + 1;
+        let failures = self.retry_delays.get(&key).map_or(0, |delay| delay.failures) + 1;
         let until = now + ITEM_BACKOFF.wait(failures - 1);
-        self.waits.insert(key, Wait { failures, until });
+        self.retry_delays.insert(key, RetryDelay { failures, until });
     }
 }
--- a/crates/core/src/node/scheduling/fairness.rs
+++ b/crates/core/src/node/scheduling/fairness.rs
@@ -6,7 +6,7 @@
 use crate::time::UnixMillis;
 
 /// A job whose deadline is nearer than this goes before all that have more time.
-const URGENT_MS: u64 = 600_000;
+const URGENT_WINDOW_MS: u64 = 600_000;
 
 /// Where a job stands in the order; lower goes first.
 #[derive(Clone, Debug, PartialEq, PartialOrd)]
@@ -43,7 +43,7 @@
 
     /// Where a job of `tenant` stands.
     pub fn rank(&self, tenant: &Arc<str>, weight: u32, deadline: UnixMillis, civil: UnixMillis) -> JobRank {
-        let is_urgent = deadline.0 < civil.0.saturating_add(URGENT_MS);
+        let is_urgent = deadline.0 < civil.0.saturating_add(URGENT_WINDOW_MS);
         let streams = self.streams.get(tenant).copied().unwrap_or(0);
         JobRank {
             urgency: if is_urgent { deadline.0 } else { u64::MAX },
--- a/crates/core/src/node/scheduling/mod.rs
+++ b/crates/core/src/node/scheduling/mod.rs
@@ -15,4 +15,4 @@
 
 pub use dispatcher::{BatchDispatcher, BatchStream, EngineLimit, StreamEnd};
 pub use fairness::{JobRank, TenantUsage};
-pub use steward::{BatchAsk, BatchGrant, GRANT_LIFETIME, Steward, StewardSettings};
+pub use steward::{BatchGrant, BatchRequest, GRANT_LIFETIME, Steward, StewardSettings};
--- a/crates/core/src/node/scheduling/steward.rs
+++ b/crates/core/src/node/scheduling/steward.rs
@@ -8,7 +8,7 @@
 /// How long a granted limit holds.
 pub const GRANT_LIFETIME: Millis = Millis(1_500);
 /// A node that reports nothing for this long is taken to have nothing at the engine.
-const NOTICE_LIFETIME: Millis = Millis(5_000);
+const ONLINE_NOTICE_LIFETIME: Millis = Millis(5_000);
 
 /// What a steward goes by.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -21,9 +21,9 @@
 
 /// What a leader asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BatchAsk {
+pub struct BatchRequest {
     /// How many streams it would like to have there in all.
-    pub want: u32,
+    pub wanted_streams: u32,
     /// When it asked.
     pub at: Timestamp,
 }
@@ -47,13 +47,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Steward {
     online: BTreeMap<NodeId, OnlineNotice>,
-    asks: BTreeMap<NodeId, BatchAsk>,
+    requests: BTreeMap<NodeId, BatchRequest>,
     granted: BTreeMap<NodeId, u32>,
 }
 
 impl Steward {
     /// A node reports how many online requests it has at the engine.
-    pub fn online_notice(&mut self, node: NodeId, in_flight: u32, now: Timestamp) {
+    pub fn record_online_notice(&mut self, node: NodeId, in_flight: u32, now: Timestamp) {
         if in_flight == 0 {
             self.online.remove(&node);
         } else {
@@ -62,12 +62,12 @@
     }
 
     /// A leader asks for room.
-    pub fn ask(&mut self, holder: NodeId, want: u32, now: Timestamp) {
-        if want == 0 {
-            self.asks.remove(&holder);
+    pub fn record_request(&mut self, holder: NodeId, wanted_streams: u32, now: Timestamp) {
+        if wanted_streams == 0 {
+            self.requests.remove(&holder);
             self.granted.remove(&holder);
         } else {
-            self.asks.insert(holder, BatchAsk { want, at: now });
+            self.requests.insert(holder, BatchRequest { wanted_streams, at: now });
         }
     }
 
@@ -78,10 +78,10 @@
 
     /// Forgets those who fell silent.
     pub fn expire(&mut self, now: Timestamp) {
-        self.online.retain(|_, notice| now.since(notice.at) < NOTICE_LIFETIME);
-        self.asks.retain(|_, ask| now.since(ask.at) < GRANT_LIFETIME);
-        let asks = &self.asks;
-        self.granted.retain(|holder, _| asks.contains_key(holder));
+        self.online.retain(|_, notice| now.since(notice.at) < ONLINE_NOTICE_LIFETIME);
+        self.requests.retain(|_, request| now.since(request.at) < GRANT_LIFETIME);
+        let requests = &self.requests;
+        self.granted.retain(|holder, _| requests.contains_key(holder));
     }
 
     /// Streams that batch may have at the engine in all.
@@ -92,28 +92,29 @@
 
     /// Divides the capacity: everyone gets an equal share, and what one doesn't want goes to the others.
     pub fn divide(&self, settings: StewardSettings) -> Vec<BatchGrant> {
-        let mut left = self.batch_capacity(settings);
-        let mut asks: Vec<(u32, NodeId)> = self.asks.iter().map(|(holder, ask)| (ask.want, *holder)).collect();
-        asks.sort_unstable();
+        let mut remaining = self.batch_capacity(settings);
+        let mut requests: Vec<(u32, NodeId)> =
+            self.requests.iter().map(|(holder, request)| (request.wanted_streams, *holder)).collect();
+        requests.sort_unstable();
         let mut grants = Vec::new();
-        let count = asks.len();
-        for (place, (want, holder)) in asks.into_iter().enumerate() {
-            let waiting = (count - place) as u32;
-            let share = left.div_ceil(waiting);
-            let limit = want.min(share).min(left);
-            left -= limit;
+        let count = requests.len();
+        for (index, (wanted_streams, holder)) in requests.into_iter().enumerate() {
+            let waiting = (count - index) as u32;
+            let share = remaining.div_ceil(waiting);
+            let limit = wanted_streams.min(share).min(remaining);
+            remaining -= limit;
             grants.push(BatchGrant { holder, limit });
         }
         grants
     }
 
     /// Divides anew and returns the limits that are lower than what their holder was last granted.
-    pub fn recalls(&mut self, settings: StewardSettings) -> Vec<BatchGrant> {
+    pub fn lowered_limits(&mut self, settings: StewardSettings) -> Vec<BatchGrant> {
         self.regrant(settings, |limit, granted| limit < granted)
     }
 
     /// Divides anew and returns all limits that differ from what their holder was last granted.
-    pub fn changes(&mut self, settings: StewardSettings) -> Vec<BatchGrant> {
+    pub fn changed_limits(&mut self, settings: StewardSettings) -> Vec<BatchGrant> {
         self.regrant(settings, |limit, granted| limit != granted)
     }
 
--- a/crates/core/src/node/status_flow.rs
+++ b/crates/core/src/node/status_flow.rs
@@ -13,18 +13,18 @@
 use crate::time::{Millis, Timestamp};
 
 /// How long a fleet status waits for silent nodes.
-const STATUS_TIMEOUT: Millis = Millis(1_000);
+const FLEET_STATUS_TIMEOUT: Millis = Millis(1_000);
 
 /// A fleet status that waits for answers.
 pub(super) struct StatusGathering {
     waiting: BTreeSet<NodeId>,
-    gathered: Vec<NodeStatus>,
+    collected: Vec<NodeStatus>,
     deadline: Timestamp,
 }
 
 impl Node {
     /// Whether a fleet status is being gathered.
-    pub(super) fn gathers_status(&self) -> bool {
+    pub(super) fn has_pending_fleet_status(&self) -> bool {
         !self.status_gatherings.is_empty()
     }
 
@@ -56,8 +56,8 @@
         }
         let gathering = StatusGathering {
             waiting: others,
-            gathered: vec![self.status()],
-            deadline: self.clock.now + STATUS_TIMEOUT,
+            collected: vec![self.status()],
+            deadline: self.clock.now + FLEET_STATUS_TIMEOUT,
         };
         self.status_gatherings.insert(caller, gathering);
         self.finish_status_gatherings();
@@ -68,7 +68,7 @@
             let answered = gathering.waiting.iter().find(|id| id.to_string() == status.node).copied();
             if let Some(id) = answered {
                 gathering.waiting.remove(&id);
-                gathering.gathered.push(status);
+                gathering.collected.push(status);
             }
         }
         self.finish_status_gatherings();
@@ -85,7 +85,7 @@
         for caller in done {
             let Some(gathering) = self.status_gatherings.remove(&caller) else { continue };
             let silent = gathering.waiting.iter().map(NodeId::to_string).collect();
-            let mut nodes = gathering.gathered;
+            let mut nodes = gathering.collected;
             nodes.sort_by(|left, right| left.node.cmp(&right.node));
             self.answer(caller, CallerAnswer::FleetStatus(FleetStatus { nodes, silent }));
         }
--- a/crates/core/src/node/steward_flow.rs
+++ b/crates/core/src/node/steward_flow.rs
@@ -7,14 +7,14 @@
 use crate::time::Millis;
 
 /// Online notices are repeated this often while there is anything to report.
-const NOTICE_INTERVAL: Millis = Millis(1_500);
+const ONLINE_NOTICE_INTERVAL: Millis = Millis(1_500);
 
 impl Node {
-    pub(super) fn on_batch_ask(&mut self, engine: &EngineName, from: NodeId, want: u32) {
+    pub(super) fn on_batch_ask(&mut self, engine: &EngineName, from: NodeId, wanted_streams: u32) {
         let now = self.clock.now;
         let Some(settings) = self.steward_settings(engine) else { return };
         let steward = self.stewards.entry(engine.clone()).or_default();
-        steward.ask(from, want, now);
+        steward.record_request(from, wanted_streams, now);
         let limit = steward.grant(from, settings);
         self.send_grant(engine, from, limit);
     }
@@ -23,10 +23,10 @@
         let now = self.clock.now;
         let Some(settings) = self.steward_settings(engine) else { return };
         let steward = self.stewards.entry(engine.clone()).or_default();
-        steward.online_notice(from, in_flight, now);
-        let recalls = steward.recalls(settings);
-        for recall in recalls {
-            self.send_grant(engine, recall.holder, recall.limit);
+        steward.record_online_notice(from, in_flight, now);
+        let lowered_limits = steward.lowered_limits(settings);
+        for lowered in lowered_limits {
+            self.send_grant(engine, lowered.holder, lowered.limit);
         }
     }
 
@@ -38,9 +38,9 @@
             let Some(steward) = self.stewards.get_mut(&engine) else { continue };
             steward.expire(now);
             // Limits are lowered at once where they must be; they are raised at the next tick.
-            let changes = settings.map(|settings| steward.changes(settings)).unwrap_or_default();
-            for change in changes {
-                self.send_grant(&engine, change.holder, change.limit);
+            let changed_limits = settings.map(|settings| steward.changed_limits(settings)).unwrap_or_default();
+            for changed in changed_limits {
+                self.send_grant(&engine, changed.holder, changed.limit);
             }
         }
     }
@@ -63,7 +63,7 @@
     pub(super) fn flush_notices(&mut self) {
         let now = self.clock.now;
         if now >= self.batch.next_notice {
-            self.batch.next_notice = now + NOTICE_INTERVAL;
+            self.batch.next_notice = now + ONLINE_NOTICE_INTERVAL;
             let busy = self.engines.iter().filter(|(_, state)| state.own_online > 0);
             let busy: Vec<EngineName> = busy.map(|(name, _)| name.clone()).collect();
             self.batch.notices_due.extend(busy);
