--- a/crates/core/src/node/engines_flow.rs
+++ b/crates/core/src/node/engines_flow.rs
@@ -1,4 +1,4 @@
-//! Polling engines and the machine list, and spreading what leaves.
+//! Polls engines and the machine list, and disseminates engine departures.
 
 use std::collections::BTreeMap;
 
@@ -12,25 +12,24 @@
 use crate::peer_message::PeerMessage;
 use crate::time::{Millis, Timestamp};
 
-/// Up to this many engines every node polls many of them.
+/// Maximum number of engines in a small fleet.
 const MAX_SMALL_FLEET_ENGINES: usize = 48;
-/// Most engines that one node of a small fleet polls besides those it is steward of.
+/// Maximum number of engines polled by a node of a small fleet, besides those it is steward of.
 const MAX_POLLED_IN_SMALL_FLEET: usize = 24;
-/// The same in a large fleet, where polls would otherwise be most of what a node sends.
+/// The same limit in a large fleet, where polls would otherwise dominate a node's traffic.
 const MAX_POLLED_IN_LARGE_FLEET: usize = 8;
-/// In a large fleet polls are this many times as far apart.
+/// Factor by which the poll interval is extended in a large fleet.
 const LARGE_FLEET_INTERVAL_FACTOR: u64 = 2;
-/// How many nodes read the machine list.
+/// Number of nodes that read the machine list.
 const MACHINE_LIST_READERS: usize = 3;
-/// To how many nodes a fact is passed on by each that learns it.
+/// Number of nodes to which each node forwards a new fact.
 const LEAVING_FANOUT: usize = 4;
-/// Time between the first polls of two engines next to each other in the list, so that the polls of one node spread
-/// over the interval.
+/// Offset between the first polls of consecutive engines, which spreads a node's polls over the interval.
 const POLL_STAGGER: Millis = Millis(37);
-/// Time between two reminders, each of which gives all leaving facts to one random node.
+/// Interval at which all leaving facts are sent to one random node.
 const LEAVING_SYNC_INTERVAL: Millis = Millis(5_000);
 
-/// When engines and machines are polled next.
+/// Schedule of engine and machine list polls, and the prefix index they maintain.
 pub(super) struct EnginePolls {
     due: BTreeMap<EngineName, Timestamp>,
     next_machine_poll: Timestamp,
@@ -82,8 +81,8 @@
         Millis(self.settings.engine_poll.0 * factor)
     }
 
-    /// All engines where they are few, else a part that differs from node to node; and always those
-    /// that this node is steward of.
+    /// Selects all engines of a fleet with few engines, otherwise a subset that differs between nodes, and
+    /// always the engines that this node is steward of.
     fn select_polled_engines(&mut self) {
         let now = self.clock.now;
         let key = hash_parts(&[b"poll", &self.settings.id.0.to_le_bytes()]);
@@ -102,7 +101,7 @@
         }
     }
 
-    /// Polls every engine once, for the holder of the control lease.
+    /// Polls each engine that is not polled regularly once, for the holder of the control lease.
     pub(super) fn poll_all_engines(&mut self) {
         let polled: Vec<EngineName> = self.polls.due.keys().cloned().collect();
         let others = self.engines.iter().filter(|(name, _)| !polled.contains(name));
@@ -171,7 +170,7 @@
         self.disseminate_leaving(new_fact.into_iter().collect());
     }
 
-    /// Passes new facts on to a few nodes, each of which does the same.
+    /// Forwards new facts to a few random nodes, each of which does the same.
     fn disseminate_leaving(&mut self, facts: Vec<LeavingFact>) {
         if facts.is_empty() {
             return;
--- a/crates/core/src/node/routing/engine_table.rs
+++ b/crates/core/src/node/routing/engine_table.rs
@@ -1,4 +1,4 @@
-//! Every configured engine with what this node knows of it.
+//! State of the configured engines, as seen by this node.
 
 use std::collections::BTreeMap;
 
@@ -8,48 +8,48 @@
 use crate::node::configuration::fleet::{Engine, FleetConfiguration};
 use crate::time::{Millis, Timestamp};
 
-/// Failures in a row before an engine is ejected.
+/// Number of consecutive failures after which an engine is ejected.
 const EJECTION_FAILURE_THRESHOLD: u32 = 3;
-/// How long an engine is ejected. Doubles from the first value to the second.
+/// Duration of an ejection, which doubles with each one up to the maximum.
 const EJECTION_BACKOFF: Backoff = Backoff::new(Millis(2_000), Millis(30_000));
-/// A report older than this is not used.
+/// Load reports older than this are ignored.
 const MAX_REPORT_AGE: Millis = Millis(3_000);
 
-/// An engine's incarnation is leaving. This only grows: an incarnation that leaves never returns.
+/// States that an engine incarnation is leaving. This is permanent: an incarnation that leaves never returns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeavingFact {
-    /// The engine.
+    /// Name of the engine.
     pub engine: EngineName,
-    /// All incarnations up to this one are leaving.
+    /// Latest leaving incarnation; all earlier ones are leaving too.
     pub incarnation: u64,
 }
 
-/// What this node knows of one engine.
+/// State of one engine, as seen by this node.
 #[derive(Clone, Debug)]
 pub struct EngineState {
-    /// What the operators' files say.
+    /// Configuration of the engine.
     pub configured: Engine,
-    /// The latest incarnation reported.
+    /// Latest known incarnation.
     pub incarnation: u64,
-    /// Incarnations up to this one are leaving.
+    /// Latest incarnation known to be leaving; all earlier ones are leaving too.
     pub leaving_up_to: Option<u64>,
-    /// The latest report and when it came.
+    /// Latest load report and the time it was received.
     pub report: Option<(Timestamp, LoadReport)>,
-    /// Online requests that this node has there.
+    /// Number of online requests of this node in flight at the engine.
     pub own_online: u32,
-    /// What `own_online` was when the latest report came.
+    /// Value of `own_online` when the latest report was received.
     own_online_at_report: u32,
     failures: u32,
     ejections: u32,
     ejected_until: Option<Timestamp>,
 }
 
-/// Every configured engine.
+/// The configured engines, ordered by name.
 #[derive(Clone, Debug, Default)]
 pub struct EngineTable {
     engines: BTreeMap<EngineName, EngineState>,
-    /// Incarnations up to these are leaving. Kept apart, since a report of an engine may come before the
-    /// configuration that names it.
+    /// Latest leaving incarnation by engine. Stored separately because an engine's departure may be reported
+    /// before the configuration that contains the engine arrives.
     leaving: BTreeMap<EngineName, u64>,
 }
 
@@ -68,22 +68,23 @@
         }
     }
 
-    /// Whether the engine's present incarnation is leaving.
+    /// Returns whether the engine's current incarnation is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving_up_to.is_some_and(|incarnation| incarnation >= self.incarnation)
     }
 
-    /// Whether the engine is ejected for its failures.
+    /// Returns whether the engine is ejected because of failures.
     pub fn is_ejected(&self, now: Timestamp) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the engine may be given new work.
+    /// Returns whether the engine may be given new work: it is neither leaving nor ejected.
     pub fn is_usable(&self, now: Timestamp) -> bool {
         !self.is_leaving() && !self.is_ejected(now)
     }
 
-    /// Sequences the engine decodes at once.
+    /// Returns the number of sequences the engine decodes concurrently: the reported number if there is one,
+    /// else the configured one.
     pub fn slots(&self) -> u32 {
         match &self.report {
             Some((_, report)) if report.slots > 0 => report.slots,
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Online sequences believed to be there: those reported, corrected by what this node itself sent
-    /// or saw finished since.
+    /// Estimates the number of online sequences at the engine: the reported number, adjusted for requests
+    /// that this node has started or finished since the report.
     pub fn estimated_online(&self, now: Timestamp) -> u32 {
         match &self.report {
             Some((at, report)) if now.since(*at) < MAX_REPORT_AGE => {
@@ -105,7 +106,7 @@
 }
 
 impl EngineTable {
-    /// Takes a new configuration. What is known of engines that stay is kept.
+    /// Applies a new configuration, preserving the state of engines that remain configured.
     pub fn configure(&mut self, fleet: &FleetConfiguration) {
         let mut earlier = std::mem::take(&mut self.engines);
         for (name, engine) in &fleet.engines {
@@ -118,36 +119,37 @@
         }
     }
 
-    /// One engine.
+    /// Returns the state of an engine, if it is configured.
     pub fn get(&self, name: &EngineName) -> Option<&EngineState> {
         self.engines.get(name)
     }
 
-    /// All engines, in order of name.
+    /// Returns an iterator over all engines, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&EngineName, &EngineState)> {
         self.engines.iter()
     }
 
-    /// Engines of a service, in order of name.
+    /// Returns an iterator over the engines of a service, ordered by name.
     pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = (&'a EngineName, &'a EngineState)> {
         self.engines.iter().filter(move |(_, state)| &*state.configured.service == service)
     }
 
-    /// Notes that an online request was sent.
+    /// Records that an online request was sent to the engine.
     pub fn online_started(&mut self, name: &EngineName) {
         if let Some(state) = self.engines.get_mut(name) {
             state.own_online += 1;
         }
     }
 
-    /// Notes that an online request is there no more.
+    /// Records that an online request is no longer in flight at the engine.
     pub fn online_ended(&mut self, name: &EngineName) {
         if let Some(state) = self.engines.get_mut(name) {
             state.own_online = state.own_online.saturating_sub(1);
         }
     }
 
-    /// Takes a load report. Returns a fact to spread if the engine newly says that it is leaving.
+    /// Records a load report. Returns a fact to disseminate if the report is the first to state that the
+    /// engine is leaving.
     pub fn record_report(&mut self, name: &EngineName, report: LoadReport, now: Timestamp) -> Option<LeavingFact> {
         let state = self.engines.get_mut(name)?;
         if report.incarnation < state.incarnation {
@@ -160,7 +162,7 @@
         if leaving { self.record_leaving(&LeavingFact { engine: name.clone(), incarnation }) } else { None }
     }
 
-    /// Notes what an engine has loaded, from its answer to an order.
+    /// Updates the engine's loaded models from its response to an order.
     pub fn note_loaded(&mut self, name: &EngineName, loaded: Vec<String>) {
         let state = self.engines.get_mut(name);
         if let Some((_, report)) = state.and_then(|state| state.report.as_mut()) {
@@ -168,14 +170,14 @@
         }
     }
 
-    /// Notes that an incarnation exists, from the machine list.
+    /// Records an incarnation found in the machine list.
     pub fn record_incarnation(&mut self, name: &EngineName, incarnation: u64) {
         if let Some(state) = self.engines.get_mut(name) {
             state.incarnation = state.incarnation.max(incarnation);
         }
     }
 
-    /// Learns that an engine is leaving. Returns the fact if it is new.
+    /// Records that an engine is leaving. Returns the fact if it is new.
     pub fn record_leaving(&mut self, fact: &LeavingFact) -> Option<LeavingFact> {
         let is_new = self.leaving.get(&fact.engine).is_none_or(|known| *known < fact.incarnation);
         if !is_new {
@@ -188,13 +190,13 @@
         Some(fact.clone())
     }
 
-    /// An engine refused work because it is leaving. Returns the fact if it is new.
+    /// Records that an engine refused work because it is leaving. Returns the fact if it is new.
     pub fn record_leaving_refusal(&mut self, name: &EngineName) -> Option<LeavingFact> {
         let incarnation = self.engines.get(name)?.incarnation;
         self.record_leaving(&LeavingFact { engine: name.clone(), incarnation })
     }
 
-    /// All that is known of leaving engines.
+    /// Returns all known facts about leaving engines.
     pub fn leaving_facts(&self) -> Vec<LeavingFact> {
         let fact_of = |(engine, incarnation): (&EngineName, &u64)| LeavingFact {
             engine: engine.clone(),
@@ -203,7 +205,7 @@
         self.leaving.iter().map(fact_of).collect()
     }
 
-    /// Notes a whole answer.
+    /// Records a successful attempt, which resets the failure and ejection counts.
     pub fn succeeded(&mut self, name: &EngineName) {
         if let Some(state) = self.engines.get_mut(name) {
             state.failures = 0;
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Notes a failure. Returns whether this ejects the engine.
+    /// Records a failed attempt. Returns whether it caused the engine to be ejected.
     pub fn failed(&mut self, name: &EngineName, now: Timestamp) -> bool {
         let Some(state) = self.engines.get_mut(name) else { return false };
         state.failures += 1;
--- a/crates/core/src/node/routing/load.rs
+++ b/crates/core/src/node/routing/load.rs
@@ -1,28 +1,28 @@
-//! What an engine reports of its load.
+//! Load reports of engines.
 
-/// What an engine reports of its load. It lags behind the truth.
+/// Load reported by an engine. It may lag behind the actual load.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Raised with each start of the engine.
+    /// Incarnation number, which increases with each start of the engine.
     pub incarnation: u64,
-    /// Sequences it can decode at once.
+    /// Number of sequences the engine can decode concurrently.
     pub slots: u32,
-    /// Online sequences that run.
+    /// Number of running online sequences.
     pub running_online: u32,
-    /// Batch sequences that run.
+    /// Number of running batch sequences.
     pub running_batch: u32,
-    /// Online sequences that wait.
+    /// Number of queued online sequences.
     pub queued_online: u32,
-    /// Batch sequences that wait.
+    /// Number of queued batch sequences.
     pub queued_batch: u32,
-    /// The engine takes no new work.
+    /// Whether the engine is shutting down and accepts no new work.
     pub leaving: bool,
-    /// Model versions it has loaded, as `model@version`.
+    /// Loaded model versions, as `model@version`.
     pub loaded: Vec<String>,
 }
 
 impl LoadReport {
-    /// Online sequences that run or wait.
+    /// Returns the number of running and queued online sequences.
     pub fn online(&self) -> u32 {
         self.running_online + self.queued_online
     }
--- a/crates/core/src/node/routing/mod.rs
+++ b/crates/core/src/node/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Engines as this node sees them, and which one serves a request.
+//! Engine state and engine selection for online requests.
 
 mod engine_table;
 mod load;
--- a/crates/core/src/node/routing/prefix_index.rs
+++ b/crates/core/src/node/routing/prefix_index.rs
@@ -1,45 +1,46 @@
-//! Which engines hold which prompt prefixes in their KV cache.
+//! Index of the prompt prefixes in the engines' KV caches.
 //!
-//! Engines publish cache events late and with gaps. An engine whose events have a gap is distrusted:
-//! what the index holds of it counts for nothing until the engine has sent its whole state again.
+//! Cache events may arrive late and with gaps. After a gap, the entries of that engine are ignored until
+//! it sends a snapshot of its cache.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::hashing::hash_parts;
 use crate::identity::EngineName;
 
-/// Bytes of prompt text in one block.
+/// Size of a prompt block in bytes.
 pub const BLOCK_BYTES: usize = 64;
-/// Most blocks of a prompt that are looked at.
+/// Maximum number of blocks of a prompt that are hashed.
 const MAX_BLOCKS: usize = 64;
-/// Most blocks remembered for one engine; the oldest hashes are not known, so any may go.
+/// Maximum number of blocks tracked per engine. Insertion order is not tracked, so the lowest hashes are
+/// evicted first.
 const MAX_BLOCKS_PER_ENGINE: usize = 65_536;
 
-/// Names a prefix: the hash of a block and of all before it.
+/// Identifies a prompt prefix: the hash of a block and all preceding blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BlockHash(pub u64);
 
-/// One change of an engine's cache.
+/// A change to an engine's KV cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheEvent {
-    /// A prefix is cached.
+    /// A prefix was cached.
     Stored(BlockHash),
     /// A prefix was evicted.
     Removed(BlockHash),
 }
 
-/// Events of one engine, in order.
+/// Consecutive cache events of one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheEventBatch {
-    /// The sequence number of the first event.
+    /// Sequence number of the first event.
     pub first: u64,
-    /// The events.
+    /// Events in order.
     pub events: Vec<CacheEvent>,
-    /// The events are the engine's whole state rather than changes to it.
+    /// Whether the events describe the complete cache rather than changes to it.
     pub is_snapshot: bool,
 }
 
-/// The block hashes of a prompt, shortest prefix first.
+/// Returns the block hashes of a prompt, shortest prefix first.
 pub fn prompt_blocks(model: &str, prompt: &str) -> Vec<BlockHash> {
     let mut hash = hash_parts(&[model.as_bytes()]);
     let blocks = prompt.as_bytes().chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS);
@@ -58,14 +59,15 @@
     in_sync: bool,
 }
 
-/// Which engines hold which prefixes.
+/// Cached prefixes by engine.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
     engines: BTreeMap<EngineName, EngineBlocks>,
 }
 
 impl PrefixIndex {
-    /// Takes events of an engine. Returns whether the engine is trusted after them.
+    /// Applies a batch of events, skipping those already applied. Returns whether the index is in sync with
+    /// the engine afterwards.
     pub fn record(&mut self, engine: &EngineName, batch: &CacheEventBatch) -> bool {
         let cache = self.engines.entry(engine.clone()).or_default();
         if batch.is_snapshot {
@@ -89,18 +91,20 @@
         cache.in_sync
     }
 
-    /// The sequence number of the next event wanted of an engine, or `None` if its whole state is.
+    /// Returns the sequence number of the next event to request from an engine, or `None` if a snapshot is
+    /// needed.
     pub fn next_wanted(&self, engine: &EngineName) -> Option<u64> {
         self.engines.get(engine).filter(|cache| cache.in_sync).map(|cache| cache.next)
     }
 
-    /// How many leading blocks of a prompt an engine holds. A distrusted engine holds none.
+    /// Returns the number of leading blocks of a prompt cached by an engine, or zero if the index is out of
+    /// sync with it.
     pub fn overlap(&self, engine: &EngineName, blocks: &[BlockHash]) -> usize {
         let Some(cache) = self.engines.get(engine).filter(|cache| cache.in_sync) else { return 0 };
         blocks.iter().take_while(|block| cache.blocks.contains(block)).count()
     }
 
-    /// Forgets an engine, because it started anew.
+    /// Removes the entries of an engine that has restarted.
     pub fn forget(&mut self, engine: &EngineName) {
         self.engines.remove(engine);
     }
--- a/crates/core/src/node/routing/selector.rs
+++ b/crates/core/src/node/routing/selector.rs
@@ -1,8 +1,8 @@
-//! Which engine serves an online request.
+//! Engine selection for online requests.
 //!
-//! A session stays on its engine while that engine has room, because its KV cache is there. Otherwise
-//! the engine with the longest cached prefix among a few candidates is taken, the candidates being the
-//! same for equal prompts (rendezvous hashing); and if they are busy, the least loaded of all.
+//! A session stays on the engine that has its KV cache while that engine has capacity. Otherwise
+//! rendezvous hashing yields a few candidates, the same for equal prompts, and the one with the longest
+//! cached prefix is selected. If all candidates are busy, the least loaded engine is selected.
 
 use std::collections::BTreeSet;
 
@@ -13,71 +13,71 @@
 use crate::node::configuration::fleet::Service;
 use crate::time::Timestamp;
 
-/// How many candidates rendezvous hashing gives for an affinity.
+/// Number of candidates selected by rendezvous hashing.
 const AFFINITY_CANDIDATES: usize = 3;
-/// A candidate is busy once its online load passes this share of its slots.
+/// Fraction of its slots occupied by online requests at which a candidate is considered busy.
 const BUSY_LOAD_FRACTION: f64 = 0.5;
-/// The `Retry-After` for a full fleet, in milliseconds.
+/// `Retry-After` returned when all engines are full.
 const OVERLOAD_RETRY_MS: u64 = 500;
 
-/// What a request asks of routing.
+/// Inputs of engine selection for a request.
 #[derive(Clone, Debug)]
 pub struct OnlineDemand<'a> {
-    /// The service that offers the model.
+    /// Service that serves the model.
     pub service: &'a Service,
     /// Requests with the same affinity prefer the same engines.
     pub affinity: u64,
-    /// The prompt's blocks.
+    /// Block hashes of the prompt.
     pub blocks: &'a [BlockHash],
-    /// The engine that holds the session.
+    /// Engine of the request's session, if it has one.
     pub session_engine: Option<&'a EngineName>,
-    /// Engines that failed this request before.
+    /// Engines on which an earlier attempt of the request failed.
     pub excluded: &'a BTreeSet<EngineName>,
-    /// The caller's nearest zone, which is this node's.
+    /// Zone of this node, preferred among equally loaded engines.
     pub zone: &'a str,
 }
 
-/// An engine that was considered, for the explanation.
+/// An engine considered during selection, recorded for the explanation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The engine.
+    /// Name of the engine.
     pub engine: EngineName,
-    /// Online sequences believed to be there.
+    /// Estimated number of online sequences at the engine.
     pub online: u32,
-    /// Its slots.
+    /// Number of sequences the engine decodes concurrently.
     pub slots: u32,
-    /// Leading blocks of the prompt believed to be cached there.
+    /// Number of leading prompt blocks that are cached according to the prefix index.
     pub cached_blocks: usize,
-    /// Why it was taken or not.
+    /// Why the engine was or was not selected.
     pub reason: &'static str,
 }
 
-/// The engine taken, and those considered.
+/// Result of engine selection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Selection {
-    /// The engine taken.
+    /// Selected engine.
     pub engine: EngineName,
-    /// Those considered.
+    /// Engines considered, in order.
     pub considered: Vec<Candidate>,
 }
 
-/// Why no engine was taken.
+/// Reason that no engine was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutingRefusal {
     /// No engine of the service is usable.
     NoEngine,
-    /// Every usable engine is full and its queue too.
+    /// The slots and queues of all usable engines are full.
     Overloaded {
-        /// When to retry, in milliseconds from now.
+        /// Delay in milliseconds before a retry is worthwhile.
         retry_after_ms: u64,
     },
 }
 
-/// Chooses an engine for an online request.
+/// Selects an engine for an online request.
 ///
 /// # Errors
 ///
-/// The refusal, if no usable engine has room.
+/// Returns a [`RoutingRefusal`] if no engine is usable or all usable engines are full.
 pub fn select_online(
     table: &EngineTable,
     index: &PrefixIndex,
@@ -110,7 +110,7 @@
 }
 
 impl EngineSelector<'_> {
-    /// The session's own engine, while it has a slot for the request.
+    /// Returns the engine of the session if it has a free slot.
     fn session_engine(&mut self, usable: &[(&EngineName, &EngineState)]) -> Option<EngineName> {
         let session_engine = self.demand.session_engine?;
         let (name, state) = usable.iter().find(|(name, _)| *name == session_engine)?;
@@ -120,7 +120,7 @@
         has_capacity.then(|| (*name).clone())
     }
 
-    /// The candidate with the longest cached prefix that is not busy.
+    /// Returns the affinity candidate with the longest cached prefix, skipping busy ones.
     fn affinity_engine(&mut self, usable: &[(&EngineName, &EngineState)]) -> Option<EngineName> {
         let candidates = rendezvous(
             self.demand.affinity,
@@ -140,7 +140,8 @@
         best.map(|(_, engine)| engine)
     }
 
-    /// The engine with the lowest online load for its slots; among equals one of this zone.
+    /// Returns the engine with the lowest ratio of online load to slots, preferring the local zone on ties,
+    /// unless its queue is full.
     fn least_loaded(&mut self, usable: &[(&EngineName, &EngineState)]) -> Option<EngineName> {
         let now = self.now;
         let zone = self.demand.zone;
--- a/crates/core/src/node/scheduling/dispatcher.rs
+++ b/crates/core/src/node/scheduling/dispatcher.rs
@@ -1,4 +1,4 @@
-//! What a node that leads groups keeps of its batch streams and of the limits it was granted.
+//! Tracks the batch streams of a node and the limits granted to it by stewards.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,53 +8,53 @@
 use crate::identity::{AttemptId, EngineName, JobId};
 use crate::time::{Millis, Timestamp};
 
-/// How long an item waits after a failure.
+/// Delay before a failed item is retried.
 const ITEM_BACKOFF: Backoff = Backoff::new(Millis(200), Millis(10_000));
 
-/// A limit that a steward granted.
+/// A limit granted by a steward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLimit {
-    /// Most batch streams there.
+    /// Maximum number of batch streams at the engine.
     pub limit: u32,
-    /// Until when the limit allows new streams.
+    /// Time at which the grant expires and no new streams may start.
     pub until: Timestamp,
 }
 
-/// One batch item that runs on an engine.
+/// A batch item running on an engine.
 #[derive(Clone, Debug)]
 pub struct BatchStream {
-    /// The job.
+    /// ID of the job.
     pub job: JobId,
-    /// The item's place.
+    /// Index of the item in the job.
     pub item: u32,
-    /// Whose job it is.
+    /// Tenant that owns the job.
     pub tenant: Arc<str>,
-    /// The engine.
+    /// Engine that runs the item.
     pub engine: EngineName,
-    /// The answer so far.
+    /// Text received so far, including that of earlier attempts.
     pub text: String,
-    /// Tokens received so far, those of earlier attempts included.
+    /// Number of tokens received so far, including those of earlier attempts.
     pub tokens: u32,
-    /// When this attempt started.
+    /// Start time of this attempt.
     pub started: Timestamp,
-    /// When the latest piece came.
+    /// Time at which the latest chunk was received.
     pub last_piece: Timestamp,
 }
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// The answer is whole.
+    /// The answer is complete.
     Whole,
-    /// It was paused to make room, and resumes from where it was.
+    /// The stream was paused to free capacity and will resume after the last token received.
     Paused,
-    /// It failed; the item waits a little before its next attempt.
+    /// The stream failed; the item is retried after a backoff delay.
     Failed,
-    /// It is not wanted any more.
+    /// The result is no longer needed.
     Abandoned,
 }
 
-/// The part of an answer that an item keeps between attempts.
+/// Partial answer of an item, retained between attempts.
 #[derive(Clone, Debug, Default)]
 struct PartialAnswer {
     text: String,
@@ -67,37 +67,36 @@
     until: Timestamp,
 }
 
-/// An item's name.
 type ItemKey = (JobId, u32);
 
-/// Batch streams of one node.
+/// Batch streams of a node, the limits they run under, and the items awaiting another attempt.
 #[derive(Clone, Debug, Default)]
 pub struct BatchDispatcher {
     limits: BTreeMap<EngineName, EngineLimit>,
-    /// No stream starts at an engine before this.
+    /// Earliest time at which the next stream may start, by engine.
     next_start: BTreeMap<EngineName, Timestamp>,
     streams: BTreeMap<AttemptId, BatchStream>,
     by_engine: BTreeMap<EngineName, BTreeSet<AttemptId>>,
     in_flight: BTreeSet<ItemKey>,
     partials: BTreeMap<ItemKey, PartialAnswer>,
     retry_delays: BTreeMap<ItemKey, RetryDelay>,
-    /// Items whose result is proposed and not yet committed.
+    /// Items whose result is proposed but not yet committed.
     proposed: BTreeSet<ItemKey>,
-    /// The first item of a job that was never started.
+    /// Index of the first item that was never started, by job.
     cursors: BTreeMap<JobId, u32>,
-    /// Started items below the cursor that need another attempt.
+    /// Items below the cursor that need another attempt, by job.
     retries: BTreeMap<JobId, BTreeSet<u32>>,
-    /// Streams by tenant.
+    /// Number of streams by tenant, used to rank jobs.
     pub usage: TenantUsage,
 }
 
 impl BatchDispatcher {
-    /// Takes a limit.
+    /// Records a limit granted for an engine.
     pub fn granted(&mut self, engine: EngineName, limit: EngineLimit) {
         self.limits.insert(engine, limit);
     }
 
-    /// How many more streams may start at an engine.
+    /// Returns the number of additional streams that may start at an engine.
     pub fn room(&self, engine: &EngineName, now: Timestamp) -> u32 {
         let Some(limit) = self.limits.get(engine) else { return 0 };
         if now >= limit.until {
@@ -106,43 +105,44 @@
         limit.limit.saturating_sub(self.streams_at(engine) as u32)
     }
 
-    /// Notes a start, and when the next may be.
+    /// Delays the next start at an engine by `interval`.
     pub fn pace(&mut self, engine: &EngineName, interval: Millis, now: Timestamp) {
         self.next_start.insert(engine.clone(), now + interval);
     }
 
-    /// Engines with room for more streams.
+    /// Returns the engines at which a stream may start now.
     pub fn engines_with_room(&self, now: Timestamp) -> Vec<EngineName> {
         let is_due = |engine: &&EngineName| self.next_start.get(*engine).is_none_or(|at| now >= *at);
         self.limits.keys().filter(is_due).filter(|engine| self.room(engine, now) > 0).cloned().collect()
     }
 
-    /// Streams at an engine.
+    /// Returns the number of streams at an engine.
     pub fn streams_at(&self, engine: &EngineName) -> usize {
         self.by_engine.get(engine).map_or(0, BTreeSet::len)
     }
 
-    /// Engines where this node has streams.
+    /// Returns an iterator over the engines at which this node has streams.
     pub fn engines_in_use(&self) -> impl Iterator<Item = &EngineName> {
         self.by_engine.keys()
     }
 
-    /// All streams.
+    /// Returns an iterator over all streams.
     pub fn streams(&self) -> impl Iterator<Item = (AttemptId, &BatchStream)> {
         self.streams.iter().map(|(attempt, stream)| (*attempt, stream))
     }
 
-    /// One stream.
+    /// Returns the stream of an attempt.
     pub fn stream_mut(&mut self, attempt: AttemptId) -> Option<&mut BatchStream> {
         self.streams.get_mut(&attempt)
     }
 
-    /// Whether an attempt is one of this node's batch streams.
+    /// Returns whether an attempt is an active batch stream.
     pub fn contains(&self, attempt: AttemptId) -> bool {
         self.streams.contains_key(&attempt)
     }
 
-    /// Streams above an engine's limit: the ones with the fewest tokens, so that the least is set back.
+    /// Returns the streams that exceed an engine's limit. Those with the fewest tokens are selected, since
+    /// they lose the least progress.
     pub fn excess(&self, engine: &EngineName) -> Vec<AttemptId> {
         let limit = self.limits.get(engine).map_or(0, |limit| limit.limit) as usize;
         let mut attempts: Vec<(u32, AttemptId)> = self
@@ -157,7 +157,7 @@
         attempts.into_iter().take(count).map(|(_, attempt)| attempt).collect()
     }
 
-    /// The item of a job to start next, given the job's size.
+    /// Returns the next item of a job to start; retries take precedence over items never started.
     pub fn next_item(&mut self, job: JobId, item_count: u32, now: Timestamp) -> Option<u32> {
         if let Some(item) = self.next_retry(job, now) {
             return Some(item);
@@ -170,7 +170,7 @@
         Some(*cursor - 1)
     }
 
-    /// Whether a job has an item that could start now.
+    /// Returns whether a job has an item that can start now.
     pub fn has_startable(&self, job: JobId, item_count: u32, now: Timestamp) -> bool {
         let fresh = self.cursors.get(&job).copied().unwrap_or(0) < item_count;
         fresh || self.first_ready_retry(job, now).is_some()
@@ -192,12 +192,12 @@
         Some(item)
     }
 
-    /// Puts an item back that could not be started.
+    /// Queues an item for another attempt.
     pub fn requeue(&mut self, job: JobId, item: u32) {
         self.retries.entry(job).or_default().insert(item);
     }
 
-    /// Starts a stream. Returns the token to resume from.
+    /// Registers a stream. Returns the index of the token to resume from.
     pub fn started(
         &mut self,
         attempt: AttemptId,
@@ -217,7 +217,7 @@
         tokens
     }
 
-    /// Ends a stream and files what is left of its item.
+    /// Removes a stream and updates the state of its item according to how the stream ended.
     pub fn ended(&mut self, attempt: AttemptId, end: StreamEnd, now: Timestamp) -> Option<BatchStream> {
         let stream = self.streams.remove(&attempt)?;
         let key = (stream.job, stream.item);
@@ -243,20 +243,20 @@
         Some(stream)
     }
 
-    /// A result was committed, or will never be.
+    /// Records that the result of an item was committed or is no longer needed.
     pub fn settled(&mut self, job: JobId, item: u32) {
         self.proposed.remove(&(job, item));
         self.retry_delays.remove(&(job, item));
     }
 
-    /// A result's proposal was lost: the item needs another attempt.
+    /// Queues an item for another attempt after the proposal of its result was lost.
     pub fn proposal_lost(&mut self, job: JobId, item: u32) {
         if self.proposed.remove(&(job, item)) {
             self.requeue(job, item);
         }
     }
 
-    /// Drops everything about a job and returns its streams.
+    /// Drops the queued state of a job and returns its active streams, which the caller must end.
     pub fn forget_job(&mut self, job: JobId) -> Vec<AttemptId> {
         self.cursors.remove(&job);
         self.retries.remove(&job);
@@ -267,13 +267,13 @@
         of_job.map(|(attempt, _)| *attempt).collect()
     }
 
-    /// Jobs that this dispatcher holds anything of.
+    /// Returns the jobs that have started items.
     pub fn known_jobs(&self) -> BTreeSet<JobId> {
         let streams = self.streams.values().map(|stream| stream.job);
         self.cursors.keys().copied().chain(streams).collect()
     }
 
-    /// Items that run or wait for their result to be committed.
+    /// Returns the number of items that are running or whose result is not yet committed.
     pub fn in_progress(&self) -> usize {
         self.in_flight.len() + self.proposed.len()
     }
--- a/crates/core/src/node/scheduling/fairness.rs
+++ b/crates/core/src/node/scheduling/fairness.rs
@@ -1,37 +1,37 @@
-//! The order among jobs: those that may come late first, then fair shares by tenant.
+//! Ranking of batch jobs: urgent jobs first, then weighted fair sharing among tenants.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use crate::time::UnixMillis;
 
-/// A job whose deadline is nearer than this goes before all that have more time.
+/// Jobs whose deadline is closer than this are urgent.
 const URGENT_WINDOW_MS: u64 = 600_000;
 
-/// Where a job stands in the order; lower goes first.
+/// Rank of a job; jobs with lower ranks are scheduled first.
 #[derive(Clone, Debug, PartialEq, PartialOrd)]
 pub struct JobRank {
-    /// Urgent jobs by deadline; the others share rank `u64::MAX`.
+    /// Deadline of an urgent job; `u64::MAX` for others.
     urgency: u64,
-    /// Streams that the tenant has, for its weight.
+    /// Number of streams of the tenant divided by its weight.
     usage: f64,
-    /// Earlier deadlines first.
+    /// Deadline in Unix milliseconds, used as the tie-breaker.
     deadline: u64,
 }
 
-/// Streams in flight by tenant.
+/// Number of streams in flight by tenant.
 #[derive(Clone, Debug, Default)]
 pub struct TenantUsage {
     streams: BTreeMap<Arc<str>, u32>,
 }
 
 impl TenantUsage {
-    /// Counts a stream.
+    /// Increments the stream count of a tenant.
     pub fn started(&mut self, tenant: &Arc<str>) {
         *self.streams.entry(tenant.clone()).or_default() += 1;
     }
 
-    /// Counts a stream off.
+    /// Decrements the stream count of a tenant.
     pub fn ended(&mut self, tenant: &Arc<str>) {
         if let Some(count) = self.streams.get_mut(tenant) {
             *count -= 1;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Where a job of `tenant` stands.
+    /// Returns the rank of a job of `tenant` with the given deadline, at the civil time `civil`.
     pub fn rank(&self, tenant: &Arc<str>, weight: u32, deadline: UnixMillis, civil: UnixMillis) -> JobRank {
         let is_urgent = deadline.0 < civil.0.saturating_add(URGENT_WINDOW_MS);
         let streams = self.streams.get(tenant).copied().unwrap_or(0);
--- a/crates/core/src/node/scheduling/mod.rs
+++ b/crates/core/src/node/scheduling/mod.rs
@@ -1,13 +1,13 @@
-//! When batch runs and when it steps aside.
+//! Batch scheduling in capacity left over by online requests.
 //!
-//! Each engine has one steward, the node that rendezvous hashing gives among those present. Nodes
-//! report to the steward at once when an online request starts or ends at its engine; leaders of groups with
-//! queued items ask it for room. The steward answers with a limit: how many batch streams the asker
-//! may have there for the next moment. When online requests arrive it lowers the limits at once, and
-//! the holders pause streams above them, to resume later from where they were.
+//! Each engine has one steward, chosen by rendezvous hashing among the present nodes. Nodes notify the
+//! steward immediately when an online request starts or ends at its engine; leaders of groups with
+//! queued items request batch capacity from it. The steward responds with a limit: the number of batch
+//! streams the requesting node may run there for a short time. When online requests arrive, the steward
+//! lowers the limits immediately, and the nodes pause excess streams and resume them later.
 //!
-//! A limit is a lease. Stewards that disagree for a moment cost throughput or a little tail, never
-//! correctness: results are committed by the partition, whoever ran the item.
+//! A limit is a lease. Nodes that temporarily disagree about the steward affect only throughput and tail
+//! latency, not correctness: results are committed by the partition regardless of which node ran the item.
 
 mod dispatcher;
 mod fairness;
--- a/crates/core/src/node/scheduling/steward.rs
+++ b/crates/core/src/node/scheduling/steward.rs
@@ -1,39 +1,39 @@
-//! The steward of one engine: it divides what online leaves free.
+//! The steward of an engine, which divides the capacity not used by online requests among nodes.
 
 use std::collections::BTreeMap;
 
 use crate::identity::NodeId;
 use crate::time::{Millis, Timestamp};
 
-/// How long a granted limit holds.
+/// Validity of a granted limit.
 pub const GRANT_LIFETIME: Millis = Millis(1_500);
-/// A node that reports nothing for this long is taken to have nothing at the engine.
+/// Time after which a node that has sent no notice is assumed to have no online requests at the engine.
 const ONLINE_NOTICE_LIFETIME: Millis = Millis(5_000);
 
-/// What a steward goes by.
+/// Inputs for dividing an engine's capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StewardSettings {
-    /// Sequences that the engine decodes at once.
+    /// Number of sequences the engine decodes concurrently.
     pub slots: u32,
-    /// The share of the slots that batch leaves free.
+    /// Fraction of the slots reserved for online requests.
     pub online_headroom: f64,
 }
 
-/// What a leader asks.
+/// A group leader's request for batch capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchRequest {
-    /// How many streams it would like to have there in all.
+    /// Total number of streams requested at the engine.
     pub wanted_streams: u32,
-    /// When it asked.
+    /// Time at which the request was received.
     pub at: Timestamp,
 }
 
-/// A limit for one holder.
+/// A limit granted to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchGrant {
-    /// The holder.
+    /// Node that holds the grant.
     pub holder: NodeId,
-    /// Most batch streams it may have at the engine.
+    /// Maximum number of batch streams it may run at the engine.
     pub limit: u32,
 }
 
@@ -43,7 +43,7 @@
     at: Timestamp,
 }
 
-/// The steward of one engine.
+/// Online load, batch requests and grants of one engine, by node.
 #[derive(Clone, Debug, Default)]
 pub struct Steward {
     online: BTreeMap<NodeId, OnlineNotice>,
@@ -52,7 +52,7 @@
 }
 
 impl Steward {
-    /// A node reports how many online requests it has at the engine.
+    /// Records the number of online requests a node has in flight at the engine.
     pub fn record_online_notice(&mut self, node: NodeId, in_flight: u32, now: Timestamp) {
         if in_flight == 0 {
             self.online.remove(&node);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A leader asks for room.
+    /// Records a request for batch capacity; zero withdraws the holder's request and grant.
     pub fn record_request(&mut self, holder: NodeId, wanted_streams: u32, now: Timestamp) {
         if wanted_streams == 0 {
             self.requests.remove(&holder);
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Online requests at the engine, as reported by the nodes.
+    /// Returns the number of online requests in flight at the engine, as reported by the nodes.
     pub fn online_in_flight(&self) -> u32 {
         self.online.values().map(|notice| notice.in_flight).sum()
     }
 
-    /// Forgets those who fell silent.
+    /// Removes expired notices and requests, and the grants of nodes without a request.
     pub fn expire(&mut self, now: Timestamp) {
         self.online.retain(|_, notice| now.since(notice.at) < ONLINE_NOTICE_LIFETIME);
         self.requests.retain(|_, request| now.since(request.at) < GRANT_LIFETIME);
@@ -84,13 +84,14 @@
         self.granted.retain(|holder, _| requests.contains_key(holder));
     }
 
-    /// Streams that batch may have at the engine in all.
+    /// Returns the total number of batch streams that may run at the engine.
     pub fn batch_capacity(&self, settings: StewardSettings) -> u32 {
         let headroom = (f64::from(settings.slots) * settings.online_headroom).ceil() as u32;
         settings.slots.saturating_sub(headroom).saturating_sub(self.online_in_flight())
     }
 
-    /// Divides the capacity: everyone gets an equal share, and what one doesn't want goes to the others.
+    /// Divides the batch capacity using max-min fairness: capacity that a node does not request is shared
+    /// among the others.
     pub fn divide(&self, settings: StewardSettings) -> Vec<BatchGrant> {
         let mut remaining = self.batch_capacity(settings);
         let mut requests: Vec<(u32, NodeId)> =
@@ -108,12 +109,12 @@
         grants
     }
 
-    /// Divides anew and returns the limits that are lower than what their holder was last granted.
+    /// Recomputes the limits and returns those that are lower than the holder's last grant.
     pub fn lowered_limits(&mut self, settings: StewardSettings) -> Vec<BatchGrant> {
         self.regrant(settings, |limit, granted| limit < granted)
     }
 
-    /// Divides anew and returns all limits that differ from what their holder was last granted.
+    /// Recomputes the limits and returns those that differ from the holder's last grant.
     pub fn changed_limits(&mut self, settings: StewardSettings) -> Vec<BatchGrant> {
         self.regrant(settings, |limit, granted| limit != granted)
     }
@@ -127,7 +128,7 @@
         grants
     }
 
-    /// The limit to grant one holder now.
+    /// Recomputes the limits, then records and returns the one of `holder`.
     pub fn grant(&mut self, holder: NodeId, settings: StewardSettings) -> u32 {
         let limit = self.divide(settings).iter().find(|grant| grant.holder == holder).map_or(0, |grant| grant.limit);
         self.granted.insert(holder, limit);
--- a/crates/core/src/node/settings.rs
+++ b/crates/core/src/node/settings.rs
@@ -1,4 +1,4 @@
-//! The settings a node starts with.
+//! Startup settings of a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,45 +8,45 @@
 use crate::replication::ReplicaSettings;
 use crate::time::Millis;
 
-/// The settings a node starts with.
+/// Settings of a [`Node`](super::Node), fixed at startup.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// Its identity: from its disk, or drawn.
+    /// Node ID, read from disk or generated at random.
     pub id: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: Arc<str>,
-    /// Where it takes messages of other nodes.
+    /// Address on which the node receives messages from peers.
     pub peer_address: SocketAddr,
-    /// Where it serves callers and operators.
+    /// Address on which the node serves callers and operators.
     pub caller_address: SocketAddr,
-    /// Addresses of nodes that may be up.
+    /// Peer addresses contacted to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Whether it has a data folder.
+    /// Whether the node has a data directory and hosts replicas.
     pub stores: bool,
-    /// How many storing nodes must be present before groups are founded.
+    /// Number of storage nodes that must be present before groups are bootstrapped.
     pub founding_stores: usize,
-    /// Membership times.
+    /// Membership protocol settings.
     pub membership: MembershipSettings,
-    /// Replication times.
+    /// Replication settings.
     pub replication: ReplicaSettings,
-    /// Time between two reads of the configuration by a watching node.
+    /// Interval at which a watching node reads the configuration.
     pub configuration_poll: Millis,
-    /// Time between two load polls of an engine.
+    /// Interval between load polls of an engine.
     pub engine_poll: Millis,
-    /// Time between two reads of the machine list by a watching node.
+    /// Interval at which a watching node reads the machine list.
     pub machine_poll: Millis,
-    /// A log is compacted once it holds this many bytes.
+    /// Log size in bytes at which a log is compacted.
     pub compact_bytes: usize,
-    /// How long a planned stop waits for requests in hand.
+    /// Maximum time that a graceful shutdown waits for requests in progress.
     pub stop_timeout: Millis,
-    /// Most online requests in hand.
+    /// Maximum number of online requests in progress.
     pub online_requests: usize,
-    /// Most calls a second to the key-value service.
+    /// Maximum rate of calls to the key-value service, in calls per second.
     pub key_value_rate: f64,
 }
 
 impl NodeSettings {
-    /// Settings with the usual times and limits.
+    /// Returns settings with default timeouts and limits, no seeds, and no storage.
     pub fn new(id: NodeId, zone: &str, peer_address: SocketAddr, caller_address: SocketAddr) -> Self {
         Self {
             id,
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -1,89 +1,89 @@
-//! How a node is, as operators see it.
+//! Node and fleet status, as reported to operators.
 
 use serde::{Deserialize, Serialize};
 
-/// How a node is.
+/// Status of a node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// The node.
+    /// Node ID.
     pub node: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Where it serves callers.
+    /// Address on which the node serves callers.
     pub caller_address: String,
-    /// Whether it stores replicas.
+    /// Whether the node is a storage node.
     pub stores: bool,
-    /// Whether it takes requests.
+    /// Whether the node is ready to accept requests.
     pub ready: bool,
-    /// Whether a planned stop is under way.
+    /// Whether a graceful shutdown is in progress.
     pub stopping: bool,
-    /// The configuration revision in force; 0 for none.
+    /// Active configuration revision, or 0 if there is none.
     pub configuration_revision: u64,
-    /// A digest of that configuration.
+    /// Hexadecimal digest of the active configuration.
     pub configuration_digest: String,
-    /// Members that this node holds to be present.
+    /// Number of members that this node considers present.
     pub members_present: usize,
-    /// Online requests in hand.
+    /// Number of online requests in progress.
     pub online_requests: usize,
-    /// Batch streams in hand.
+    /// Number of active batch streams.
     pub batch_streams: usize,
-    /// The replicas that this node hosts.
+    /// Replicas hosted by this node.
     pub groups: Vec<GroupStatus>,
-    /// Counters since the node's start.
+    /// Counters of the node.
     pub counters: NodeCounters,
 }
 
-/// Counters since the node's start.
+/// Counters since the node started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeCounters {
-    /// Online requests taken in.
+    /// Online requests admitted.
     pub online_admitted: u64,
-    /// Online requests answered whole.
+    /// Online requests answered completely.
     pub online_answered: u64,
     /// Online requests refused.
     pub online_refused: u64,
-    /// Attempts beyond the first.
+    /// Retries of online requests.
     pub retries: u64,
-    /// Pieces that were late, crossed or doubled, and dropped.
+    /// Chunks dropped because they were late, duplicated, out of sequence, or of another attempt.
     pub pieces_dropped: u64,
     /// Batch streams started.
     pub batch_started: u64,
     /// Batch results committed.
     pub batch_completed: u64,
-    /// Second results of items, dropped.
+    /// Duplicate batch results dropped.
     pub batch_results_dropped: u64,
-    /// Batch streams paused for online requests.
+    /// Batch streams paused to free capacity for online requests.
     pub batch_paused: u64,
-    /// Messages of peers that were refused.
+    /// Peer messages rejected.
     pub messages_refused: u64,
-    /// Calls to the key-value service that gave no answer.
+    /// Failed calls to the key-value service.
     pub key_value_failures: u64,
 }
 
-/// How a replica is.
+/// Status of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupStatus {
-    /// The group.
+    /// Group number.
     pub group: u32,
-    /// Whether this replica leads.
+    /// Whether this replica is the leader.
     pub leads: bool,
-    /// The term.
+    /// Current term.
     pub term: u64,
-    /// How far it has committed.
+    /// Commit index.
     pub commit: u64,
-    /// Whether this replica leads and all members hold all that is applied.
+    /// Whether this replica is the leader and all members have replicated every applied entry.
     pub caught_up: bool,
-    /// Voters.
+    /// IDs of the voting members.
     pub voters: Vec<String>,
-    /// Learners.
+    /// IDs of the non-voting members.
     pub learners: Vec<String>,
 }
 
-/// How all nodes are.
+/// Status of all nodes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// The nodes that answered.
+    /// Status of each node that responded.
     pub nodes: Vec<NodeStatus>,
-    /// Present members that did not answer in time.
+    /// IDs of present members that did not respond in time.
     pub silent: Vec<String>,
 }
--- a/crates/core/src/node/status_flow.rs
+++ b/crates/core/src/node/status_flow.rs
@@ -1,7 +1,8 @@
-//! How this node is, and how the fleet is: a fleet status asks every present node and answers once all
-//! have replied or the wait is over.
+//! Node and fleet status. A fleet status queries every present node and is returned when all have
+//! responded or the timeout has elapsed.
 //!
-//! Owns the gatherings under way. Relies on the membership for whom to ask.
+//! This module owns the fleet status requests in progress; the membership determines which nodes are
+//! queried.
 
 use std::collections::BTreeSet;
 
@@ -12,10 +13,10 @@
 use crate::peer_message::PeerMessage;
 use crate::time::{Millis, Timestamp};
 
-/// How long a fleet status waits for silent nodes.
+/// Time that a fleet status waits for unresponsive nodes.
 const FLEET_STATUS_TIMEOUT: Millis = Millis(1_000);
 
-/// A fleet status that waits for answers.
+/// A fleet status request awaiting responses.
 pub(super) struct StatusGathering {
     waiting: BTreeSet<NodeId>,
     collected: Vec<NodeStatus>,
@@ -23,12 +24,12 @@
 }
 
 impl Node {
-    /// Whether a fleet status is being gathered.
+    /// Returns whether a fleet status request is in progress.
     pub(super) fn has_pending_fleet_status(&self) -> bool {
         !self.status_gatherings.is_empty()
     }
 
-    /// How this node is.
+    /// Returns the status of this node.
     pub fn status(&self) -> NodeStatus {
         NodeStatus {
             node: self.settings.id.to_string(),
--- a/crates/core/src/node/steward_flow.rs
+++ b/crates/core/src/node/steward_flow.rs
@@ -1,4 +1,4 @@
-//! Being the steward of engines: dividing what online leaves free.
+//! Steward duties: dividing the engine capacity not used by online requests, and notifying stewards.
 
 use super::machine::Node;
 use crate::identity::{EngineName, NodeId};
@@ -6,7 +6,7 @@
 use crate::peer_message::{CreditMessage, PeerMessage};
 use crate::time::Millis;
 
-/// Online notices are repeated this often while there is anything to report.
+/// Interval at which notices are repeated for engines with online requests in flight.
 const ONLINE_NOTICE_INTERVAL: Millis = Millis(1_500);
 
 impl Node {
@@ -37,7 +37,7 @@
             let settings = self.steward_settings(&engine);
             let Some(steward) = self.stewards.get_mut(&engine) else { continue };
             steward.expire(now);
-            // Limits are lowered at once where they must be; they are raised at the next tick.
+            // Online notices lower limits immediately; limits are raised only here.
             let changed_limits = settings.map(|settings| steward.changed_limits(settings)).unwrap_or_default();
             for changed in changed_limits {
                 self.send_grant(&engine, changed.holder, changed.limit);
@@ -50,7 +50,7 @@
         self.send(holder, PeerMessage::Credit(message));
     }
 
-    /// What the steward of an engine goes by. A leaving engine has no slots to share out.
+    /// Returns the inputs for dividing an engine's capacity. An unusable engine has no slots.
     fn steward_settings(&self, engine: &EngineName) -> Option<StewardSettings> {
         let state = self.engines.get(engine)?;
         let fleet = self.configuration.in_force()?.fleet.clone();
@@ -59,7 +59,8 @@
         Some(StewardSettings { slots, online_headroom: service.online_headroom })
     }
 
-    /// Reports to stewards the online requests that started or ended here, and now and then of those that go on.
+    /// Sends stewards the number of online requests in flight at their engines, after each change and
+    /// periodically while there are any.
     pub(super) fn flush_notices(&mut self) {
         let now = self.clock.now;
         if now >= self.batch.next_notice {
