--- a/crates/core/src/node/engines_flow.rs
+++ b/crates/core/src/node/engines_flow.rs
@@ -60,8 +60,8 @@
         }
         if now >= self.polls.next_leaving_sync {
             self.polls.next_leaving_sync = now + LEAVING_SYNC_INTERVAL;
-            let chosen = self.membership.sample_present(1);
-            for node in chosen {
+            let selected = self.membership.sample_present(1);
+            for node in selected {
                 self.send_leaving_facts(node);
             }
         }
@@ -87,16 +87,16 @@
         let now = self.clock.now;
         let key = hash_parts(&[b"poll", &self.settings.id.0.to_le_bytes()]);
         let names = self.engines.iter().map(|(name, _)| name);
-        let mut chosen: Vec<EngineName> =
+        let mut selected: Vec<EngineName> =
             rendezvous(key, names, |name| hash_bytes(name.0.as_bytes()), self.max_polled_engines())
                 .into_iter()
                 .cloned()
                 .collect();
-        chosen.extend(self.stewards.keys().cloned());
-        let earlier = std::mem::take(&mut self.polls.due);
-        for (index, engine) in chosen.into_iter().enumerate() {
+        selected.extend(self.stewards.keys().cloned());
+        let previous = std::mem::take(&mut self.polls.due);
+        for (index, engine) in selected.into_iter().enumerate() {
             let offset = Millis(index as u64 * POLL_STAGGER.0 % self.poll_interval().0.max(1));
-            let due = earlier.get(&engine).copied().unwrap_or(now + offset);
+            let due = previous.get(&engine).copied().unwrap_or(now + offset);
             self.polls.due.insert(engine, due);
         }
     }
@@ -108,7 +108,7 @@
         let others: Vec<(EngineName, std::net::SocketAddr)> =
             others.map(|(name, state)| (name.clone(), state.configured.address)).collect();
         for (engine, address) in others {
-            let cache_from = self.polls.prefix_index.next_wanted(&engine);
+            let cache_from = self.polls.prefix_index.next_event(&engine);
             self.effects.push(Effect::PollEngine { engine, address, cache_from });
         }
     }
@@ -121,7 +121,7 @@
             self.polls.due.insert(engine.clone(), now + self.poll_interval());
             let Some(state) = self.engines.get(&engine) else { continue };
             let address = state.configured.address;
-            let cache_from = self.polls.prefix_index.next_wanted(&engine);
+            let cache_from = self.polls.prefix_index.next_event(&engine);
             self.effects.push(Effect::PollEngine { engine, address, cache_from });
         }
     }
--- a/crates/core/src/node/online/explanation.rs
+++ b/crates/core/src/node/online/explanation.rs
@@ -37,7 +37,7 @@
         engine: EngineName,
         /// The candidates, each with the reason it was or was not selected.
         considered: Vec<String>,
-        /// Index of the first token to generate.
+        /// Index of the first token requested from the engine.
         from_token: u32,
     },
     /// The engine did not return a complete answer.
--- a/crates/core/src/node/online/request.rs
+++ b/crates/core/src/node/online/request.rs
@@ -59,7 +59,7 @@
     /// Index of the next token to send.
     pub next_token: u32,
     /// Whether any chunk has been sent.
-    pub begun: bool,
+    pub started: bool,
 }
 
 /// How to handle a chunk of an answer.
@@ -104,7 +104,7 @@
     /// Block hashes of the prompt.
     pub blocks: Vec<BlockHash>,
     /// Number of failed attempts that qualified for a retry.
-    pub moves: u32,
+    pub retries: u32,
 }
 
 impl OnlineRequest {
@@ -130,7 +130,7 @@
             return PieceOutcome::Duplicate;
         }
         self.delivery.next_token += tokens;
-        self.delivery.begun = true;
+        self.delivery.started = true;
         PieceOutcome::Deliver
     }
 
--- a/crates/core/src/node/online_attempts.rs
+++ b/crates/core/src/node/online_attempts.rs
@@ -87,9 +87,7 @@
 
     pub(super) fn on_stream(&mut self, attempt: AttemptId, event: StreamEvent) {
         let is_matching = match &event {
-            StreamEvent::Piece { attempt: reported, .. } | StreamEvent::End { attempt: reported, .. } => {
-                *reported == attempt
-            }
+            StreamEvent::Piece { attempt: id, .. } | StreamEvent::End { attempt: id, .. } => *id == attempt,
             _ => true,
         };
         let is_known = self.online.attempts.contains_key(&attempt) || self.batch.dispatcher.contains(attempt);
@@ -164,8 +162,8 @@
     /// Handles a failed attempt that the engine may have executed.
     pub(super) fn on_engine_lost(&mut self, caller: CallerId, cause: &str) {
         self.fail_attempt(caller, cause, true);
-        let begun = self.online.requests.get(&caller).is_some_and(|request| request.delivery.begun);
-        let kind = if begun { ErrorKind::AnswerIncomplete } else { ErrorKind::EngineLost };
+        let started = self.online.requests.get(&caller).is_some_and(|request| request.delivery.started);
+        let kind = if started { ErrorKind::AnswerIncomplete } else { ErrorKind::EngineLost };
         self.retry_or_refuse(caller, kind);
     }
 
@@ -187,7 +185,7 @@
             self.refuse_online(caller, Refusal::new(kind, "the request can't be tried again"));
             return;
         }
-        request.moves += 1;
+        request.retries += 1;
         if !self.online.retry_budget.try_withdraw() {
             self.log(LogEvent::RetryBudgetSpent, "a retry was given up");
             self.refuse_online(caller, Refusal::new(kind, "the retry budget is spent"));
--- a/crates/core/src/node/online_flow.rs
+++ b/crates/core/src/node/online_flow.rs
@@ -96,13 +96,13 @@
     fn start_online(&mut self, caller: CallerId, call: OnlineCall, service: &Service) {
         let now = self.clock.now;
         let holder = self.draw_attempt();
-        let within = call.deadline.unwrap_or(service.online_deadline);
+        let time_limit = call.deadline.unwrap_or(service.online_deadline);
         let request = OnlineRequest {
             service: service.name.clone(),
             arrived: now,
-            deadline: now + within,
+            deadline: now + time_limit,
             phase: OnlinePhase::LookingUpSession,
-            delivery: Delivery { next_token: call.from_token, begun: false },
+            delivery: Delivery { next_token: call.from_token, started: false },
             holder,
             marked: false,
             mark_confirmed: false,
@@ -110,7 +110,7 @@
             excluded: BTreeSet::new(),
             session: None,
             blocks: prompt_blocks(&call.model, &call.prompt),
-            moves: 0,
+            retries: 0,
             call,
         };
         *self.online.tenant_in_flight.entry(request.call.tenant.clone()).or_default() += 1;
@@ -177,14 +177,14 @@
 
     pub(super) fn tick_online(&mut self) {
         let now = self.clock.now;
-        let late: Vec<CallerId> = self
+        let overdue: Vec<CallerId> = self
             .online
             .requests
             .iter()
             .filter(|(_, request)| now >= request.deadline)
             .map(|(caller, _)| *caller)
             .collect();
-        for caller in late {
+        for caller in overdue {
             self.fail_at_deadline(caller);
         }
         let stalled: Vec<CallerId> = self
@@ -220,14 +220,14 @@
 
     pub(super) fn record_step(&mut self, caller: CallerId, step: DecisionStep) {
         if let Some(request) = self.online.requests.get(&caller) {
-            let after = self.clock.now.since(request.arrived);
-            self.online.explanations.record_step(&request.call.id, after.0, step);
+            let elapsed = self.clock.now.since(request.arrived);
+            self.online.explanations.record_step(&request.call.id, elapsed.0, step);
         }
     }
 
     pub(super) fn record_request_step(&mut self, request: &OnlineRequest, step: DecisionStep) {
-        let after = self.clock.now.since(request.arrived);
-        self.online.explanations.record_step(&request.call.id, after.0, step);
+        let elapsed = self.clock.now.since(request.arrived);
+        self.online.explanations.record_step(&request.call.id, elapsed.0, step);
     }
 }
 
@@ -242,7 +242,7 @@
     match refusal.kind {
         ErrorKind::AlreadyRan => Ran::Ran,
         ErrorKind::OutcomeUnknown => Ran::Unknown,
-        _ if request.delivery.begun => Ran::Ran,
+        _ if request.delivery.started => Ran::Ran,
         _ if request.may_have_run => Ran::Unknown,
         ErrorKind::KeyConflict => Ran::NotRun,
         _ if !request.call.repeatable && !request.mark_confirmed => Ran::Unknown,
--- a/crates/core/src/node/online_records.rs
+++ b/crates/core/src/node/online_records.rs
@@ -35,9 +35,9 @@
             request: key.clone(),
         };
         let group = group_of(&key.tenant, &key.key, group_count);
-        let left = request.deadline.since(self.clock.now);
-        let within = Millis(MARK_TIMEOUT.0.min(left.0));
-        self.command(group, command, Purpose::Mark(caller), within);
+        let remaining = request.deadline.since(self.clock.now);
+        let timeout = Millis(MARK_TIMEOUT.0.min(remaining.0));
+        self.command(group, command, Purpose::Mark(caller), timeout);
     }
 
     pub(super) fn on_marked(&mut self, caller: CallerId, reply: GroupReply) {
--- a/crates/core/src/node/routing/engine_table.rs
+++ b/crates/core/src/node/routing/engine_table.rs
@@ -108,9 +108,9 @@
 impl EngineTable {
     /// Applies a new configuration, preserving the state of engines that remain configured.
     pub fn configure(&mut self, fleet: &FleetConfiguration) {
-        let mut earlier = std::mem::take(&mut self.engines);
+        let mut previous = std::mem::take(&mut self.engines);
         for (name, engine) in &fleet.engines {
-            let mut state = match earlier.remove(name) {
+            let mut state = match previous.remove(name) {
                 Some(state) => EngineState { configured: engine.clone(), ..state },
                 None => EngineState::new(engine.clone()),
             };
@@ -198,11 +198,11 @@
 
     /// Returns all known facts about leaving engines.
     pub fn leaving_facts(&self) -> Vec<LeavingFact> {
-        let fact_of = |(engine, incarnation): (&EngineName, &u64)| LeavingFact {
+        let to_fact = |(engine, incarnation): (&EngineName, &u64)| LeavingFact {
             engine: engine.clone(),
             incarnation: *incarnation,
         };
-        self.leaving.iter().map(fact_of).collect()
+        self.leaving.iter().map(to_fact).collect()
     }
 
     /// Records a successful attempt, which resets the failure and ejection counts.
--- a/crates/core/src/node/routing/prefix_index.rs
+++ b/crates/core/src/node/routing/prefix_index.rs
@@ -93,7 +93,7 @@
 
     /// Returns the sequence number of the next event to request from an engine, or `None` if a snapshot is
     /// needed.
-    pub fn next_wanted(&self, engine: &EngineName) -> Option<u64> {
+    pub fn next_event(&self, engine: &EngineName) -> Option<u64> {
         self.engines.get(engine).filter(|cache| cache.in_sync).map(|cache| cache.next)
     }
 
--- a/crates/core/src/node/routing/selector.rs
+++ b/crates/core/src/node/routing/selector.rs
@@ -92,11 +92,11 @@
         return Err(RoutingRefusal::NoEngine);
     }
     let mut selector = EngineSelector { index, demand, now, considered: Vec::new() };
-    let taken = selector
+    let selected = selector
         .session_engine(&usable)
         .or_else(|| selector.affinity_engine(&usable))
         .or_else(|| selector.least_loaded(&usable));
-    match taken {
+    match selected {
         Some(engine) => Ok(Selection { engine, considered: selector.considered }),
         None => Err(RoutingRefusal::Overloaded { retry_after_ms: OVERLOAD_RETRY_MS }),
     }
--- a/crates/core/src/node/scheduling/dispatcher.rs
+++ b/crates/core/src/node/scheduling/dispatcher.rs
@@ -172,8 +172,8 @@
 
     /// Returns whether a job has an item that can start now.
     pub fn has_startable(&self, job: JobId, item_count: u32, now: Timestamp) -> bool {
-        let fresh = self.cursors.get(&job).copied().unwrap_or(0) < item_count;
-        fresh || self.first_ready_retry(job, now).is_some()
+        let has_unstarted = self.cursors.get(&job).copied().unwrap_or(0) < item_count;
+        has_unstarted || self.first_ready_retry(job, now).is_some()
     }
 
     fn first_ready_retry(&self, job: JobId, now: Timestamp) -> Option<u32> {
@@ -267,7 +267,7 @@
         of_job.map(|(attempt, _)| *attempt).collect()
     }
 
-    /// Returns the jobs that have started items.
+    /// Returns the jobs that the dispatcher has started to process.
     pub fn known_jobs(&self) -> BTreeSet<JobId> {
         let streams = self.streams.values().map(|stream| stream.job);
         self.cursors.keys().copied().chain(streams).collect()
--- a/crates/core/src/node/scheduling/steward.rs
+++ b/crates/core/src/node/scheduling/steward.rs
@@ -119,9 +119,10 @@
         self.regrant(settings, |limit, granted| limit != granted)
     }
 
-    fn regrant(&mut self, settings: StewardSettings, is_due: impl Fn(u32, u32) -> bool) -> Vec<BatchGrant> {
+    fn regrant(&mut self, settings: StewardSettings, should_send: impl Fn(u32, u32) -> bool) -> Vec<BatchGrant> {
         let mut grants = self.divide(settings);
-        grants.retain(|grant| self.granted.get(&grant.holder).is_some_and(|granted| is_due(grant.limit, *granted)));
+        grants
+            .retain(|grant| self.granted.get(&grant.holder).is_some_and(|granted| should_send(grant.limit, *granted)));
         for grant in &grants {
             self.granted.insert(grant.holder, grant.limit);
         }
--- a/crates/core/src/node/steward_flow.rs
+++ b/crates/core/src/node/steward_flow.rs
@@ -25,8 +25,8 @@
         let steward = self.stewards.entry(engine.clone()).or_default();
         steward.record_online_notice(from, in_flight, now);
         let lowered_limits = steward.lowered_limits(settings);
-        for lowered in lowered_limits {
-            self.send_grant(engine, lowered.holder, lowered.limit);
+        for grant in lowered_limits {
+            self.send_grant(engine, grant.holder, grant.limit);
         }
     }
 
@@ -39,8 +39,8 @@
             steward.expire(now);
             // Online notices lower limits immediately; limits are raised only here.
             let changed_limits = settings.map(|settings| steward.changed_limits(settings)).unwrap_or_default();
-            for changed in changed_limits {
-                self.send_grant(&engine, changed.holder, changed.limit);
+            for grant in changed_limits {
+                self.send_grant(&engine, grant.holder, grant.limit);
             }
         }
     }
--- a/crates/core/src/node/stopping.rs
+++ b/crates/core/src/node/stopping.rs
@@ -40,21 +40,21 @@
         let Some(stop) = &mut self.stopping else { return };
         if let Some(exit_at) = stop.exit_at {
             // Requests that arrived before the node left the membership are still answered.
-            let is_late = now.since(stop.started) >= self.settings.stop_timeout + LEAVE_DELAY;
-            if now >= exit_at && (self.is_idle() || is_late) {
+            let timed_out = now.since(stop.started) >= self.settings.stop_timeout + LEAVE_DELAY;
+            if now >= exit_at && (self.is_idle() || timed_out) {
                 self.log(LogEvent::NodeStopped, self.settings.id.to_string());
                 self.effects.push(Effect::Exit);
             }
             return;
         }
-        let waited = now.since(stop.started);
+        let elapsed = now.since(stop.started);
         let transfer_due = now >= stop.next_transfer;
         if transfer_due {
             stop.next_transfer = now + LEADERSHIP_TRANSFER_INTERVAL;
         }
         let leads_none = if transfer_due { self.hand_over_leadership() } else { self.groups.led().next().is_none() };
-        let transferred = leads_none || waited >= LEADERSHIP_TRANSFER_TIMEOUT;
-        if (transferred && self.is_idle()) || waited >= self.settings.stop_timeout {
+        let transferred = leads_none || elapsed >= LEADERSHIP_TRANSFER_TIMEOUT;
+        if (transferred && self.is_idle()) || elapsed >= self.settings.stop_timeout {
             self.leave_membership();
         }
     }
