--- a/crates/core/src/node/routing/selector.rs
+++ b/crates/core/src/node/routing/selector.rs
@@ -1,8 +1,8 @@
-//! Which engine serves an online request.
+//! Engine selection for online requests.
 //!
-//! A session stays on its engine while that engine has room, because its KV cache is there. Otherwise
-//! the engine with the longest cached prefix among a few candidates is taken, the candidates being the
-//! same for equal prompts (rendezvous hashing); and if they are busy, the least loaded of all.
+//! A session stays on the engine that has its KV cache while that engine has capacity. Otherwise
+//! rendezvous hashing yields a few candidates, the same for equal prompts, and the one with the longest
+//! cached prefix is selected. If all candidates are busy, the least loaded engine is selected.
 
 use std::collections::BTreeSet;
 
@@ -13,71 +13,71 @@
 use crate::node::configuration::fleet::Service;
 use crate::time::Timestamp;
 
-/// How many candidates rendezvous hashing gives for an affinity.
+/// Number of candidates selected by rendezvous hashing.
 const AFFINITY_CANDIDATES: usize = 3;
-/// A candidate is busy once its online load passes this share of its slots.
-const BUSY_SHARE: f64 = 0.5;
-/// The `Retry-After` for a full fleet, in milliseconds.
+/// Fraction of its slots occupied by online requests at which a candidate is considered busy.
+const BUSY_LOAD_FRACTION: f64 = 0.5;
+/// `Retry-After` returned when all engines are full.
 const OVERLOAD_RETRY_MS: u64 = 500;
 
-/// What a request asks of routing.
+/// Inputs of engine selection for a request.
 #[derive(Clone, Debug)]
 pub struct OnlineDemand<'a> {
-    /// The service that offers the model.
+    /// Service that serves the model.
     pub service: &'a Service,
     /// Requests with the same affinity prefer the same engines.
     pub affinity: u64,
-    /// The prompt's blocks.
+    /// Block hashes of the prompt.
     pub blocks: &'a [BlockHash],
-    /// The engine that holds the session.
+    /// Engine of the request's session, if it has one.
     pub session_engine: Option<&'a EngineName>,
-    /// Engines that failed this request before.
+    /// Engines on which an earlier attempt of the request failed.
     pub excluded: &'a BTreeSet<EngineName>,
-    /// The caller's nearest zone, which is this node's.
+    /// Zone of this node, preferred among equally loaded engines.
     pub zone: &'a str,
 }
 
-/// An engine that was considered, for the explanation.
+/// An engine considered during selection, recorded for the explanation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The engine.
+    /// Name of the engine.
     pub engine: EngineName,
-    /// Online sequences believed to be there.
+    /// Estimated number of online sequences at the engine.
     pub online: u32,
-    /// Its slots.
+    /// Number of sequences the engine decodes concurrently.
     pub slots: u32,
-    /// Leading blocks of the prompt believed to be cached there.
+    /// Number of leading prompt blocks that are cached according to the prefix index.
     pub cached_blocks: usize,
-    /// Why it was taken or not.
+    /// Why the engine was or was not selected.
     pub reason: &'static str,
 }
 
-/// The engine taken, and those considered.
+/// Result of engine selection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Selection {
-    /// The engine taken.
+    /// Selected engine.
     pub engine: EngineName,
-    /// Those considered.
+    /// Engines considered, in order.
     pub considered: Vec<Candidate>,
 }
 
-/// Why no engine was taken.
+/// Reason that no engine was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutingRefusal {
     /// No engine of the service is usable.
     NoEngine,
-    /// Every usable engine is full and its queue too.
+    /// The slots and queues of all usable engines are full.
     Overloaded {
-        /// When to retry, in milliseconds from now.
+        /// Delay in milliseconds before a retry is worthwhile.
         retry_after_ms: u64,
     },
 }
 
-/// Chooses an engine for an online request.
+/// Selects an engine for an online request.
 ///
 /// # Errors
 ///
-/// The refusal, if no usable engine has room.
+/// Returns a [`RoutingRefusal`] if no engine is usable or all usable engines are full.
 pub fn select_online(
     table: &EngineTable,
     index: &PrefixIndex,
@@ -91,36 +91,36 @@
     if usable.is_empty() {
         return Err(RoutingRefusal::NoEngine);
     }
-    let mut chooser = Chooser { index, demand, now, considered: Vec::new() };
-    let taken = chooser
+    let mut selector = EngineSelector { index, demand, now, considered: Vec::new() };
+    let selected = selector
         .session_engine(&usable)
-        .or_else(|| chooser.affinity_engine(&usable))
-        .or_else(|| chooser.least_loaded(&usable));
-    match taken {
-        Some(engine) => Ok(Selection { engine, considered: chooser.considered }),
+        .or_else(|| selector.affinity_engine(&usable))
+        .or_else(|| selector.least_loaded(&usable));
+    match selected {
+        Some(engine) => Ok(Selection { engine, considered: selector.considered }),
         None => Err(RoutingRefusal::Overloaded { retry_after_ms: OVERLOAD_RETRY_MS }),
     }
 }
 
-struct Chooser<'a> {
+struct EngineSelector<'a> {
     index: &'a PrefixIndex,
     demand: &'a OnlineDemand<'a>,
     now: Timestamp,
     considered: Vec<Candidate>,
 }
 
-impl Chooser<'_> {
-    /// The session's own engine, while it has a slot for the request.
+impl EngineSelector<'_> {
+    /// Returns the engine of the session if it has a free slot.
     fn session_engine(&mut self, usable: &[(&EngineName, &EngineState)]) -> Option<EngineName> {
-        let wanted = self.demand.session_engine?;
-        let (name, state) = usable.iter().find(|(name, _)| *name == wanted)?;
-        let has_room = state.estimated_online(self.now) < state.slots();
-        let reason = if has_room { "taken: holds the session" } else { "holds the session but is full" };
+        let session_engine = self.demand.session_engine?;
+        let (name, state) = usable.iter().find(|(name, _)| *name == session_engine)?;
+        let has_capacity = state.estimated_online(self.now) < state.slots();
+        let reason = if has_capacity { "taken: holds the session" } else { "holds the session but is full" };
         self.consider(name, state, reason);
-        has_room.then(|| (*name).clone())
+        has_capacity.then(|| (*name).clone())
     }
 
-    /// The candidate with the longest cached prefix that is not busy.
+    /// Returns the affinity candidate with the longest cached prefix, skipping busy ones.
     fn affinity_engine(&mut self, usable: &[(&EngineName, &EngineState)]) -> Option<EngineName> {
         let candidates = rendezvous(
             self.demand.affinity,
@@ -130,7 +130,7 @@
         );
         let mut best: Option<(usize, EngineName)> = None;
         for (name, state) in candidates {
-            let busy = f64::from(state.estimated_online(self.now)) >= BUSY_SHARE * f64::from(state.slots());
+            let busy = f64::from(state.estimated_online(self.now)) >= BUSY_LOAD_FRACTION * f64::from(state.slots());
             let overlap = self.index.overlap(name, self.demand.blocks);
             self.consider(name, state, if busy { "affinity candidate but busy" } else { "affinity candidate" });
             if !busy && best.as_ref().is_none_or(|(longest, _)| overlap > *longest) {
@@ -140,7 +140,8 @@
         best.map(|(_, engine)| engine)
     }
 
-    /// The engine with the lowest online load for its slots; among equals one of this zone.
+    /// Returns the engine with the lowest ratio of online load to slots, preferring the local zone on ties,
+    /// unless its queue is full.
     fn least_loaded(&mut self, usable: &[(&EngineName, &EngineState)]) -> Option<EngineName> {
         let now = self.now;
         let zone = self.demand.zone;
@@ -150,10 +151,10 @@
             let right_key = (load(right), &*right.configured.zone != zone);
             left_key.partial_cmp(&right_key).unwrap_or(std::cmp::Ordering::Equal)
         })?;
-        let has_room = load(state) < 1.0 + self.demand.service.online_queue;
-        let reason = if has_room { "taken: least loaded" } else { "least loaded but its queue is full" };
+        let has_capacity = load(state) < 1.0 + self.demand.service.online_queue;
+        let reason = if has_capacity { "taken: least loaded" } else { "least loaded but its queue is full" };
         self.consider(name, state, reason);
-        has_room.then(|| (*name).clone())
+        has_capacity.then(|| (*name).clone())
     }
 
     fn consider(&mut self, name: &EngineName, state: &EngineState, reason: &'static str) {
--- a/crates/core/src/node/scheduling/steward.rs
+++ b/crates/core/src/node/scheduling/steward.rs
@@ -1,39 +1,39 @@
-//! The steward of one engine: it divides what online leaves free.
+//! The steward of an engine, which divides the capacity not used by online requests among nodes.
 
 use std::collections::BTreeMap;
 
 use crate::identity::NodeId;
 use crate::time::{Millis, Timestamp};
 
-/// How long a granted limit holds.
+/// Validity of a granted limit.
 pub const GRANT_LIFETIME: Millis = Millis(1_500);
-/// A node that reports nothing for this long is taken to have nothing at the engine.
-const NOTICE_LIFETIME: Millis = Millis(5_000);
+/// Time after which a node that has sent no notice is assumed to have no online requests at the engine.
+const ONLINE_NOTICE_LIFETIME: Millis = Millis(5_000);
 
-/// What a steward goes by.
+/// Inputs for dividing an engine's capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StewardSettings {
-    /// Sequences that the engine decodes at once.
+    /// Number of sequences the engine decodes concurrently.
     pub slots: u32,
-    /// The share of the slots that batch leaves free.
+    /// Fraction of the slots reserved for online requests.
     pub online_headroom: f64,
 }
 
-/// What a leader asks.
+/// A group leader's request for batch capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BatchAsk {
-    /// How many streams it would like to have there in all.
-    pub want: u32,
-    /// When it asked.
+pub struct BatchRequest {
+    /// Total number of streams requested at the engine.
+    pub wanted_streams: u32,
+    /// Time at which the request was received.
     pub at: Timestamp,
 }
 
-/// A limit for one holder.
+/// A limit granted to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchGrant {
-    /// The holder.
+    /// Node that holds the grant.
     pub holder: NodeId,
-    /// Most batch streams it may have at the engine.
+    /// Maximum number of batch streams it may run at the engine.
     pub limit: u32,
 }
 
@@ -43,17 +43,17 @@
     at: Timestamp,
 }
 
-/// The steward of one engine.
+/// Online load, batch requests and grants of one engine, by node.
 #[derive(Clone, Debug, Default)]
 pub struct Steward {
     online: BTreeMap<NodeId, OnlineNotice>,
-    asks: BTreeMap<NodeId, BatchAsk>,
+    requests: BTreeMap<NodeId, BatchRequest>,
     granted: BTreeMap<NodeId, u32>,
 }
 
 impl Steward {
-    /// A node reports how many online requests it has at the engine.
-    pub fn online_notice(&mut self, node: NodeId, in_flight: u32, now: Timestamp) {
+    /// Records the number of online requests a node has in flight at the engine.
+    pub fn record_online_notice(&mut self, node: NodeId, in_flight: u32, now: Timestamp) {
         if in_flight == 0 {
             self.online.remove(&node);
         } else {
@@ -61,72 +61,75 @@
         }
     }
 
-    /// A leader asks for room.
-    pub fn ask(&mut self, holder: NodeId, want: u32, now: Timestamp) {
-        if want == 0 {
-            self.asks.remove(&holder);
+    /// Records a request for batch capacity; zero withdraws the holder's request and grant.
+    pub fn record_request(&mut self, holder: NodeId, wanted_streams: u32, now: Timestamp) {
+        if wanted_streams == 0 {
+            self.requests.remove(&holder);
             self.granted.remove(&holder);
         } else {
-            self.asks.insert(holder, BatchAsk { want, at: now });
+            self.requests.insert(holder, BatchRequest { wanted_streams, at: now });
         }
     }
 
-    /// Online requests at the engine, as reported by the nodes.
+    /// Returns the number of online requests in flight at the engine, as reported by the nodes.
     pub fn online_in_flight(&self) -> u32 {
         self.online.values().map(|notice| notice.in_flight).sum()
     }
 
-    /// Forgets those who fell silent.
+    /// Removes expired notices and requests, and the grants of nodes without a request.
     pub fn expire(&mut self, now: Timestamp) {
-        self.online.retain(|_, notice| now.since(notice.at) < NOTICE_LIFETIME);
-        self.asks.retain(|_, ask| now.since(ask.at) < GRANT_LIFETIME);
-        let asks = &self.asks;
-        self.granted.retain(|holder, _| asks.contains_key(holder));
+        self.online.retain(|_, notice| now.since(notice.at) < ONLINE_NOTICE_LIFETIME);
+        self.requests.retain(|_, request| now.since(request.at) < GRANT_LIFETIME);
+        let requests = &self.requests;
+        self.granted.retain(|holder, _| requests.contains_key(holder));
     }
 
-    /// Streams that batch may have at the engine in all.
+    /// Returns the total number of batch streams that may run at the engine.
     pub fn batch_capacity(&self, settings: StewardSettings) -> u32 {
         let headroom = (f64::from(settings.slots) * settings.online_headroom).ceil() as u32;
         settings.slots.saturating_sub(headroom).saturating_sub(self.online_in_flight())
     }
 
-    /// Divides the capacity: everyone gets an equal share, and what one doesn't want goes to the others.
+    /// Divides the batch capacity using max-min fairness: capacity that a node does not request is shared
+    /// among the others.
     pub fn divide(&self, settings: StewardSettings) -> Vec<BatchGrant> {
-        let mut left = self.batch_capacity(settings);
-        let mut asks: Vec<(u32, NodeId)> = self.asks.iter().map(|(holder, ask)| (ask.want, *holder)).collect();
-        asks.sort_unstable();
+        let mut remaining = self.batch_capacity(settings);
+        let mut requests: Vec<(u32, NodeId)> =
+            self.requests.iter().map(|(holder, request)| (request.wanted_streams, *holder)).collect();
+        requests.sort_unstable();
         let mut grants = Vec::new();
-        let count = asks.len();
-        for (place, (want, holder)) in asks.into_iter().enumerate() {
-            let waiting = (count - place) as u32;
-            let share = left.div_ceil(waiting);
-            let limit = want.min(share).min(left);
-            left -= limit;
+        let count = requests.len();
+        for (index, (wanted_streams, holder)) in requests.into_iter().enumerate() {
+            let waiting = (count - index) as u32;
+            let share = remaining.div_ceil(waiting);
+            let limit = wanted_streams.min(share).min(remaining);
+            remaining -= limit;
             grants.push(BatchGrant { holder, limit });
         }
         grants
     }
 
-    /// Divides anew and returns the limits that are lower than what their holder was last granted.
-    pub fn recalls(&mut self, settings: StewardSettings) -> Vec<BatchGrant> {
+    /// Recomputes the limits and returns those that are lower than the holder's last grant.
+    pub fn lowered_limits(&mut self, settings: StewardSettings) -> Vec<BatchGrant> {
         self.regrant(settings, |limit, granted| limit < granted)
     }
 
-    /// Divides anew and returns all limits that differ from what their holder was last granted.
-    pub fn changes(&mut self, settings: StewardSettings) -> Vec<BatchGrant> {
+    /// Recomputes the limits and returns those that differ from the holder's last grant.
+    pub fn changed_limits(&mut self, settings: StewardSettings) -> Vec<BatchGrant> {
         self.regrant(settings, |limit, granted| limit != granted)
     }
 
-    fn regrant(&mut self, settings: StewardSettings, is_due: impl Fn(u32, u32) -> bool) -> Vec<BatchGrant> {
+    fn regrant(&mut self, settings: StewardSettings, should_send: impl Fn(u32, u32) -> bool) -> Vec<BatchGrant> {
         let mut grants = self.divide(settings);
-        grants.retain(|grant| self.granted.get(&grant.holder).is_some_and(|granted| is_due(grant.limit, *granted)));
+        grants
+            .retain(|grant| self.granted.get(&grant.holder).is_some_and(|granted| should_send(grant.limit, *granted)));
         for grant in &grants {
             self.granted.insert(grant.holder, grant.limit);
         }
         grants
     }
 
-    /// The limit to grant one holder now.
+    /// Recomputes the limits, then records and returns the one of `holder`.
     pub fn grant(&mut self, holder: NodeId, settings: StewardSettings) -> u32 {
         let limit = self.divide(settings).iter().find(|grant| grant.holder == holder).map_or(0, |grant| grant.limit);
         self.granted.insert(holder, limit);
--- a/crates/core/src/node/status_flow.rs
+++ b/crates/core/src/node/status_flow.rs
@@ -1,7 +1,8 @@
-//! How this node is, and how the fleet is: a fleet status asks every present node and answers once all
-//! have replied or the wait is over.
+//! Node and fleet status. A fleet status queries every present node and is returned when all have
+//! responded or the timeout has elapsed.
 //!
-//! Owns the gatherings under way. Relies on the membership for whom to ask.
+//! This module owns the fleet status requests in progress; the membership determines which nodes are
+//! queried.
 
 use std::collections::BTreeSet;
 
@@ -12,23 +13,23 @@
 use crate::peer_message::PeerMessage;
 use crate::time::{Millis, Timestamp};
 
-/// How long a fleet status waits for silent nodes.
-const STATUS_TIMEOUT: Millis = Millis(1_000);
+/// Time that a fleet status waits for unresponsive nodes.
+const FLEET_STATUS_TIMEOUT: Millis = Millis(1_000);
 
-/// A fleet status that waits for answers.
+/// A fleet status request awaiting responses.
 pub(super) struct StatusGathering {
     waiting: BTreeSet<NodeId>,
-    gathered: Vec<NodeStatus>,
+    collected: Vec<NodeStatus>,
     deadline: Timestamp,
 }
 
 impl Node {
-    /// Whether a fleet status is being gathered.
-    pub(super) fn gathers_status(&self) -> bool {
+    /// Returns whether a fleet status request is in progress.
+    pub(super) fn has_pending_fleet_status(&self) -> bool {
         !self.status_gatherings.is_empty()
     }
 
-    /// How this node is.
+    /// Returns the status of this node.
     pub fn status(&self) -> NodeStatus {
         NodeStatus {
             node: self.settings.id.to_string(),
@@ -56,8 +57,8 @@
         }
         let gathering = StatusGathering {
             waiting: others,
-            gathered: vec![self.status()],
-            deadline: self.clock.now + STATUS_TIMEOUT,
+            collected: vec![self.status()],
+            deadline: self.clock.now + FLEET_STATUS_TIMEOUT,
         };
         self.status_gatherings.insert(caller, gathering);
         self.finish_status_gatherings();
@@ -68,7 +69,7 @@
             let answered = gathering.waiting.iter().find(|id| id.to_string() == status.node).copied();
             if let Some(id) = answered {
                 gathering.waiting.remove(&id);
-                gathering.gathered.push(status);
+                gathering.collected.push(status);
             }
         }
         self.finish_status_gatherings();
@@ -85,7 +86,7 @@
         for caller in done {
             let Some(gathering) = self.status_gatherings.remove(&caller) else { continue };
             let silent = gathering.waiting.iter().map(NodeId::to_string).collect();
-            let mut nodes = gathering.gathered;
+            let mut nodes = gathering.collected;
             nodes.sort_by(|left, right| left.node.cmp(&right.node));
             self.answer(caller, CallerAnswer::FleetStatus(FleetStatus { nodes, silent }));
         }
--- a/crates/core/src/node/steward_flow.rs
+++ b/crates/core/src/node/steward_flow.rs
@@ -1,4 +1,4 @@
-//! Being the steward of engines: dividing what online leaves free.
+//! Steward duties: dividing the engine capacity not used by online requests, and notifying stewards.
 
 use super::machine::Node;
 use crate::identity::{EngineName, NodeId};
@@ -6,15 +6,15 @@
 use crate::peer_message::{CreditMessage, PeerMessage};
 use crate::time::Millis;
 
-/// Online notices are repeated this often while there is anything to report.
-const NOTICE_INTERVAL: Millis = Millis(1_500);
+/// Interval at which notices are repeated for engines with online requests in flight.
+const ONLINE_NOTICE_INTERVAL: Millis = Millis(1_500);
 
 impl Node {
-    pub(super) fn on_batch_ask(&mut self, engine: &EngineName, from: NodeId, want: u32) {
+    pub(super) fn on_batch_ask(&mut self, engine: &EngineName, from: NodeId, wanted_streams: u32) {
         let now = self.clock.now;
         let Some(settings) = self.steward_settings(engine) else { return };
         let steward = self.stewards.entry(engine.clone()).or_default();
-        steward.ask(from, want, now);
+        steward.record_request(from, wanted_streams, now);
         let limit = steward.grant(from, settings);
         self.send_grant(engine, from, limit);
     }
@@ -23,10 +23,10 @@
         let now = self.clock.now;
         let Some(settings) = self.steward_settings(engine) else { return };
         let steward = self.stewards.entry(engine.clone()).or_default();
-        steward.online_notice(from, in_flight, now);
-        let recalls = steward.recalls(settings);
-        for recall in recalls {
-            self.send_grant(engine, recall.holder, recall.limit);
+        steward.record_online_notice(from, in_flight, now);
+        let lowered_limits = steward.lowered_limits(settings);
+        for grant in lowered_limits {
+            self.send_grant(engine, grant.holder, grant.limit);
         }
     }
 
@@ -37,10 +37,10 @@
             let settings = self.steward_settings(&engine);
             let Some(steward) = self.stewards.get_mut(&engine) else { continue };
             steward.expire(now);
-            // Limits are lowered at once where they must be; they are raised at the next tick.
-            let changes = settings.map(|settings| steward.changes(settings)).unwrap_or_default();
-            for change in changes {
-                self.send_grant(&engine, change.holder, change.limit);
+            // Online notices lower limits immediately; limits are raised only here.
+            let changed_limits = settings.map(|settings| steward.changed_limits(settings)).unwrap_or_default();
+            for grant in changed_limits {
+                self.send_grant(&engine, grant.holder, grant.limit);
             }
         }
     }
@@ -50,7 +50,7 @@
         self.send(holder, PeerMessage::Credit(message));
     }
 
-    /// What the steward of an engine goes by. A leaving engine has no slots to share out.
+    /// Returns the inputs for dividing an engine's capacity. An unusable engine has no slots.
     fn steward_settings(&self, engine: &EngineName) -> Option<StewardSettings> {
         let state = self.engines.get(engine)?;
         let fleet = self.configuration.in_force()?.fleet.clone();
@@ -59,11 +59,12 @@
         Some(StewardSettings { slots, online_headroom: service.online_headroom })
     }
 
-    /// Reports to stewards the online requests that started or ended here, and now and then of those that go on.
+    /// Sends stewards the number of online requests in flight at their engines, after each change and
+    /// periodically while there are any.
     pub(super) fn flush_notices(&mut self) {
         let now = self.clock.now;
         if now >= self.batch.next_notice {
-            self.batch.next_notice = now + NOTICE_INTERVAL;
+            self.batch.next_notice = now + ONLINE_NOTICE_INTERVAL;
             let busy = self.engines.iter().filter(|(_, state)| state.own_online > 0);
             let busy: Vec<EngineName> = busy.map(|(name, _)| name.clone()).collect();
             self.batch.notices_due.extend(busy);
