--- a/crates/clients/src/engine.rs
+++ b/crates/clients/src/engine.rs
@@ -26,9 +26,9 @@
 /// How long an engine may take to carry out an order, a load of weights included.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(50);
 /// How long an engine may take to begin its answer.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 /// Most bytes of one event.
-const MOST_EVENT_BYTES: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Engines over HTTP.
 pub struct HttpEngines {
@@ -102,7 +102,7 @@
     }
 
     async fn generate(&self, request: EngineRequest, sink: &StreamSink) {
-        let head = match tokio::time::timeout(HEAD_TIMEOUT, self.send_generate(&request)).await {
+        let head = match tokio::time::timeout(RESPONSE_HEAD_TIMEOUT, self.send_generate(&request)).await {
             Ok(Ok(response)) => response,
             Ok(Err(HttpError::NotSent { .. })) => {
                 sink(StreamEvent::NotSent);
@@ -152,7 +152,7 @@
 }
 
 /// Reads server-sent events until the end, or until nothing more is wanted.
-async fn read_events(response: Response<Incoming>, own: AttemptId, sink: &StreamSink) {
+async fn read_events(response: Response<Incoming>, request_attempt: AttemptId, sink: &StreamSink) {
     let mut body = response.into_body();
     let mut buffer: Vec<u8> = Vec::new();
     let ended = loop {
@@ -165,7 +165,7 @@
         while let Some(event) = take_event(&mut buffer) {
             // Another attempt's end is not the end of this stream.
             let is_end = match &event {
-                StreamEvent::End { attempt, .. } => *attempt == own,
+                StreamEvent::End { attempt, .. } => *attempt == request_attempt,
                 StreamEvent::Broken { .. } => true,
                 _ => false,
             };
@@ -173,7 +173,7 @@
                 return;
             }
         }
-        if buffer.len() > MOST_EVENT_BYTES {
+        if buffer.len() > MAX_EVENT_BYTES {
             break Some("an event is too large".to_owned());
         }
     };
@@ -226,7 +226,7 @@
 }
 
 impl HttpEngines {
-    async fn give_order(&self, order: &EngineOrder) -> OrderOutcome {
+    async fn send_order(&self, order: &EngineOrder) -> OrderOutcome {
         let (load, unload) = match &order.order {
             ModelOrder::Load(model) => (Some(model.as_str()), None),
             ModelOrder::Unload(model) => (None, Some(model.as_str())),
@@ -246,7 +246,7 @@
 
 impl Engines for HttpEngines {
     fn order(&self, order: EngineOrder) -> BoxFuture<'_, OrderOutcome> {
-        Box::pin(async move { self.give_order(&order).await })
+        Box::pin(async move { self.send_order(&order).await })
     }
 
     fn stream(&self, request: EngineRequest, sink: StreamSink) -> BoxFuture<'_, ()> {
@@ -260,12 +260,12 @@
             let answer = self.caller.call(Method::GET, &uri, Bytes::new(), POLL_TIMEOUT).await;
             let Ok((StatusCode::OK, body)) = answer else { return None };
             let load: LoadBody = serde_json::from_slice(&body).ok()?;
-            Some(poll_of(load))
+            Some(poll_from_load(load))
         })
     }
 }
 
-fn poll_of(load: LoadBody) -> EnginePoll {
+fn poll_from_load(load: LoadBody) -> EnginePoll {
     let cache = load.cache.map(|cache| CacheEventBatch {
         first: cache.first,
         is_snapshot: cache.snapshot,
--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -12,7 +12,7 @@
 use snafu::Snafu;
 
 /// Most bytes of a whole answer.
-const MOST_ANSWER_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Why a call gave no answer.
 #[derive(Debug, Snafu)]
@@ -92,16 +92,16 @@
             .header("content-type", "application/json")
             .body(Full::new(body))
             .map_err(|error| HttpError::Broken { uri: uri.to_owned(), detail: error.to_string() })?;
-        let whole = async {
+        let exchange = async {
             let response = self.send(request).await?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), MOST_ANSWER_BYTES)
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
                 .collect()
                 .await
                 .map_err(|error| HttpError::Broken { uri: uri.to_owned(), detail: error.to_string() })?;
             Ok((status, body.to_bytes()))
         };
-        match tokio::time::timeout(limit, whole).await {
+        match tokio::time::timeout(limit, exchange).await {
             Ok(result) => result,
             Err(_) => Err(HttpError::TimedOut { uri: uri.to_owned(), limit }),
         }
--- a/crates/emulator/src/answer.rs
+++ b/crates/emulator/src/answer.rs
@@ -4,22 +4,22 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// The shortest answer.
-const SHORTEST: u32 = 8;
+const MIN_ANSWER_TOKENS: u32 = 8;
 /// Answers are shorter than the shortest plus this.
-const SPREAD: u64 = 57;
+const ANSWER_LENGTH_RANGE: u64 = 57;
 
 /// Tokens in the whole answer to a prompt.
 pub fn answer_length(model: &str, prompt: &str, max_tokens: u32) -> u32 {
     let hash = prompt_hash(model, prompt);
-    let length = SHORTEST + (hash % SPREAD) as u32;
+    let length = MIN_ANSWER_TOKENS + (hash % ANSWER_LENGTH_RANGE) as u32;
     length.min(max_tokens).max(1)
 }
 
 /// The text of one token.
-pub fn answer_token(model: &str, prompt: &str, place: u32) -> String {
+pub fn answer_token(model: &str, prompt: &str, index: u32) -> String {
     const SYLLABLES: [&str; 16] =
         ["ba", "co", "di", "fu", "ga", "ho", "ji", "ku", "la", "mo", "ni", "pu", "ra", "so", "ti", "vu"];
-    let hash = xxh3_64_with_seed(&place.to_le_bytes(), prompt_hash(model, prompt));
+    let hash = xxh3_64_with_seed(&index.to_le_bytes(), prompt_hash(model, prompt));
     let first = SYLLABLES[(hash % 16) as usize];
     let second = SYLLABLES[(hash / 16 % 16) as usize];
     format!("{first}{second} ")
@@ -27,7 +27,7 @@
 
 /// The text of the whole answer.
 pub fn answer_text(model: &str, prompt: &str, max_tokens: u32) -> String {
-    (0..answer_length(model, prompt, max_tokens)).map(|place| answer_token(model, prompt, place)).collect()
+    (0..answer_length(model, prompt, max_tokens)).map(|index| answer_token(model, prompt, index)).collect()
 }
 
 fn prompt_hash(model: &str, prompt: &str) -> u64 {
--- a/crates/emulator/src/cache.rs
+++ b/crates/emulator/src/cache.rs
@@ -42,8 +42,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
     capacity: usize,
-    used_at: BTreeMap<u64, u64>,
-    by_use: BTreeMap<u64, u64>,
+    last_used: BTreeMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
     uses: u64,
     changes: Vec<CacheChange>,
 }
@@ -56,31 +56,31 @@
 
     /// How many leading blocks are cached.
     pub fn overlap(&self, blocks: &[u64]) -> usize {
-        blocks.iter().take_while(|block| self.used_at.contains_key(block)).count()
+        blocks.iter().take_while(|block| self.last_used.contains_key(block)).count()
     }
 
     /// Caches blocks, or marks them as used.
     pub fn store(&mut self, blocks: &[u64]) {
         for block in blocks {
             self.uses += 1;
-            match self.used_at.insert(*block, self.uses) {
+            match self.last_used.insert(*block, self.uses) {
                 Some(earlier) => {
-                    self.by_use.remove(&earlier);
+                    self.by_last_use.remove(&earlier);
                 }
                 None => self.changes.push(CacheChange::Stored(*block)),
             }
-            self.by_use.insert(self.uses, *block);
+            self.by_last_use.insert(self.uses, *block);
         }
-        while self.used_at.len() > self.capacity {
-            let Some((_, oldest)) = self.by_use.pop_first() else { break };
-            self.used_at.remove(&oldest);
+        while self.last_used.len() > self.capacity {
+            let Some((_, oldest)) = self.by_last_use.pop_first() else { break };
+            self.last_used.remove(&oldest);
             self.changes.push(CacheChange::Removed(oldest));
         }
     }
 
     /// All cached blocks.
     pub fn blocks(&self) -> impl Iterator<Item = u64> + '_ {
-        self.used_at.keys().copied()
+        self.last_used.keys().copied()
     }
 
     /// Takes the changes since the last call.
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -122,7 +122,7 @@
 #[derive(Clone, Debug)]
 struct Sequence {
     request: SequenceRequest,
-    prefill_left: u32,
+    prefill_remaining: u32,
     next_token: u32,
     length: u32,
     blocks: Vec<u64>,
@@ -142,7 +142,7 @@
     /// Online sequences that were left waiting at the start of an iteration while batch held a slot.
     pub online_behind_batch: u64,
     /// Those of them that still wait.
-    behind: BTreeSet<u128>,
+    waiting_behind_batch: BTreeSet<u128>,
 }
 
 impl EngineEmulator {
@@ -157,7 +157,7 @@
             leaving: false,
             cache: PrefixCache::new(settings.cache_blocks),
             online_behind_batch: 0,
-            behind: BTreeSet::new(),
+            waiting_behind_batch: BTreeSet::new(),
         }
     }
 
@@ -198,7 +198,7 @@
             return;
         }
         for request in self.queue.values().filter(|request| request.class == SequenceClass::Online) {
-            if self.behind.insert(request.attempt) {
+            if self.waiting_behind_batch.insert(request.attempt) {
                 self.online_behind_batch += 1;
             }
         }
@@ -246,7 +246,7 @@
     fn begin_iteration(&mut self, now_us: u64) {
         while self.running.len() < self.settings.slots {
             let Some((_, request)) = self.queue.pop_first() else { break };
-            self.behind.remove(&request.attempt);
+            self.waiting_behind_batch.remove(&request.attempt);
             let sequence = self.admit(request);
             self.running.push(sequence);
         }
@@ -256,12 +256,12 @@
         // Online prefills go first, as the priorities say.
         self.running.sort_by_key(|sequence| sequence.request.priority);
         for sequence in &mut self.running {
-            let part = sequence.prefill_left.min(budget);
-            sequence.prefill_left -= part;
+            let part = sequence.prefill_remaining.min(budget);
+            sequence.prefill_remaining -= part;
             budget -= part;
             prefilled += part;
         }
-        let decoding = self.running.iter().filter(|sequence| sequence.prefill_left == 0).count() as u64;
+        let decoding = self.running.iter().filter(|sequence| sequence.prefill_remaining == 0).count() as u64;
         let length = self.settings.iteration_us
             + decoding * self.settings.sequence_us
             + u64::from(prefilled) * self.settings.prefill_token_us;
@@ -275,7 +275,7 @@
         let tokens = request.prompt.len() as u32 / BYTES_PER_TOKEN + 1 + request.from_token;
         let length = answer_length(&request.model, &request.prompt, request.max_tokens);
         Sequence {
-            prefill_left: tokens.saturating_sub(cached).max(1),
+            prefill_remaining: tokens.saturating_sub(cached).max(1),
             next_token: request.from_token,
             length,
             blocks,
@@ -286,7 +286,7 @@
     fn end_iteration(&mut self, outputs: &mut Vec<EngineOutput>) {
         let mut running = std::mem::take(&mut self.running);
         running.retain_mut(|sequence| {
-            if sequence.prefill_left > 0 {
+            if sequence.prefill_remaining > 0 {
                 return true;
             }
             self.cache.store(&sequence.blocks);
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -11,12 +11,12 @@
 use crate::events::EventSender;
 
 /// Most pieces that wait for one slow caller; one that is slower is cut off.
-const MOST_WAITING: usize = 16_384;
+const MAX_PENDING_ANSWERS: usize = 16_384;
 
 /// The callers that wait for answers.
 #[derive(Clone, Default)]
 pub struct CallerRegistry {
-    waiting: Arc<Mutex<HashMap<CallerId, mpsc::Sender<CallerAnswer>>>>,
+    pending: Arc<Mutex<HashMap<CallerId, mpsc::Sender<CallerAnswer>>>>,
     next: Arc<AtomicU64>,
 }
 
@@ -33,7 +33,7 @@
     /// Sends a call to the node.
     pub async fn call(&self, events: &EventSender, call: CallerCall) -> CallInProgress {
         let caller = CallerId(self.next.fetch_add(1, Ordering::Relaxed) + 1);
-        let (sender, answers) = mpsc::channel(MOST_WAITING);
+        let (sender, answers) = mpsc::channel(MAX_PENDING_ANSWERS);
         self.lock().insert(caller, sender);
         events.send(Event::Call { caller, call }).await;
         CallInProgress { caller, registry: self.clone(), events: events.clone(), answers, ended: false }
@@ -42,17 +42,17 @@
     /// Gives an answer to a caller. Returns false if the caller is gone or too slow.
     pub fn answer(&self, caller: CallerId, answer: CallerAnswer) -> bool {
         let is_final = answer.is_final();
-        let mut waiting = self.lock();
-        let Some(sender) = waiting.get(&caller) else { return false };
+        let mut pending = self.lock();
+        let Some(sender) = pending.get(&caller) else { return false };
         let delivered = sender.try_send(answer).is_ok();
         if is_final || !delivered {
-            waiting.remove(&caller);
+            pending.remove(&caller);
         }
         delivered
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<CallerId, mpsc::Sender<CallerAnswer>>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -59,9 +59,9 @@
         for event in batch.events {
             effects.extend(self.node.handle(event, self.clock.read()));
         }
-        let goes_on = self.persist(&effects) && self.carry_out(effects);
+        let keep_running = self.persist(&effects) && self.apply_effects(effects);
         // The other side only waits while the node runs.
-        let _ = batch.done.send(goes_on);
+        let _ = batch.done.send(keep_running);
     }
 }
 
@@ -88,8 +88,8 @@
     }
 
     /// Carries out the other effects, in order. Returns false if the node stops.
-    fn carry_out(&mut self, effects: Vec<Effect>) -> bool {
-        let mut goes_on = true;
+    fn apply_effects(&mut self, effects: Vec<Effect>) -> bool {
+        let mut keep_running = true;
         for effect in effects {
             match effect {
                 Effect::Persist { .. } | Effect::PersistConfiguration(_) => {}
@@ -99,7 +99,7 @@
                 Effect::KeyValue { call, operation } => self.call_key_value(call, operation),
                 Effect::ReadMachines => self.read_machines(),
                 Effect::PollEngine { engine, address, cache_from } => self.poll_engine(engine, address, cache_from),
-                Effect::Order(order) => self.give_order(order),
+                Effect::Order(order) => self.send_order(order),
                 Effect::StartStream(request) => {
                     let _ = self.streams.cast(StreamCommand::Start(request));
                 }
@@ -109,14 +109,14 @@
                 Effect::Answer { caller, answer } => {
                     let is_final = answer.is_final();
                     if !self.callers.answer(caller, answer) && !is_final {
-                        self.events.offer(Event::CallerGone(caller));
+                        self.events.try_send(Event::CallerGone(caller));
                     }
                 }
                 Effect::Log { event, detail } => log_event(event, &detail),
-                Effect::Exit => goes_on = false,
+                Effect::Exit => keep_running = false,
             }
         }
-        goes_on
+        keep_running
     }
 
     fn call_key_value(&self, call: KeyValueCall, operation: KeyValueOperation) {
@@ -136,7 +136,7 @@
         });
     }
 
-    fn give_order(&self, order: EngineOrder) {
+    fn send_order(&self, order: EngineOrder) {
         let (engines, events) = (self.engines.clone(), self.events.clone());
         tokio::spawn(async move {
             let engine = order.engine.clone();
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -4,7 +4,7 @@
 use tokio::sync::mpsc;
 
 /// Most events that wait for the driver.
-pub const EVENT_QUEUE: usize = 65_536;
+pub const EVENT_QUEUE_CAPACITY: usize = 65_536;
 
 /// Sends events to the driver.
 #[derive(Clone)]
@@ -15,7 +15,7 @@
 impl EventSender {
     /// The two ends of a new queue.
     pub fn channel() -> (Self, mpsc::Receiver<Event>) {
-        let (sender, receiver) = mpsc::channel(EVENT_QUEUE);
+        let (sender, receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         (Self { sender }, receiver)
     }
 
@@ -26,7 +26,7 @@
     }
 
     /// Sends an event that may be lost, such as a message of another node. Returns whether it went.
-    pub fn offer(&self, event: Event) -> bool {
+    pub fn try_send(&self, event: Event) -> bool {
         self.sender.try_send(event).is_ok()
     }
 }
--- a/crates/node/src/http/answer.rs
+++ b/crates/node/src/http/answer.rs
@@ -13,7 +13,7 @@
 /// A JSON response.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<AnswerBody> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(AnswerBody::whole(bytes));
+    let mut response = Response::new(AnswerBody::full(bytes));
     *response.status_mut() = status;
     response.headers_mut().insert("content-type", hyper::header::HeaderValue::from_static("application/json"));
     response
@@ -21,7 +21,7 @@
 
 /// A plain text response.
 pub fn text(status: StatusCode, content_type: &'static str, body: String) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(body));
+    let mut response = Response::new(AnswerBody::full(body));
     *response.status_mut() = status;
     response.headers_mut().insert("content-type", hyper::header::HeaderValue::from_static(content_type));
     response
--- a/crates/node/src/http/batch.rs
+++ b/crates/node/src/http/batch.rs
@@ -21,13 +21,13 @@
 use super::router::HttpService;
 
 /// How long a job may take where the caller doesn't say.
-const DEFAULT_WITHIN: Millis = Millis(24 * 3_600_000);
+const DEFAULT_JOB_TIMEOUT: Millis = Millis(24 * 3_600_000);
 /// Most jobs in one list.
-const LISTED_JOBS: u32 = 1_000;
+const MAX_LISTED_JOBS: u32 = 1_000;
 /// Items looked at in one page of results.
-const PAGE_ITEMS: u32 = 5_000;
+const DEFAULT_PAGE_ITEMS: u32 = 5_000;
 /// Most items looked at in one page on request.
-const MOST_PAGE_ITEMS: u32 = 20_000;
+const MAX_PAGE_ITEMS: u32 = 20_000;
 /// Output files are named by this and the job.
 const OUTPUT_PREFIX: &str = "output-";
 /// Error files are named by this and the job.
@@ -85,7 +85,7 @@
         }
     } else {
         match parse_json::<CreateBatch>(body).and_then(|create| parse_job(&create.input_file_id)) {
-            Ok(job) => ask_job(service, BatchCall::Accept(job)).await,
+            Ok(job) => request_job(service, BatchCall::Accept(job)).await,
             Err(refusal) => Err(answer::refusal(&refusal)),
         }
     };
@@ -101,7 +101,7 @@
     let Ok(limit) = query_parameter(query, "limit").map(str::parse::<u32>).transpose() else {
         return answer::refuse(ErrorKind::MalformedRequest, "limit must be a whole number");
     };
-    let limit = limit.unwrap_or(LISTED_JOBS).min(LISTED_JOBS) as usize;
+    let limit = limit.unwrap_or(MAX_LISTED_JOBS).min(MAX_LISTED_JOBS) as usize;
     let mut listed = Vec::new();
     let mut group = 0;
     let mut group_count = 1;
@@ -124,20 +124,20 @@
 
 /// `GET /v1/batches/JOB`.
 pub async fn batch_status(service: &HttpService, id: &str) -> Response<AnswerBody> {
-    let asked = match parse_job(id) {
-        Ok(job) => ask_job(service, BatchCall::Status(job)).await,
+    let result = match parse_job(id) {
+        Ok(job) => request_job(service, BatchCall::Status(job)).await,
         Err(refusal) => Err(answer::refusal(&refusal)),
     };
-    asked.map_or_else(|response| response, |(job, summary)| answer::json(StatusCode::OK, &batch_json(job, &summary)))
+    result.map_or_else(|response| response, |(job, summary)| answer::json(StatusCode::OK, &batch_json(job, &summary)))
 }
 
 /// `POST /v1/batches/JOB/cancel`.
 pub async fn cancel_batch(service: &HttpService, id: &str) -> Response<AnswerBody> {
-    let asked = match parse_job(id) {
-        Ok(job) => ask_job(service, BatchCall::Cancel(job)).await,
+    let result = match parse_job(id) {
+        Ok(job) => request_job(service, BatchCall::Cancel(job)).await,
         Err(refusal) => Err(answer::refusal(&refusal)),
     };
-    asked.map_or_else(|response| response, |(job, summary)| answer::json(StatusCode::OK, &batch_json(job, &summary)))
+    result.map_or_else(|response| response, |(job, summary)| answer::json(StatusCode::OK, &batch_json(job, &summary)))
 }
 
 /// `GET /v1/batches/JOB/results?first=N&limit=M`: a page of results as JSON.
@@ -147,12 +147,12 @@
         return answer::refuse(ErrorKind::MalformedRequest, "first and limit must be whole numbers");
     };
     let first = first.unwrap_or(0);
-    let limit = limit.unwrap_or(PAGE_ITEMS).clamp(1, MOST_PAGE_ITEMS);
+    let limit = limit.unwrap_or(DEFAULT_PAGE_ITEMS).clamp(1, MAX_PAGE_ITEMS);
     let job = match parse_job(id) {
         Ok(job) => job,
         Err(refusal) => return answer::refusal(&refusal),
     };
-    match ask_results(service, job, first, limit).await {
+    match request_results(service, job, first, limit).await {
         Ok((results, next)) => {
             let results: Vec<Value> = results.iter().map(result_json).collect();
             answer::json(StatusCode::OK, &json!({"results": results, "next": next}))
@@ -177,7 +177,7 @@
     let mut lines = String::new();
     let mut first = Some(0);
     while let Some(from) = first {
-        let (results, next) = match ask_results(service, job, from, PAGE_ITEMS).await {
+        let (results, next) = match request_results(service, job, from, DEFAULT_PAGE_ITEMS).await {
             Ok(page) => page,
             Err(response) => return response,
         };
@@ -192,10 +192,10 @@
 }
 
 async fn submit(service: &HttpService, submission: JobSubmission) -> Result<(JobId, JobSummary), Response<AnswerBody>> {
-    ask_job(service, BatchCall::Submit(submission)).await
+    request_job(service, BatchCall::Submit(submission)).await
 }
 
-async fn ask_job(service: &HttpService, call: BatchCall) -> Result<(JobId, JobSummary), Response<AnswerBody>> {
+async fn request_job(service: &HttpService, call: BatchCall) -> Result<(JobId, JobSummary), Response<AnswerBody>> {
     let mut call = service.callers.call(&service.events, CallerCall::Batch(call)).await;
     match call.next().await {
         Some(CallerAnswer::Job { job, summary }) => Ok((job, summary)),
@@ -204,7 +204,7 @@
     }
 }
 
-async fn ask_results(
+async fn request_results(
     service: &HttpService,
     job: JobId,
     first: u32,
@@ -253,7 +253,7 @@
         model,
         adapter,
         items: lines.items,
-        within: number("within_ms")?.map_or(DEFAULT_WITHIN, Millis),
+        within: number("within_ms")?.map_or(DEFAULT_JOB_TIMEOUT, Millis),
         max_tokens: max_tokens.or(lines.max_tokens),
         accept,
     })
@@ -266,9 +266,9 @@
         line_error(line, "not UTF-8")
     })?;
     let mut parsed = ParsedLines { model: None, adapter: None, max_tokens: None, items: Vec::new() };
-    for (place, line) in text.lines().enumerate() {
+    for (index, line) in text.lines().enumerate() {
         if !line.trim().is_empty() {
-            add_line(&mut parsed, place + 1, line)?;
+            add_line(&mut parsed, index + 1, line)?;
         }
     }
     Ok(parsed)
@@ -279,16 +279,16 @@
     let label = read.custom_id.unwrap_or_else(|| number.to_string());
     let prompt = match (read.body, read.prompt) {
         (Some(body), _) => {
-            let demand = body.demand().map_err(|refusal| line_error(number, &refusal.detail))?;
+            let parameters = body.parameters().map_err(|refusal| line_error(number, &refusal.detail))?;
             let is_first = parsed.model.is_none() && parsed.items.is_empty();
             if is_first {
-                parsed.model = Some(demand.model);
-                parsed.adapter = demand.adapter;
-                parsed.max_tokens = demand.max_tokens;
-            } else if parsed.model.as_ref() != Some(&demand.model) || parsed.adapter != demand.adapter {
+                parsed.model = Some(parameters.model);
+                parsed.adapter = parameters.adapter;
+                parsed.max_tokens = parameters.max_tokens;
+            } else if parsed.model.as_ref() != Some(&parameters.model) || parsed.adapter != parameters.adapter {
                 return Err(line_error(number, "asks for another model than the first line"));
             }
-            demand.prompt
+            parameters.prompt
         }
         (None, Some(prompt)) if !prompt.is_empty() => Arc::from(prompt),
         _ => return Err(line_error(number, "has neither a body nor a prompt")),
--- a/crates/node/src/http/body.rs
+++ b/crates/node/src/http/body.rs
@@ -16,7 +16,7 @@
 /// The body of a response.
 pub enum AnswerBody {
     /// All of it.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// Pieces as they come.
     Stream(Box<AnswerStream>),
 }
@@ -35,8 +35,8 @@
 
 impl AnswerBody {
     /// A whole body.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(bytes.into()))
+    pub fn full(bytes: impl Into<Bytes>) -> Self {
+        Self::Full(Some(bytes.into()))
     }
 }
 
@@ -49,21 +49,21 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Self::Data>, Self::Error>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Stream(stream) => stream.poll(context).map(|bytes| bytes.map(|bytes| Ok(Frame::data(bytes)))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_none(),
+            Self::Full(bytes) => bytes.is_none(),
             Self::Stream(stream) => stream.ended && stream.ready.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64)),
+            Self::Full(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64)),
             Self::Stream(_) => SizeHint::default(),
         }
     }
--- a/crates/node/src/http/online.rs
+++ b/crates/node/src/http/online.rs
@@ -39,7 +39,7 @@
     };
     let writer = AnswerWriter { shape, id: call.id.clone(), model: call.model.clone() };
     let call = service.callers.call(&service.events, CallerCall::Online(call)).await;
-    let mut response = if stream { writer.stream(call).await } else { writer.whole(call).await };
+    let mut response = if stream { writer.stream(call).await } else { writer.full(call).await };
     if let Ok(id) = HeaderValue::from_str(&writer.id) {
         response.headers_mut().insert(REQUEST_HEADER, id);
     }
@@ -49,7 +49,7 @@
 fn read_call(service: &HttpService, headers: &HeaderMap, body: &[u8]) -> Result<(OnlineCall, bool), Refusal> {
     let caller = read_headers(headers)?;
     let completion: CompletionBody = parse_json(body)?;
-    let demand = completion.demand()?;
+    let parameters = completion.parameters()?;
     if caller.resume_from > 0 && !caller.repeatable {
         let detail = "a request that is not repeatable can't be resumed";
         return Err(Refusal::new(ErrorKind::MalformedRequest, detail));
@@ -57,14 +57,14 @@
     let call = OnlineCall {
         id: service.next_request_id(),
         tenant: caller.tenant,
-        model: demand.model,
-        adapter: demand.adapter,
+        model: parameters.model,
+        adapter: parameters.adapter,
         session: caller.session,
         key: caller.key,
         repeatable: caller.repeatable,
         deadline: caller.deadline,
-        prompt: demand.prompt,
-        max_tokens: demand.max_tokens,
+        prompt: parameters.prompt,
+        max_tokens: parameters.max_tokens,
         from_token: caller.resume_from,
     };
     Ok((call, completion.stream))
@@ -80,13 +80,13 @@
 
 impl AnswerWriter {
     /// Waits for the whole answer.
-    async fn whole(&self, mut call: CallInProgress) -> Response<AnswerBody> {
+    async fn full(&self, mut call: CallInProgress) -> Response<AnswerBody> {
         let mut text = String::new();
         while let Some(next) = call.next().await {
             match next {
                 CallerAnswer::Piece { text: piece, .. } => text.push_str(&piece),
                 CallerAnswer::End { tokens, engine } => {
-                    return answer::json(StatusCode::OK, &self.whole_json(&text, tokens, &engine.0));
+                    return answer::json(StatusCode::OK, &self.completion_json(&text, tokens, &engine.0));
                 }
                 CallerAnswer::Refused(refusal) => return answer::refusal(&refusal),
                 _ => break,
@@ -118,7 +118,7 @@
     fn event(&self, answer: CallerAnswer) -> Bytes {
         match answer {
             CallerAnswer::Piece { first, tokens, text } => {
-                Bytes::from(format!("data: {}\n\n", self.piece_json(first, tokens, &text)))
+                Bytes::from(format!("data: {}\n\n", self.chunk_json(first, tokens, &text)))
             }
             CallerAnswer::End { tokens, engine } => {
                 let end = self.end_json(tokens, &engine.0);
@@ -129,7 +129,7 @@
         }
     }
 
-    fn whole_json(&self, text: &str, tokens: u32, engine: &str) -> Value {
+    fn completion_json(&self, text: &str, tokens: u32, engine: &str) -> Value {
         let choice = match self.shape {
             CompletionShape::Chat => {
                 json!({"index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": "stop"})
@@ -146,7 +146,7 @@
         })
     }
 
-    fn piece_json(&self, first: u32, tokens: u32, text: &str) -> Value {
+    fn chunk_json(&self, first: u32, tokens: u32, text: &str) -> Value {
         let choice = match self.shape {
             CompletionShape::Chat => json!({"index": 0, "delta": {"content": text}, "finish_reason": null}),
             CompletionShape::Plain => json!({"index": 0, "text": text, "finish_reason": null}),
--- a/crates/node/src/http/operator.rs
+++ b/crates/node/src/http/operator.rs
@@ -34,7 +34,7 @@
         bundle: Bundle { files: body.files },
         expected_revision: body.expected_revision,
     };
-    match ask(service, call).await {
+    match send_call(service, call).await {
         Some(CallerAnswer::Applied { revision, changed }) => {
             answer::json(StatusCode::OK, &json!({"revision": revision, "changed": changed}))
         }
@@ -50,7 +50,7 @@
 
 /// `GET /operator/configuration`.
 pub async fn configuration(service: &HttpService) -> Response<AnswerBody> {
-    match ask(service, OperatorCall::ReadConfiguration).await {
+    match send_call(service, OperatorCall::ReadConfiguration).await {
         Some(CallerAnswer::Configuration { revision, bundle }) => {
             answer::json(StatusCode::OK, &json!({"revision": revision, "files": bundle.files}))
         }
@@ -60,7 +60,7 @@
 
 /// `GET /operator/status`.
 pub async fn fleet_status(service: &HttpService) -> Response<AnswerBody> {
-    match ask(service, OperatorCall::FleetStatus).await {
+    match send_call(service, OperatorCall::FleetStatus).await {
         Some(CallerAnswer::FleetStatus(status)) => answer::json(StatusCode::OK, &status),
         other => refusal_or_unexpected(other),
     }
@@ -68,7 +68,7 @@
 
 /// `GET /operator/explain/ID`.
 pub async fn explain(service: &HttpService, id: &str) -> Response<AnswerBody> {
-    match ask(service, OperatorCall::Explain(Arc::from(id))).await {
+    match send_call(service, OperatorCall::Explain(Arc::from(id))).await {
         Some(CallerAnswer::Explanation(explanation)) => answer::json(StatusCode::OK, &explanation),
         other => refusal_or_unexpected(other),
     }
@@ -76,7 +76,7 @@
 
 /// `GET /v1/models`.
 pub async fn models(service: &HttpService) -> Response<AnswerBody> {
-    match ask(service, OperatorCall::Models).await {
+    match send_call(service, OperatorCall::Models).await {
         Some(CallerAnswer::Models(models)) => {
             let data: Vec<_> = models
                 .iter()
@@ -99,13 +99,13 @@
 
 /// This node's status.
 pub async fn node_status(service: &HttpService) -> Option<NodeStatus> {
-    match ask(service, OperatorCall::NodeStatus).await {
+    match send_call(service, OperatorCall::NodeStatus).await {
         Some(CallerAnswer::NodeStatus(status)) => Some(status),
         _ => None,
     }
 }
 
-async fn ask(service: &HttpService, call: OperatorCall) -> Option<CallerAnswer> {
+async fn send_call(service: &HttpService, call: OperatorCall) -> Option<CallerAnswer> {
     service.callers.call(&service.events, CallerCall::Operator(call)).await.next().await
 }
 
--- a/crates/node/src/http/prompt.rs
+++ b/crates/node/src/http/prompt.rs
@@ -46,7 +46,7 @@
 
 /// What a completion asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CompletionDemand {
+pub struct CompletionParameters {
     /// The model.
     pub model: Arc<str>,
     /// The adapter, if any.
@@ -63,7 +63,7 @@
     /// # Errors
     ///
     /// There is neither a prompt nor a message, or the limit of tokens is zero.
-    pub fn demand(&self) -> Result<CompletionDemand, Refusal> {
+    pub fn parameters(&self) -> Result<CompletionParameters, Refusal> {
         let prompt = match (&self.messages, &self.prompt) {
             (Some(messages), _) if !messages.is_empty() => render_chat(messages),
             (_, Some(prompt)) if !prompt.is_empty() => prompt.clone(),
@@ -77,7 +77,7 @@
             Some((model, adapter)) => (model, Some(Arc::from(adapter))),
             None => (self.model.as_str(), None),
         };
-        Ok(CompletionDemand { model: Arc::from(model), adapter, prompt: Arc::from(prompt), max_tokens })
+        Ok(CompletionParameters { model: Arc::from(model), adapter, prompt: Arc::from(prompt), max_tokens })
     }
 }
 
--- a/crates/node/src/http/request.rs
+++ b/crates/node/src/http/request.rs
@@ -27,9 +27,9 @@
 pub const REQUEST_HEADER: &str = "stallmoor-request-id";
 
 /// Most bytes of a header's value that names something.
-const MOST_NAME_BYTES: usize = 512;
+const MAX_NAME_BYTES: usize = 512;
 /// The longest deadline, in milliseconds.
-const LONGEST_DEADLINE_MS: u64 = 3_600_000;
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 
 /// Reads a whole body of at most `limit` bytes.
 ///
@@ -85,20 +85,20 @@
 pub fn read_headers(headers: &HeaderMap) -> Result<CallerHeaders, Refusal> {
     let tenant = match name(headers, TENANT_HEADER)? {
         Some(tenant) => tenant,
-        None => bearer(headers)?,
+        None => bearer_tenant(headers)?,
     };
     Ok(CallerHeaders {
         tenant,
         session: name(headers, SESSION_HEADER)?,
         key: name(headers, KEY_HEADER)?,
         repeatable: flag(headers, REPEATABLE_HEADER)?.unwrap_or(true),
-        deadline: number(headers, DEADLINE_HEADER, LONGEST_DEADLINE_MS)?.map(Millis),
+        deadline: number(headers, DEADLINE_HEADER, MAX_DEADLINE_MS)?.map(Millis),
         resume_from: number(headers, RESUME_HEADER, u64::from(u32::MAX))?.unwrap_or(0) as u32,
     })
 }
 
 /// OpenAI's clients send a key in this header; here it names the tenant.
-fn bearer(headers: &HeaderMap) -> Result<Arc<str>, Refusal> {
+fn bearer_tenant(headers: &HeaderMap) -> Result<Arc<str>, Refusal> {
     let value = name(headers, "authorization")?;
     let tenant = value.as_deref().and_then(|value| value.strip_prefix("Bearer ")).map(Arc::from);
     tenant.ok_or_else(|| {
@@ -111,7 +111,7 @@
 fn name(headers: &HeaderMap, header: &str) -> Result<Option<Arc<str>>, Refusal> {
     let Some(value) = headers.get(header) else { return Ok(None) };
     match value.to_str() {
-        Ok(text) if !text.is_empty() && text.len() <= MOST_NAME_BYTES => Ok(Some(Arc::from(text))),
+        Ok(text) if !text.is_empty() && text.len() <= MAX_NAME_BYTES => Ok(Some(Arc::from(text))),
         _ => Err(invalid(header, "must be from 1 to 512 printable characters")),
     }
 }
@@ -125,11 +125,11 @@
     }
 }
 
-fn number(headers: &HeaderMap, header: &str, most: u64) -> Result<Option<u64>, Refusal> {
+fn number(headers: &HeaderMap, header: &str, max: u64) -> Result<Option<u64>, Refusal> {
     let Some(text) = name(headers, header)? else { return Ok(None) };
     match text.parse::<u64>() {
-        Ok(number) if number <= most => Ok(Some(number)),
-        _ => Err(invalid(header, &format!("must be a whole number up to {most}"))),
+        Ok(number) if number <= max => Ok(Some(number)),
+        _ => Err(invalid(header, &format!("must be a whole number up to {max}"))),
     }
 }
 
--- a/crates/node/src/http/server.rs
+++ b/crates/node/src/http/server.rs
@@ -13,7 +13,7 @@
 use super::router::HttpService;
 
 /// The wait after a connection could not be accepted.
-const ACCEPT_WAIT: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Serves callers until the process ends.
 pub async fn serve(listener: TcpListener, service: HttpService) {
@@ -21,7 +21,7 @@
     loop {
         let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_WAIT).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         // Small pieces must not wait for one another.
--- a/crates/node/src/running.rs
+++ b/crates/node/src/running.rs
@@ -28,9 +28,9 @@
 use crate::transport::{TransportState, accept_peers, receive_datagrams};
 
 /// Time between two ticks of the decision code.
-const TICK: Duration = Duration::from_millis(25);
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 /// Most events in one batch.
-const BATCH_EVENTS: usize = 512;
+const MAX_EVENTS_PER_BATCH: usize = 512;
 
 /// Why a node can't start.
 #[derive(Debug, Snafu)]
@@ -122,7 +122,7 @@
     let disk = open_disk(settings.data_folder.as_deref(), peer_address, adopt_data_folder, fresh_identity)?;
 
     let clock = SystemClock::new();
-    let node_settings = decision_settings(settings, disk.id, peer_address, caller_address);
+    let node_settings = core_settings(settings, disk.id, peer_address, caller_address);
     let node = Node::new(node_settings, disk.persisted, clock.read(), random.random());
 
     let (events, queue) = EventSender::channel();
@@ -174,8 +174,8 @@
     };
     let owner = FolderOwner { peer_address: peer_address.to_string(), adopt, fresh_identity };
     let opened = Store::open(folder, &owner).context(StorageSnafu)?;
-    if let Some(aside) = &opened.set_aside {
-        log_event(LogEvent::StoreCorrupted, &format!("set aside as {}", aside.display()));
+    if let Some(quarantined_path) = &opened.set_aside {
+        log_event(LogEvent::StoreCorrupted, &format!("set aside as {}", quarantined_path.display()));
     }
     if opened.formatted {
         log_event(LogEvent::StoreFormatted, &format!("{} in {}", opened.identity, folder.display()));
@@ -183,7 +183,7 @@
     Ok(OpenedDisk { id: opened.identity, store: Some(opened.store), persisted: opened.persisted })
 }
 
-fn decision_settings(
+fn core_settings(
     settings: &NodeFileSettings,
     id: NodeId,
     peer_address: SocketAddr,
@@ -205,11 +205,11 @@
 async fn feed_driver(driver: ActorRef<EventBatch>, mut queue: mpsc::Receiver<Event>, stopped: watch::Sender<bool>) {
     loop {
         let mut events = Vec::new();
-        if queue.recv_many(&mut events, BATCH_EVENTS).await == 0 {
+        if queue.recv_many(&mut events, MAX_EVENTS_PER_BATCH).await == 0 {
             break;
         }
-        let goes_on = driver.call(|done| EventBatch { events, done }, None).await;
-        if !matches!(goes_on, Ok(ractor::rpc::CallResult::Success(true))) {
+        let keep_running = driver.call(|done| EventBatch { events, done }, None).await;
+        if !matches!(keep_running, Ok(ractor::rpc::CallResult::Success(true))) {
             break;
         }
     }
@@ -218,10 +218,10 @@
 }
 
 async fn tick(events: EventSender) {
-    let mut interval = tokio::time::interval(TICK);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
     loop {
         interval.tick().await;
-        events.offer(Event::Tick);
+        events.try_send(Event::Tick);
     }
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -176,12 +176,12 @@
 }
 
 fn read_limits(table: &mut TableReader<'_>) -> CallerLimits {
-    let usual = CallerLimits::default();
+    let defaults = CallerLimits::default();
     CallerLimits {
-        body_bytes: table.integer("body_bytes", 1_024..=1 << 30, usual.body_bytes as u64) as usize,
-        head_bytes: table.integer("head_bytes", 8_192..=1 << 20, usual.head_bytes as u64) as usize,
-        connections: table.integer("connections", 1..=1_000_000, usual.connections as u64) as usize,
-        request_timeout: Millis(table.integer("request_timeout_ms", 10..=600_000, usual.request_timeout.0)),
-        online_requests: table.integer("online_requests", 1..=1_000_000, usual.online_requests as u64) as usize,
+        body_bytes: table.integer("body_bytes", 1_024..=1 << 30, defaults.body_bytes as u64) as usize,
+        head_bytes: table.integer("head_bytes", 8_192..=1 << 20, defaults.head_bytes as u64) as usize,
+        connections: table.integer("connections", 1..=1_000_000, defaults.connections as u64) as usize,
+        request_timeout: Millis(table.integer("request_timeout_ms", 10..=600_000, defaults.request_timeout.0)),
+        online_requests: table.integer("online_requests", 1..=1_000_000, defaults.online_requests as u64) as usize,
     }
 }
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -12,7 +12,7 @@
 use crate::events::EventSender;
 
 /// Ended streams are cleared away after this many starts.
-const SWEEP_AFTER: usize = 256;
+const STARTS_BETWEEN_SWEEPS: usize = 256;
 
 /// The messages of the actor.
 pub enum StreamCommand {
@@ -51,7 +51,7 @@
         });
         self.running.insert(attempt, task);
         self.starts += 1;
-        if self.starts >= SWEEP_AFTER {
+        if self.starts >= STARTS_BETWEEN_SWEEPS {
             self.starts = 0;
             self.running.retain(|_, task| !task.is_finished());
         }
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -20,9 +20,9 @@
 use crate::events::EventSender;
 
 /// Most messages that wait for one peer.
-const PEER_QUEUE: usize = 4_096;
+const PEER_QUEUE_CAPACITY: usize = 4_096;
 /// Messages of at most this size go as one datagram.
-const MOST_DATAGRAM_BYTES: usize = 8_192;
+const MAX_DATAGRAM_BYTES: usize = 8_192;
 /// Room for one datagram. Larger than any UDP payload, so that none is cut off.
 const DATAGRAM_BUFFER_BYTES: usize = 65_536;
 /// How long a connection attempt may take.
@@ -30,7 +30,7 @@
 /// How long one write may take before the connection is given up.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The wait after a failed connection attempt; messages meanwhile are dropped.
-const RECONNECT_WAIT: Duration = Duration::from_millis(200);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 /// A connection without messages for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -57,7 +57,7 @@
     fn send(&mut self, outgoing: &Outgoing) {
         let bytes = stallmoor_wire::encode(&outgoing.message);
         let is_membership = matches!(outgoing.message, PeerMessage::Membership(_));
-        if is_membership && bytes.len() <= MOST_DATAGRAM_BYTES {
+        if is_membership && bytes.len() <= MAX_DATAGRAM_BYTES {
             // A full socket buffer loses the datagram, which membership bears.
             let _ = self.socket.try_send_to(&bytes, outgoing.to);
             return;
@@ -78,12 +78,12 @@
 
 /// Starts the task that keeps a connection to a peer.
 fn connect(peer: SocketAddr) -> mpsc::Sender<Vec<u8>> {
-    let (sender, receiver) = mpsc::channel(PEER_QUEUE);
-    tokio::spawn(keep_connection(peer, receiver));
+    let (sender, receiver) = mpsc::channel(PEER_QUEUE_CAPACITY);
+    tokio::spawn(maintain_connection(peer, receiver));
     sender
 }
 
-async fn keep_connection(peer: SocketAddr, mut frames: mpsc::Receiver<Vec<u8>>) {
+async fn maintain_connection(peer: SocketAddr, mut frames: mpsc::Receiver<Vec<u8>>) {
     loop {
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(peer)).await;
         if let Ok(Ok(stream)) = connected {
@@ -92,7 +92,7 @@
                 return;
             }
         }
-        tokio::time::sleep(RECONNECT_WAIT).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
         while frames.try_recv().is_ok() {}
     }
 }
@@ -131,7 +131,7 @@
 pub async fn accept_peers(listener: TcpListener, events: EventSender) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            tokio::time::sleep(RECONNECT_WAIT).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
@@ -159,7 +159,7 @@
         }
         match stallmoor_wire::decode(&frame) {
             Ok(message) => {
-                events.offer(Event::Peer(message));
+                events.try_send(Event::Peer(message));
             }
             Err(error) => log_event(LogEvent::MessageRefused, &format!("from {peer}: {error}")),
         }
@@ -173,7 +173,7 @@
         let Ok((length, peer)) = socket.recv_from(&mut buffer).await else { continue };
         match stallmoor_wire::decode(&buffer[..length]) {
             Ok(message) => {
-                events.offer(Event::Peer(message));
+                events.try_send(Event::Peer(message));
             }
             Err(error) => log_event(LogEvent::MessageRefused, &format!("from {peer}: {error}")),
         }
--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn malformed_requests_are_refused_with_their_place() {
+async fn malformed_requests_are_rejected_with_the_error_location() {
     let fleet = fleet(1, 1).await;
     let to = fleet.caller_address(0);
     let tenant = [("stallmoor-tenant", TENANT)];
@@ -39,19 +39,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn unknown_names_are_refused_by_kind() {
+async fn unknown_names_return_specific_error_codes() {
     let fleet = fleet(1, 1).await;
     let to = fleet.caller_address(0);
-    let ask = |tenant: &'static str, model: &'static str| {
+    let request_completion = |tenant: &'static str, model: &'static str| {
         let client = fleet.client.clone();
         async move {
             let body = json!({"model": model, "prompt": "p"});
             client.post(to, "/v1/completions", &[("stallmoor-tenant", tenant)], body).await.code()
         }
     };
-    assert_eq!(ask(TENANT, "no-such-model").await, "unknown_model");
-    assert_eq!(ask(TENANT, "model:no-such-adapter").await, "unknown_adapter");
-    assert_eq!(ask("nobody", MODEL).await, "unknown_tenant");
+    assert_eq!(request_completion(TENANT, "no-such-model").await, "unknown_model");
+    assert_eq!(request_completion(TENANT, "model:no-such-adapter").await, "unknown_adapter");
+    assert_eq!(request_completion("nobody", MODEL).await, "unknown_tenant");
     let job = fleet.client.get(to, "/v1/batches/job-0-00000000000000ff").await;
     assert_eq!((job.status, job.code().as_str()), (StatusCode::NOT_FOUND, "unknown_job"));
     let nonsense = fleet.client.get(to, "/v1/batches/my-job").await;
@@ -59,32 +59,32 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_oversized_body_is_refused() {
+async fn oversized_body_is_rejected() {
     let fleet = fleet(1, 1).await;
     let body = json!({"model": MODEL, "prompt": "x".repeat(2 << 20)}).to_string();
     let headers = [("stallmoor-tenant", TENANT)];
-    let answered = fleet.client.send(Method::POST, fleet.caller_address(0), "/v1/completions", &headers, body).await;
-    assert_eq!((answered.status, answered.code().as_str()), (StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"));
+    let response = fleet.client.send(Method::POST, fleet.caller_address(0), "/v1/completions", &headers, body).await;
+    assert_eq!((response.status, response.code().as_str()), (StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_half_sent_request_harms_nobody() {
+async fn truncated_and_invalid_requests_do_not_affect_other_callers() {
     let fleet = fleet(1, 1).await;
     let to = fleet.caller_address(0);
-    let mut half = TcpStream::connect(to).await.expect("connected");
-    half.write_all(b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 500\r\n\r\n{\"model\"")
+    let mut truncated = TcpStream::connect(to).await.expect("connected");
+    truncated.write_all(b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 500\r\n\r\n{\"model\"")
         .await
         .expect("sent");
-    drop(half);
-    let mut noise = TcpStream::connect(to).await.expect("connected");
-    noise.write_all(b"\x16\x03\x01 this is no HTTP\r\n\r\n").await.expect("sent");
+    drop(truncated);
+    let mut invalid = TcpStream::connect(to).await.expect("connected");
+    invalid.write_all(b"\x16\x03\x01 this is no HTTP\r\n\r\n").await.expect("sent");
     let mut answer = Vec::new();
-    noise.read_to_end(&mut answer).await.expect("closed");
-    assert_eq!(fleet.ask(0, &[], "still there?").await.status, StatusCode::OK);
+    invalid.read_to_end(&mut answer).await.expect("closed");
+    assert_eq!(fleet.request_completion(0, &[], "still there?").await.status, StatusCode::OK);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn garbage_from_a_peer_is_refused_and_harms_nobody() {
+async fn invalid_peer_messages_do_not_affect_callers() {
     let fleet = fleet(1, 1).await;
     let peer = fleet.nodes[0].peer_address;
     for garbage in [&[0xff_u8; 64][..], &[8, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8], &[200, 0, 0, 0, 1]] {
@@ -93,11 +93,11 @@
     }
     let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     socket.send_to(b"not a datagram of ours", peer).await.expect("sent");
-    assert_eq!(fleet.ask(0, &[], "still there?").await.status, StatusCode::OK);
+    assert_eq!(fleet.request_completion(0, &[], "still there?").await.status, StatusCode::OK);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_hangs_up_frees_the_engine() {
+async fn caller_disconnect_cancels_the_engine_request() {
     let fleet = fleet(1, 1).await;
     let mut caller = TcpStream::connect(fleet.caller_address(0)).await.expect("connected");
     let body = json!({"model": MODEL, "prompt": "a long one", "stream": true}).to_string();
@@ -117,7 +117,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bad_configuration_is_refused_with_all_its_errors_and_nothing_is_applied() {
+async fn invalid_configuration_reports_all_errors_and_is_not_applied() {
     let fleet = fleet(1, 1).await;
     let mut files = fleet.files();
     files["services.toml"] =
@@ -145,19 +145,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_who_saw_an_older_revision_loses_with_a_conflict() {
+async fn stale_expected_revision_returns_a_conflict() {
     let fleet = fleet(1, 1).await;
     let mut files = fleet.files();
     files["tenants.toml"] = json!("[[tenant]]\nname = \"other\"\n");
     let refused = fleet.apply(files, Some(0)).await;
     assert_eq!((refused.status, refused.code().as_str()), (StatusCode::CONFLICT, "configuration_conflict"));
-    assert_eq!(fleet.ask(0, &[], "same as before?").await.status, StatusCode::OK);
+    assert_eq!(fleet.request_completion(0, &[], "same as before?").await.status, StatusCode::OK);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_without_configuration_says_so_and_when_to_come_back() {
+async fn unconfigured_node_returns_not_configured_with_retry_after() {
     let fleet = unconfigured_fleet(1, 1).await;
-    let refused = fleet.ask(0, &[], "anybody there?").await;
+    let refused = fleet.request_completion(0, &[], "anybody there?").await;
     assert_eq!((refused.status, refused.code().as_str()), (StatusCode::SERVICE_UNAVAILABLE, "not_configured"));
     assert!(refused.headers.contains_key("retry-after"));
     let ready = fleet.client.get(fleet.caller_address(0), "/readyz").await;
--- a/crates/node/tests/engine_faults.rs
+++ b/crates/node/tests/engine_faults.rs
@@ -9,33 +9,33 @@
 use support::{MODEL, eventually, fleet, lines};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_stay_whole_when_engines_break_double_and_cross_them() {
+async fn answers_are_correct_when_engines_truncate_duplicate_or_mix_streams() {
     let fleet = fleet(1, 3).await;
     for engine in &fleet.engines {
         let faults = json!({"truncated": 0.2, "doubled": 0.3, "crossed": 0.3});
         fleet.client.post(*engine, "/fault", &[], faults).await;
     }
-    let mut whole = 0;
+    let mut completed = 0;
     for number in 0..40 {
         let prompt = format!("question {number}");
-        let answered = fleet.ask(0, &[], &prompt).await;
-        if answered.status == StatusCode::OK {
-            whole += 1;
-            assert_eq!(answered.json()["choices"][0]["text"], answer_text(MODEL, &prompt, 40));
+        let response = fleet.request_completion(0, &[], &prompt).await;
+        if response.status == StatusCode::OK {
+            completed += 1;
+            assert_eq!(response.json()["choices"][0]["text"], answer_text(MODEL, &prompt, 40));
         } else {
-            assert!(answered.headers.contains_key("retry-after"), "{:?}", answered.body);
+            assert!(response.headers.contains_key("retry-after"), "{:?}", response.body);
         }
     }
-    assert!(whole > 0, "no request was answered");
+    assert!(completed > 0, "no request was answered");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_engine_gets_no_new_work() {
+async fn leaving_engine_receives_no_new_requests() {
     let fleet = fleet(1, 2).await;
     fleet.client.post(fleet.engines[0], "/fault", &[], json!({"leaving": true})).await;
     eventually("the node knows", || async {
-        let answered = fleet.ask(0, &[], "who serves this?").await;
-        answered.json()["stallmoor"]["engine"] == "engine-1"
+        let response = fleet.request_completion(0, &[], "who serves this?").await;
+        response.json()["stallmoor"]["engine"] == "engine-1"
     })
     .await;
     let runs = |engine: usize| {
@@ -44,18 +44,18 @@
     };
     let before = runs(0).await;
     for number in 0..20 {
-        assert_eq!(fleet.ask(0, &[], &format!("after {number}")).await.status, StatusCode::OK);
+        assert_eq!(fleet.request_completion(0, &[], &format!("after {number}")).await.status, StatusCode::OK);
     }
     assert_eq!(runs(0).await, before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_finishes_what_it_has_and_hands_over_its_jobs() {
+async fn planned_stop_completes_pending_requests_and_transfers_jobs() {
     let mut fleet = fleet(3, 2).await;
     let submitted = fleet.submit(0, "long", lines(150)).await;
     assert_eq!(submitted.status, StatusCode::OK, "{:?}", submitted.body);
     let path = format!("/v1/batches/{}", submitted.json()["id"].as_str().expect("an id"));
-    let in_hand = {
+    let pending_request = {
         let (client, to) = (fleet.client.clone(), fleet.caller_address(0));
         let headers = [("stallmoor-tenant", support::TENANT)];
         tokio::spawn(async move {
@@ -63,10 +63,10 @@
             client.post(to, "/v1/completions", &headers, body).await
         })
     };
-    eventually("the request runs", || async { fleet.runs_of("while it stops").await > 0 }).await;
+    eventually("the request runs", || async { fleet.run_count("while it stops").await > 0 }).await;
     fleet.nodes[0].stop().await;
-    let answered = in_hand.await.expect("not cut");
-    assert_eq!(answered.status, StatusCode::OK, "{:?}", answered.body);
+    let response = pending_request.await.expect("not cut");
+    assert_eq!(response.status, StatusCode::OK, "{:?}", response.body);
     fleet.nodes[0].stopped().await;
     let to = fleet.caller_address(1);
     eventually("the job completes elsewhere", || async {
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn configuration_reaches_nodes_while_the_key_value_service_is_down() {
+async fn configuration_propagates_while_the_key_value_service_is_down() {
     let fleet = fleet(3, 1).await;
     let mut files = fleet.files();
     files["tenants.toml"] = json!("[[tenant]]\nname = \"tenant\"\n[[tenant]]\nname = \"second\"\n");
--- a/crates/node/tests/golden_http.rs
+++ b/crates/node/tests/golden_http.rs
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 
 use hyper::Method;
-use support::{Answered, MODEL, TENANT, fleet, unconfigured_fleet};
+use support::{TestResponse, MODEL, TENANT, fleet, unconfigured_fleet};
 
 /// The metrics with values left out.
 fn without_values(text: &str) -> String {
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn metrics_have_the_names_and_types_that_they_ever_had() {
+async fn metric_names_and_types_match_the_golden_file() {
     let fleet = fleet(1, 1).await;
     let served = fleet.client.get(fleet.caller_address(0), "/metrics").await;
     let kind = served.headers["content-type"].to_str().expect("text");
@@ -29,16 +29,16 @@
 }
 
 /// Status, the headers that are stallmoor's own or say when to retry, and the body.
-fn describe(described: &mut String, case: &str, answered: &Answered) {
-    writeln!(described, "# {case}\n{}", answered.status.as_u16()).expect("written to a string");
+fn describe(described: &mut String, case: &str, response: &TestResponse) {
+    writeln!(described, "# {case}\n{}", response.status.as_u16()).expect("written to a string");
     for name in ["content-type", "stallmoor-ran", "retry-after"] {
-        writeln!(described, "{name}: {:?}", answered.headers.get(name)).expect("written to a string");
+        writeln!(described, "{name}: {:?}", response.headers.get(name)).expect("written to a string");
     }
-    writeln!(described, "{}\n", String::from_utf8_lossy(&answered.body)).expect("written to a string");
+    writeln!(described, "{}\n", String::from_utf8_lossy(&response.body)).expect("written to a string");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn refusals_are_answered_as_ever() {
+async fn refusal_responses_match_the_golden_file() {
     let (ready, bare) = (fleet(1, 1).await, unconfigured_fleet(1, 0).await);
     let (to, to_bare) = (ready.caller_address(0), bare.caller_address(0));
     let body = |model: &str| format!("{{\"model\": \"{model}\", \"prompt\": \"p\"}}");
--- a/crates/node/tests/golden_settings.rs
+++ b/crates/node/tests/golden_settings.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_full_and_a_minimal_file_are_read_as_ever() {
+fn full_and_minimal_settings_match_the_golden_file() {
     let read = |text: &str| describe(&parse_settings(&file(text)).expect("the settings are sound"));
     let described = format!("# full\n{}\n# minimal\n{}", read(FULL), read(MINIMAL));
     golden::check_text("settings.txt", &described);
@@ -88,7 +88,7 @@
 
 /// Each case changes one place of the full file; the last has several errors at once.
 #[test]
-fn errors_of_the_file_read_as_ever() {
+fn settings_errors_match_the_golden_file() {
     let cases = [
         ("unknown table", "[limits]", "[limit]"),
         ("unknown field", "seeds = ", "seed = "),
--- a/crates/node/tests/serving.rs
+++ b/crates/node/tests/serving.rs
@@ -11,11 +11,11 @@
 use support::{MODEL, TENANT, eventually, fleet, lines};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_online_answer_is_whole_in_one_piece_and_in_many() {
+async fn online_answer_is_complete_with_and_without_streaming() {
     let fleet = fleet(1, 2).await;
-    let whole = fleet.ask(0, &[("stallmoor-session", "desk-1")], "how are the readings?").await;
-    assert_eq!(whole.status, StatusCode::OK, "{:?}", whole.body);
-    assert_eq!(whole.json()["choices"][0]["text"], answer_text(MODEL, "how are the readings?", 40));
+    let complete = fleet.request_completion(0, &[("stallmoor-session", "desk-1")], "how are the readings?").await;
+    assert_eq!(complete.status, StatusCode::OK, "{:?}", complete.body);
+    assert_eq!(complete.json()["choices"][0]["text"], answer_text(MODEL, "how are the readings?", 40));
 
     let body =
         json!({"model": MODEL, "stream": true, "max_tokens": 40, "messages": [{"role": "user", "content": "hello"}]});
@@ -31,28 +31,28 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_stream_is_resumed_from_its_offset_at_another_node() {
+async fn interrupted_stream_resumes_from_its_offset_on_another_node() {
     let fleet = fleet(3, 2).await;
-    let whole = answer_text(MODEL, "resume me", 40);
-    let words: Vec<&str> = whole.split_inclusive(' ').collect();
-    let resumed = fleet.ask(2, &[("stallmoor-resume-from", "3")], "resume me").await;
+    let complete = answer_text(MODEL, "resume me", 40);
+    let words: Vec<&str> = complete.split_inclusive(' ').collect();
+    let resumed = fleet.request_completion(2, &[("stallmoor-resume-from", "3")], "resume me").await;
     assert_eq!(resumed.json()["choices"][0]["text"], words[3..].concat());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_session_stays_on_its_engine_whichever_node_serves_it() {
+async fn session_is_routed_to_the_same_engine_by_every_node() {
     let fleet = fleet(3, 4).await;
     let mut engines = BTreeSet::new();
     for turn in 0..6 {
-        let answered = fleet.ask(turn % 3, &[("stallmoor-session", "desk-9")], &format!("turn {turn}")).await;
-        assert_eq!(answered.status, StatusCode::OK, "{:?}", answered.body);
-        engines.insert(answered.json()["stallmoor"]["engine"].to_string());
+        let response = fleet.request_completion(turn % 3, &[("stallmoor-session", "desk-9")], &format!("turn {turn}")).await;
+        assert_eq!(response.status, StatusCode::OK, "{:?}", response.body);
+        engines.insert(response.json()["stallmoor"]["engine"].to_string());
     }
     assert_eq!(engines.len(), 1, "{engines:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_completes_and_its_results_are_readable_at_every_node() {
+async fn job_results_are_readable_from_every_node() {
     let fleet = fleet(3, 3).await;
     let submitted = fleet.submit(1, "sweep-1", lines(60)).await;
     assert_eq!(submitted.status, StatusCode::OK, "{:?}", submitted.body);
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_file_is_uploaded_first_and_runs_only_once_its_batch_is_created() {
+async fn uploaded_file_runs_only_after_its_batch_is_created() {
     let fleet = fleet(1, 1).await;
     let to = fleet.caller_address(0);
     let line = json!({"custom_id": "a", "method": "POST", "url": "/v1/chat/completions",
@@ -93,7 +93,7 @@
     let headers = [("stallmoor-tenant", TENANT), ("idempotency-key", "file-1")];
     let file = fleet.client.send(Method::POST, to, "/v1/files", &headers, line.to_string()).await;
     assert_eq!(file.status, StatusCode::OK, "{:?}", file.body);
-    assert_eq!(fleet.runs_of("user: later\n").await, 0);
+    assert_eq!(fleet.run_count("user: later\n").await, 0);
     let create = json!({"input_file_id": file.json()["id"], "endpoint": "/v1/chat/completions"});
     let batch = fleet.client.post(to, "/v1/batches", &headers, create).await;
     let path = format!("/v1/batches/{}", batch.json()["id"].as_str().expect("an id"));
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cancelled_job_stops() {
+async fn cancelled_job_stops_running() {
     let fleet = fleet(1, 1).await;
     let to = fleet.caller_address(0);
     let submitted = fleet.submit(0, "to-cancel", lines(400)).await;
@@ -118,26 +118,26 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_marked_as_not_repeatable_runs_once() {
+async fn non_repeatable_request_runs_once() {
     let fleet = fleet(3, 2).await;
     let once = [("stallmoor-repeatable", "false"), ("idempotency-key", "letter-1")];
-    let first = fleet.ask(0, &once, "send the letter").await;
+    let first = fleet.request_completion(0, &once, "send the letter").await;
     assert_eq!(first.status, StatusCode::OK, "{:?}", first.body);
     eventually("the outcome is settled", || async {
-        fleet.ask(1, &once, "send the letter").await.code() == "already_ran"
+        fleet.request_completion(1, &once, "send the letter").await.code() == "already_ran"
     })
     .await;
-    let other = fleet.ask(2, &once, "send another letter").await;
+    let other = fleet.request_completion(2, &once, "send another letter").await;
     assert_eq!(other.code(), "key_conflict");
-    assert_eq!(fleet.runs_of("send the letter").await, 1);
-    assert_eq!(fleet.runs_of("send another letter").await, 0);
+    assert_eq!(fleet.run_count("send the letter").await, 1);
+    assert_eq!(fleet.run_count("send another letter").await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_explanation_names_the_engines_considered() {
+async fn explanation_lists_the_candidate_engines() {
     let fleet = fleet(1, 3).await;
-    let answered = fleet.ask(0, &[], "explain yourself").await;
-    let id = answered.headers["stallmoor-request-id"].to_str().expect("an id").to_owned();
+    let response = fleet.request_completion(0, &[], "explain yourself").await;
+    let id = response.headers["stallmoor-request-id"].to_str().expect("an id").to_owned();
     let explained = fleet.client.get(fleet.caller_address(0), &format!("/operator/explain/{id}")).await.json();
     let steps = explained["steps"].to_string();
     assert!(steps.contains("engine-0") && steps.contains("chosen") && steps.contains("answered"), "{steps}");
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -25,7 +25,7 @@
 /// The tenant that the fleet knows.
 pub const TENANT: &str = "tenant";
 /// Nothing that these tests wait for takes longer.
-const WAIT_LIMIT: Duration = Duration::from_secs(60);
+const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Every change has an id of its own.
 static NEXT_APPLY: AtomicU64 = AtomicU64::new(1);
@@ -41,13 +41,13 @@
 }
 
 /// An answer, read whole.
-pub struct Answered {
+pub struct TestResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
-impl Answered {
+impl TestResponse {
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
@@ -71,7 +71,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
-    ) -> Answered {
+    ) -> TestResponse {
         let mut request = Request::builder().method(method).uri(format!("http://{to}{path}"));
         for (name, value) in headers {
             request = request.header(*name, *value);
@@ -80,14 +80,14 @@
         let response = self.caller.send(request).await.expect("an answer");
         let (parts, body) = response.into_parts();
         let body = body.collect().await.expect("a whole body").to_bytes();
-        Answered { status: parts.status, headers: parts.headers, body }
+        TestResponse { status: parts.status, headers: parts.headers, body }
     }
 
-    pub async fn get(&self, to: SocketAddr, path: &str) -> Answered {
+    pub async fn get(&self, to: SocketAddr, path: &str) -> TestResponse {
         self.send(Method::GET, to, path, &[], "").await
     }
 
-    pub async fn post(&self, to: SocketAddr, path: &str, headers: &[(&str, &str)], body: Value) -> Answered {
+    pub async fn post(&self, to: SocketAddr, path: &str, headers: &[(&str, &str)], body: Value) -> TestResponse {
         self.send(Method::POST, to, path, headers, body.to_string()).await
     }
 }
@@ -187,9 +187,9 @@
     /// A set of files that names this fleet's engines.
     pub fn files(&self) -> Value {
         let mut machines = String::new();
-        for (place, engine) in self.engines.iter().enumerate() {
+        for (index, engine) in self.engines.iter().enumerate() {
             machines.push_str(&format!(
-                "[[machine]]\nname = \"engine-{place}\"\naddress = \"{engine}\"\nzone = \"zone-a\"\nservice = \"service\"\n"
+                "[[machine]]\nname = \"engine-{index}\"\naddress = \"{engine}\"\nzone = \"zone-a\"\nservice = \"service\"\n"
             ));
         }
         json!({
@@ -203,7 +203,7 @@
         })
     }
 
-    pub async fn apply(&self, files: Value, expected_revision: Option<u64>) -> Answered {
+    pub async fn apply(&self, files: Value, expected_revision: Option<u64>) -> TestResponse {
         let apply_id = NEXT_APPLY.fetch_add(1, Ordering::Relaxed);
         let body = json!({"apply_id": apply_id, "expected_revision": expected_revision, "files": files});
         self.client.post(self.caller_address(0), "/operator/configuration", &[], body).await
@@ -218,7 +218,7 @@
     }
 
     /// Asks a question at a node, with more headers than the tenant's.
-    pub async fn ask(&self, node: usize, headers: &[(&str, &str)], prompt: &str) -> Answered {
+    pub async fn request_completion(&self, node: usize, headers: &[(&str, &str)], prompt: &str) -> TestResponse {
         let mut all = vec![("stallmoor-tenant", TENANT)];
         all.extend_from_slice(headers);
         let body = json!({"model": MODEL, "prompt": prompt, "max_tokens": 40});
@@ -226,14 +226,14 @@
     }
 
     /// Submits JSON Lines as a job.
-    pub async fn submit(&self, node: usize, key: &str, lines: String) -> Answered {
+    pub async fn submit(&self, node: usize, key: &str, lines: String) -> TestResponse {
         let headers = [("stallmoor-tenant", TENANT), ("idempotency-key", key), ("content-type", "application/jsonl")];
         let path = format!("/v1/batches?model={MODEL}&max_tokens=40");
         self.client.send(Method::POST, self.caller_address(node), &path, &headers, lines).await
     }
 
     /// How often a prompt ran, by the engines' own count.
-    pub async fn runs_of(&self, prompt: &str) -> usize {
+    pub async fn run_count(&self, prompt: &str) -> usize {
         let mut runs = 0;
         for engine in &self.engines {
             let listed = self.client.get(*engine, "/runs").await.json();
@@ -253,7 +253,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    assert!(tokio::time::timeout(WAIT_LIMIT, wait).await.is_ok(), "{what}: not within {} s", WAIT_LIMIT.as_secs());
+    assert!(tokio::time::timeout(EVENTUALLY_TIMEOUT, wait).await.is_ok(), "{what}: not within {} s", EVENTUALLY_TIMEOUT.as_secs());
 }
 
 /// Many items in JSON Lines.
