--- a/crates/clients/src/engine.rs
+++ b/crates/clients/src/engine.rs
@@ -1,8 +1,8 @@
-//! Engines over HTTP.
+//! HTTP client of the engines.
 //!
-//! `POST /v1/generate` streams server-sent events: `{"attempt", "first", "tokens", "text"}` for pieces
-//! and `{"attempt", "length"}` for the end. A refusal before running is 503 with `{"refused"}`, one for
-//! the request itself 400 with `{"rejected"}`. `GET /v1/load` gives load and cache events. Closing the
+//! `POST /v1/generate` streams server-sent events: `{"attempt", "first", "tokens", "text"}` for tokens
+//! and `{"attempt", "length"}` for the end. An engine that can't accept the request returns 503 with `{"refused"}`;
+//! an invalid request returns 400 with `{"rejected"}`. `GET /v1/load` returns load and cache events. Closing the
 //! connection cancels the request.
 
 use std::net::SocketAddr;
@@ -21,16 +21,14 @@
 use crate::http::{HttpCaller, HttpError};
 use crate::{BoxFuture, EnginePoll, Engines, StreamSink};
 
-/// How long a poll may take.
 const POLL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long an engine may take to carry out an order, a load of weights included.
+/// Includes the time to load model weights.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(50);
-/// How long an engine may take to begin its answer.
+/// Time limit for the response head of a request.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// Most bytes of one event.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Engines over HTTP.
+/// [`Engines`] over HTTP.
 pub struct HttpEngines {
     caller: HttpCaller,
 }
@@ -96,7 +94,7 @@
 }
 
 impl HttpEngines {
-    /// A client of engines.
+    /// Creates a client that sends its requests through `caller`.
     pub fn new(caller: HttpCaller) -> Self {
         Self { caller }
     }
@@ -151,7 +149,7 @@
     }
 }
 
-/// Reads server-sent events until the end, or until nothing more is wanted.
+/// Reads server-sent events until the stream ends or the sink returns false.
 async fn read_events(response: Response<Incoming>, request_attempt: AttemptId, sink: &StreamSink) {
     let mut body = response.into_body();
     let mut buffer: Vec<u8> = Vec::new();
@@ -163,7 +161,7 @@
         };
         buffer.extend_from_slice(&data);
         while let Some(event) = take_event(&mut buffer) {
-            // Another attempt's end is not the end of this stream.
+            // The end of another attempt does not end this stream.
             let is_end = match &event {
                 StreamEvent::End { attempt, .. } => *attempt == request_attempt,
                 StreamEvent::Broken { .. } => true,
@@ -180,7 +178,7 @@
     sink(StreamEvent::Broken { detail: ended.unwrap_or_else(|| "the stream closed without an end".to_owned()) });
 }
 
-/// Takes the first whole event out of the buffer.
+/// Removes the first complete event from the buffer and parses it.
 fn take_event(buffer: &mut Vec<u8>) -> Option<StreamEvent> {
     let end = buffer.windows(2).position(|pair| pair == b"\n\n")?;
     let rest = buffer.split_off(end + 2);
@@ -189,7 +187,7 @@
     let Ok(event) = serde_json::from_slice::<GenerateEvent>(payload.trim_ascii()) else {
         return Some(StreamEvent::Broken { detail: "an event could not be read".to_owned() });
     };
-    // An attempt that can't be read is nobody's, so it is judged as crossed.
+    // An invalid attempt ID matches no attempt, so the event is handled as belonging to another stream.
     let attempt = AttemptId::parse(&event.attempt).unwrap_or(AttemptId(0));
     Some(match event.length {
         Some(length) => StreamEvent::End { attempt, length },
@@ -197,7 +195,7 @@
     })
 }
 
-/// An engine that says it refused is believed; any other status leaves open whether it ran.
+/// Parses an error response. Without an explicit refusal it is unknown whether the request ran.
 async fn read_refusal(response: Response<Incoming>) -> StreamEvent {
     let status = response.status();
     let body = match response.into_body().collect().await {
--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP client for all of the platform, with a time limit on every call.
+//! HTTP client shared by the clients of the platform's services.
 
 use std::time::Duration;
 
@@ -11,37 +11,37 @@
 use hyper_util::rt::TokioExecutor;
 use snafu::Snafu;
 
-/// Most bytes of a whole answer.
+/// Maximum size of a response body.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Why a call gave no answer.
+/// An error of an HTTP call.
 #[derive(Debug, Snafu)]
 pub enum HttpError {
-    /// There was no connection: nothing was sent.
+    /// The connection could not be established; nothing was sent.
     #[snafu(display("no connection to {uri}"))]
     NotSent {
-        /// Where to.
+        /// URI of the request.
         uri: String,
     },
-    /// The connection broke after something was sent.
+    /// The request failed after it may have been sent.
     #[snafu(display("{uri}: {detail}"))]
     Broken {
-        /// Where to.
+        /// URI of the request.
         uri: String,
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
-    /// No answer came in time.
+    /// No complete response arrived within the time limit.
     #[snafu(display("{uri}: no answer within {} ms", limit.as_millis()))]
     TimedOut {
-        /// Where to.
+        /// URI of the request.
         uri: String,
-        /// The limit.
+        /// Time limit of the call.
         limit: Duration,
     },
 }
 
-/// An HTTP client.
+/// An HTTP client with a connection pool; clones share the pool.
 #[derive(Clone)]
 pub struct HttpCaller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -58,11 +58,11 @@
 }
 
 impl HttpCaller {
-    /// Sends a request and returns the answer's head, its body still to come.
+    /// Sends a request and returns once the response head has arrived.
     ///
     /// # Errors
     ///
-    /// There was no connection, or it broke before the head came.
+    /// Returns an error if the connection can't be established or fails before the response head arrives.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, HttpError> {
         let uri = request.uri().to_string();
         self.client.request(request).await.map_err(|error| {
@@ -74,11 +74,11 @@
         })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// No whole answer came within `limit`.
+    /// Returns an error if no complete response arrives within `limit`.
     pub async fn call(
         &self,
         method: Method,
--- a/crates/clients/src/key_value.rs
+++ b/crates/clients/src/key_value.rs
@@ -1,7 +1,7 @@
-//! The key-value service over HTTP.
+//! HTTP client of the key-value service.
 //!
-//! `GET /v1/keys/KEY` gives `{"version": N, "value": "..."}` or 404. `PUT /v1/keys/KEY?expected=N` with
-//! the value as body writes it if the stored version is `N` (0: the key must not exist), or gives 412.
+//! `GET /v1/keys/KEY` returns `{"version": N, "value": "..."}` or 404. `PUT /v1/keys/KEY?expected=N` writes
+//! the body as value if the stored version is `N` (0: the key must not exist), and returns 412 otherwise.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,10 +14,9 @@
 use crate::http::HttpCaller;
 use crate::{BoxFuture, KeyValueService};
 
-/// How long a call may take.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// The key-value service over HTTP.
+/// [`KeyValueService`] over HTTP.
 pub struct HttpKeyValue {
     base: String,
     caller: HttpCaller,
@@ -30,7 +29,7 @@
 }
 
 impl HttpKeyValue {
-    /// A client of the service at `address`.
+    /// Creates a client of the service at `address`.
     pub fn new(address: std::net::SocketAddr, caller: HttpCaller) -> Self {
         Self { base: format!("http://{address}/v1/keys/"), caller }
     }
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -1,7 +1,7 @@
-//! Clients of what the platform gives: engines, the key-value service and the machine list.
+//! Clients of the platform's services: engines, the key-value service and the machine list.
 //!
-//! Each is one narrow trait and one file that speaks its published protocol over HTTP. A platform with
-//! another protocol costs one more file here and nothing elsewhere.
+//! Each service has a trait and a module that implements it over HTTP. Supporting another protocol requires
+//! only another implementation of the trait.
 
 mod engine;
 mod http;
@@ -22,42 +22,42 @@
 pub use key_value::HttpKeyValue;
 pub use machine_list::HttpMachineList;
 
-/// A future on the heap, so that the traits can be used as objects.
+/// A boxed future, which keeps the traits object-safe.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// Where the pieces of a stream go. Returns whether more is wanted.
+/// Receives the events of a stream. Returns false to stop the stream.
 pub type StreamSink = Box<dyn Fn(StreamEvent) -> bool + Send + Sync>;
 
-/// The key-value service.
+/// A client of the key-value service.
 pub trait KeyValueService: Send + Sync {
-    /// Carries out an operation. Errors and time-outs are [`KeyValueOutcome::NoAnswer`].
+    /// Executes an operation. Errors and timeouts are returned as [`KeyValueOutcome::NoAnswer`].
     fn call(&self, operation: KeyValueOperation) -> BoxFuture<'_, KeyValueOutcome>;
 }
 
-/// The machine list.
+/// A client of the machine list.
 pub trait MachineList: Send + Sync {
-    /// Reads the list; `None` if it can't be read.
+    /// Reads the list. Returns `None` if it can't be read.
     fn read(&self) -> BoxFuture<'_, Option<Vec<MachineReport>>>;
 }
 
-/// What an engine answers to a poll.
+/// An engine's response to a poll.
 #[derive(Clone, Debug)]
 pub struct EnginePoll {
-    /// Its load.
+    /// Load of the engine.
     pub report: LoadReport,
-    /// Its cache events.
+    /// Changes of the engine's prefix cache, if the response contains any.
     pub cache: Option<CacheEventBatch>,
 }
 
-/// Engines.
+/// A client of the engines.
 pub trait Engines: Send + Sync {
-    /// Sends a request and feeds what comes to the sink, ending with one event that ends the stream.
+    /// Sends a request and passes the resulting events to the sink; the last one ends the stream.
     /// Dropping the future cancels the request at the engine.
     fn stream(&self, request: EngineRequest, sink: StreamSink) -> BoxFuture<'_, ()>;
 
-    /// Gives an order to an engine.
+    /// Sends an order to an engine.
     fn order(&self, order: EngineOrder) -> BoxFuture<'_, OrderOutcome>;
 
-    /// Polls an engine; `None` if it doesn't answer.
+    /// Polls an engine. Returns `None` if there is no valid response.
     fn poll(&self, address: SocketAddr, cache_from: Option<u64>) -> BoxFuture<'_, Option<EnginePoll>>;
 }
--- a/crates/clients/src/machine_list.rs
+++ b/crates/clients/src/machine_list.rs
@@ -1,4 +1,4 @@
-//! The machine list over HTTP: `GET /v1/machines` gives `[{"name", "incarnation", "state"}]`.
+//! HTTP client of the machine list: `GET /v1/machines` returns `[{"name", "incarnation", "state"}]`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,10 +12,9 @@
 use crate::http::HttpCaller;
 use crate::{BoxFuture, MachineList};
 
-/// How long a read may take.
 const READ_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// The machine list over HTTP.
+/// [`MachineList`] over HTTP.
 pub struct HttpMachineList {
     uri: String,
     caller: HttpCaller,
@@ -36,7 +35,7 @@
 }
 
 impl HttpMachineList {
-    /// A client of the list at `address`.
+    /// Creates a client of the machine list at `address`.
     pub fn new(address: SocketAddr, caller: HttpCaller) -> Self {
         Self { uri: format!("http://{address}/v1/machines"), caller }
     }
--- a/crates/emulator/src/answer.rs
+++ b/crates/emulator/src/answer.rs
@@ -1,21 +1,20 @@
-//! What the emulated model answers: a function of model, prompt and place, so that a resumed answer
-//! continues where it broke off, and a checker can tell a whole answer from a shorter or another one.
+//! Answers of the emulated model. Each token is a function of model, prompt and token index, so that a resumed
+//! answer continues correctly and tests can detect truncated or wrong answers.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// The shortest answer.
 const MIN_ANSWER_TOKENS: u32 = 8;
-/// Answers are shorter than the shortest plus this.
+/// Number of distinct answer lengths, starting at `MIN_ANSWER_TOKENS`.
 const ANSWER_LENGTH_RANGE: u64 = 57;
 
-/// Tokens in the whole answer to a prompt.
+/// Returns the number of tokens in the complete answer to a prompt.
 pub fn answer_length(model: &str, prompt: &str, max_tokens: u32) -> u32 {
     let hash = prompt_hash(model, prompt);
     let length = MIN_ANSWER_TOKENS + (hash % ANSWER_LENGTH_RANGE) as u32;
     length.min(max_tokens).max(1)
 }
 
-/// The text of one token.
+/// Returns the text of the token at `index`.
 pub fn answer_token(model: &str, prompt: &str, index: u32) -> String {
     const SYLLABLES: [&str; 16] =
         ["ba", "co", "di", "fu", "ga", "ho", "ji", "ku", "la", "mo", "ni", "pu", "ra", "so", "ti", "vu"];
@@ -25,7 +24,7 @@
     format!("{first}{second} ")
 }
 
-/// The text of the whole answer.
+/// Returns the text of the complete answer.
 pub fn answer_text(model: &str, prompt: &str, max_tokens: u32) -> String {
     (0..answer_length(model, prompt, max_tokens)).map(|index| answer_token(model, prompt, index)).collect()
 }
--- a/crates/emulator/src/cache.rs
+++ b/crates/emulator/src/cache.rs
@@ -1,25 +1,24 @@
-//! The prefix cache: which prompt prefixes the engine need not compute again.
+//! The prefix cache: prompt prefixes that the engine doesn't need to prefill again.
 
 use std::collections::BTreeMap;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of prompt text in one block.
 const BLOCK_BYTES: usize = 64;
-/// Most blocks of a prompt that are cached.
+/// Maximum number of cached blocks per prompt.
 const MAX_BLOCKS: usize = 64;
 
-/// One change of the cache, as the engine publishes it.
+/// A cache change, as published by the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// A prefix is cached.
+    /// The prefix with this hash was stored.
     Stored(u64),
-    /// A prefix was evicted.
+    /// The prefix with this hash was evicted.
     Removed(u64),
 }
 
-/// The block hashes of a prompt, shortest prefix first: each is the hash of the one before and the
-/// block, every part followed by its length.
+/// Returns the block hashes of a prompt, shortest prefix first. Each hash covers the previous hash and the
+/// block, both followed by their length.
 pub fn prompt_blocks(model: &str, prompt: &str) -> Vec<u64> {
     let mut hash = hash_parts(&[model.as_bytes()]);
     let blocks = prompt.as_bytes().chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS);
@@ -38,7 +37,7 @@
     })
 }
 
-/// Cached prefixes, the least recently used evicted first.
+/// A least-recently-used cache of prompt prefixes.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
     capacity: usize,
@@ -49,17 +48,17 @@
 }
 
 impl PrefixCache {
-    /// A cache of at most `capacity` blocks.
+    /// Creates a cache of at most `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, ..Self::default() }
     }
 
-    /// How many leading blocks are cached.
+    /// Returns the number of leading blocks that are cached.
     pub fn overlap(&self, blocks: &[u64]) -> usize {
         blocks.iter().take_while(|block| self.last_used.contains_key(block)).count()
     }
 
-    /// Caches blocks, or marks them as used.
+    /// Stores blocks, or marks them as recently used if they are cached.
     pub fn store(&mut self, blocks: &[u64]) {
         for block in blocks {
             self.uses += 1;
@@ -78,12 +77,12 @@
         }
     }
 
-    /// All cached blocks.
+    /// Returns the hashes of all cached blocks.
     pub fn blocks(&self) -> impl Iterator<Item = u64> + '_ {
         self.last_used.keys().copied()
     }
 
-    /// Takes the changes since the last call.
+    /// Returns the changes since the previous call.
     pub fn take_changes(&mut self) -> Vec<CacheChange> {
         std::mem::take(&mut self.changes)
     }
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -1,36 +1,34 @@
-//! The engine itself: iterations over a running batch.
+//! The emulated engine: iterations over the running sequences.
 //!
-//! Each iteration admits from the queue while slots are free, prefills up to a budget of tokens, and
-//! decodes one token of every running sequence. Its length grows with both, which is how batch work
-//! shows in the tail of online requests. A sequence that runs is not preempted; priorities order the
-//! queue.
+//! Each iteration admits queued requests while slots are free, prefills tokens up to a budget, and decodes
+//! one token of each running sequence. Its duration grows with both, so that batch work increases the tail
+//! latency of online requests. Running sequences are not preempted; priorities order the queue and the
+//! prefills.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::answer::{answer_length, answer_token};
 use crate::cache::{PrefixCache, prompt_blocks};
 
-/// Bytes of prompt text that make a token.
 const BYTES_PER_TOKEN: u32 = 4;
-/// Tokens of a cached block.
 const TOKENS_PER_BLOCK: u32 = 16;
 
-/// What an engine is like.
+/// Capacity and timing of an emulated engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSettings {
-    /// Sequences decoded at once.
+    /// Maximum number of running sequences.
     pub slots: usize,
-    /// Most sequences that wait.
+    /// Maximum number of queued sequences.
     pub queue: usize,
-    /// The shortest iteration.
+    /// Base duration of an iteration.
     pub iteration_us: u64,
-    /// What each decoding sequence adds to an iteration.
+    /// Time that each decoding sequence adds to an iteration.
     pub sequence_us: u64,
-    /// What each prefilled token adds to an iteration.
+    /// Time that each prefilled token adds to an iteration.
     pub prefill_token_us: u64,
-    /// Most tokens prefilled in one iteration.
+    /// Maximum number of tokens prefilled in one iteration.
     pub prefill_budget: u32,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
 }
 
@@ -48,74 +46,74 @@
     }
 }
 
-/// Whose work it is, for the counts in the load.
+/// Class of a request, reported separately in the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SequenceClass {
-    /// A person waits.
+    /// An interactive request.
     Online,
-    /// An item of a job.
+    /// An item of a batch job.
     Batch,
 }
 
-/// A request.
+/// A request to generate tokens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SequenceRequest {
-    /// The caller's name for this attempt.
+    /// ID of the attempt, assigned by the caller.
     pub attempt: u128,
-    /// Whose work it is.
+    /// Class of the request.
     pub class: SequenceClass,
-    /// Lower runs first.
+    /// Lower values run first.
     pub priority: u32,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Maximum length of the complete answer, in tokens.
     pub max_tokens: u32,
-    /// The token to start from.
+    /// Index of the first token to generate.
     pub from_token: u32,
 }
 
-/// Why a request was refused. It did not run.
+/// Reason why a request was refused without running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineRefusal {
-    /// The engine takes no new work.
+    /// The engine accepts no new requests.
     Leaving,
-    /// The queue is full.
+    /// All slots are used and the queue is full.
     Full,
 }
 
-/// What comes out of an iteration.
+/// Output of an iteration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineOutput {
-    /// A token.
+    /// A generated token.
     Token {
-        /// The attempt.
+        /// ID of the attempt.
         attempt: u128,
-        /// The token's place.
+        /// Index of the token in the answer.
         place: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
     /// The answer is complete.
     End {
-        /// The attempt.
+        /// ID of the attempt.
         attempt: u128,
-        /// Tokens in the whole answer.
+        /// Number of tokens in the complete answer.
         length: u32,
     },
 }
 
-/// The true load.
+/// Current load of the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Online sequences that run.
+    /// Number of running online sequences.
     pub running_online: usize,
-    /// Batch sequences that run.
+    /// Number of running batch sequences.
     pub running_batch: usize,
-    /// Online sequences that wait.
+    /// Number of queued online sequences.
     pub queued_online: usize,
-    /// Batch sequences that wait.
+    /// Number of queued batch sequences.
     pub queued_batch: usize,
 }
 
@@ -128,7 +126,7 @@
     blocks: Vec<u64>,
 }
 
-/// An emulated engine.
+/// A state machine that emulates an engine; the caller supplies the time.
 #[derive(Clone, Debug)]
 pub struct EngineEmulator {
     settings: EngineSettings,
@@ -137,16 +135,16 @@
     running: Vec<Sequence>,
     iteration_ends_us: Option<u64>,
     leaving: bool,
-    /// The prefix cache.
+    /// Prefix cache of the engine.
     pub cache: PrefixCache,
-    /// Online sequences that were left waiting at the start of an iteration while batch held a slot.
+    /// Number of online sequences that were still queued after admission while a batch sequence used a slot.
     pub online_behind_batch: u64,
-    /// Those of them that still wait.
+    /// Attempts counted in `online_behind_batch` that are still queued.
     waiting_behind_batch: BTreeSet<u128>,
 }
 
 impl EngineEmulator {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(settings: EngineSettings) -> Self {
         Self {
             settings,
@@ -161,21 +159,21 @@
         }
     }
 
-    /// Takes no new work from now on, or does so again.
+    /// Sets whether the engine refuses new requests.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// Whether the engine takes no new work.
+    /// Returns whether the engine refuses new requests.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Takes a request.
+    /// Queues a request.
     ///
     /// # Errors
     ///
-    /// The refusal, if it did not run.
+    /// Returns the reason if the request was refused.
     pub fn submit(&mut self, request: SequenceRequest, now_us: u64) -> Result<(), EngineRefusal> {
         if self.leaving {
             return Err(EngineRefusal::Leaving);
@@ -191,7 +189,7 @@
         Ok(())
     }
 
-    /// Counts each online sequence once that waits while batch holds a slot.
+    /// Counts each online sequence that is queued while a batch sequence uses a slot, once per sequence.
     fn count_behind_batch(&mut self) {
         let is_batch = |sequence: &Sequence| sequence.request.class == SequenceClass::Batch;
         if !self.running.iter().any(is_batch) {
@@ -204,7 +202,7 @@
         }
     }
 
-    /// Drops a request wherever it is. Its slot is free from the next iteration on.
+    /// Cancels a queued or running request. Its slot is reused from the next iteration. Returns whether it was found.
     pub fn cancel(&mut self, attempt: u128) -> bool {
         let before = self.queue.len() + self.running.len();
         self.queue.retain(|_, request| request.attempt != attempt);
@@ -212,12 +210,12 @@
         before != self.queue.len() + self.running.len()
     }
 
-    /// When the iteration under way ends; `None` if the engine is idle.
+    /// Returns the end of the current iteration, or `None` if the engine is idle.
     pub fn next_event_us(&self) -> Option<u64> {
         self.iteration_ends_us
     }
 
-    /// Ends the iteration under way if its time has come, and begins the next.
+    /// Completes the iterations that end by `now_us` and starts the next one.
     pub fn advance(&mut self, now_us: u64) -> Vec<EngineOutput> {
         let mut outputs = Vec::new();
         while let Some(ends) = self.iteration_ends_us.filter(|ends| *ends <= now_us) {
@@ -230,7 +228,7 @@
         outputs
     }
 
-    /// The true load.
+    /// Current load of the engine.
     pub fn load(&self) -> EngineLoad {
         let is_online = |class: SequenceClass| class == SequenceClass::Online;
         let running_online = self.running.iter().filter(|sequence| is_online(sequence.request.class)).count();
@@ -253,7 +251,7 @@
         self.count_behind_batch();
         let mut budget = self.settings.prefill_budget;
         let mut prefilled = 0;
-        // Online prefills go first, as the priorities say.
+        // Prefill in order of priority, online requests first.
         self.running.sort_by_key(|sequence| sequence.request.priority);
         for sequence in &mut self.running {
             let part = sequence.prefill_remaining.min(budget);
@@ -271,7 +269,7 @@
     fn admit(&mut self, request: SequenceRequest) -> Sequence {
         let blocks = prompt_blocks(&request.model, &request.prompt);
         let cached = self.cache.overlap(&blocks) as u32 * TOKENS_PER_BLOCK;
-        // Tokens already generated elsewhere are prefilled like the prompt.
+        // Tokens generated by an earlier attempt are prefilled like the prompt.
         let tokens = request.prompt.len() as u32 / BYTES_PER_TOKEN + 1 + request.from_token;
         let length = answer_length(&request.model, &request.prompt, request.max_tokens);
         Sequence {
@@ -295,7 +293,7 @@
         self.running = running;
     }
 
-    /// Emits the next token of a sequence. Returns whether the sequence goes on.
+    /// Emits the next token of a sequence. Returns false if the sequence is complete.
     fn emit(&mut self, sequence: &mut Sequence, outputs: &mut Vec<EngineOutput>) -> bool {
         let attempt = sequence.request.attempt;
         if sequence.next_token < sequence.length {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! An emulator of a model engine with continuous batching, as a state machine without a clock.
+//! An emulator of a model engine with continuous batching, implemented as a state machine without a clock.
 //!
-//! Owns how long work takes and what comes out: slots, a queue with priorities, prefill and decode
-//! cost, and a prefix cache of limited memory. The stand-in engine drives it in real time behind HTTP;
-//! the experiments drive it on a virtual clock. It knows nothing of stallmoor.
+//! Models the duration and output of requests: slots, a priority queue, prefill and decode cost, and a prefix
+//! cache of limited size. The stand-in engine runs it in real time behind HTTP; the experiments run it on a
+//! virtual clock. It does not depend on other crates of stallmoor.
 //!
 //! Times are in microseconds, lengths in tokens.
 
--- a/crates/node/src/actor.rs
+++ b/crates/node/src/actor.rs
@@ -1,32 +1,32 @@
-//! The actor around a state.
+//! Adapter between the actor runtime and message handlers.
 //!
-//! Each actor of a node is a state that takes one message at a time and can't fail. What they share, the
-//! way from the actor runtime to that state, stands here. Relies on nothing else of the node.
+//! Each actor of a node is a state that handles one message at a time and can't fail. This module implements
+//! the runtime's actor trait for such states and depends on no other module of the node.
 
 use std::marker::PhantomData;
 
 use ractor::{Actor, ActorProcessingErr, ActorRef, Message, SpawnErr, State};
 
-/// The state of an actor, and what it does with a message.
+/// The state of an actor and its handling of messages.
 pub trait MessageHandler: State {
-    /// What it takes.
+    /// The type of message that the actor receives.
     type Message: Message;
 
-    /// Takes one message. The next waits until this returns.
+    /// Handles one message. The next message is delivered after this returns.
     fn handle(&mut self, message: Self::Message);
 }
 
-/// Starts an actor around a state.
+/// Starts an actor with the given state.
 ///
 /// # Errors
 ///
-/// The actor runtime could not start it.
+/// Returns an error if the actor runtime can't start the actor.
 pub async fn spawn<H: MessageHandler>(state: H) -> Result<ActorRef<H::Message>, SpawnErr> {
     let (actor, _) = Actor::spawn(None, HandlerActor(PhantomData), state).await?;
     Ok(actor)
 }
 
-/// The actor; its state is all there is to it.
+/// Implements [`Actor`] by forwarding messages to a [`MessageHandler`].
 struct HandlerActor<H>(PhantomData<fn() -> H>);
 
 impl<H: MessageHandler> Actor for HandlerActor<H> {
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to callers.
+//! Delivery of answers to callers.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,17 +10,17 @@
 
 use crate::events::EventSender;
 
-/// Most pieces that wait for one slow caller; one that is slower is cut off.
+/// Maximum number of answers queued for one caller; a caller that falls further behind is disconnected.
 const MAX_PENDING_ANSWERS: usize = 16_384;
 
-/// The callers that wait for answers.
+/// Calls that have not received their final answer.
 #[derive(Clone, Default)]
 pub struct CallerRegistry {
     pending: Arc<Mutex<HashMap<CallerId, mpsc::Sender<CallerAnswer>>>>,
     next: Arc<AtomicU64>,
 }
 
-/// One call under way. Dropping it before the final answer reports to the node that the caller is gone.
+/// A call in progress. Dropping it before the final answer sends [`Event::CallerGone`] to the node.
 pub struct CallInProgress {
     caller: CallerId,
     registry: CallerRegistry,
@@ -30,7 +30,7 @@
 }
 
 impl CallerRegistry {
-    /// Sends a call to the node.
+    /// Registers a caller and sends its call to the node.
     pub async fn call(&self, events: &EventSender, call: CallerCall) -> CallInProgress {
         let caller = CallerId(self.next.fetch_add(1, Ordering::Relaxed) + 1);
         let (sender, answers) = mpsc::channel(MAX_PENDING_ANSWERS);
@@ -39,7 +39,7 @@
         CallInProgress { caller, registry: self.clone(), events: events.clone(), answers, ended: false }
     }
 
-    /// Gives an answer to a caller. Returns false if the caller is gone or too slow.
+    /// Sends an answer to a caller. Returns false if the caller is gone or its queue is full.
     pub fn answer(&self, caller: CallerId, answer: CallerAnswer) -> bool {
         let is_final = answer.is_final();
         let mut pending = self.lock();
@@ -57,12 +57,12 @@
 }
 
 impl CallInProgress {
-    /// The next answer; `None` if the node stopped before the final one.
+    /// Returns the next answer, or `None` if the node stopped before the final one.
     pub async fn next(&mut self) -> Option<CallerAnswer> {
         std::future::poll_fn(|context| self.poll_next(context)).await
     }
 
-    /// Polls for the next answer.
+    /// Polls for the next answer; see [`next`](Self::next).
     pub fn poll_next(&mut self, context: &mut std::task::Context<'_>) -> std::task::Poll<Option<CallerAnswer>> {
         let polled = self.answers.poll_recv(context);
         if let std::task::Poll::Ready(answer) = &polled {
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,7 +1,7 @@
-//! The actor that feeds events to the decision code and carries out its effects.
+//! The actor that feeds events to the state machine and applies its effects.
 //!
-//! Events are taken in batches. All writes to disk of a batch go into one transaction, before anything
-//! else of the batch is carried out; so one flush of the disk serves many requests.
+//! Events are processed in batches. All disk writes of a batch are committed in one transaction before any
+//! other effect is applied, so that many requests share one disk flush.
 
 use std::sync::Arc;
 
@@ -19,35 +19,35 @@
 use crate::streams::StreamCommand;
 use crate::transport::Outgoing;
 
-/// A batch of events; the port is answered once all their effects are carried out.
+/// A batch of events to process.
 pub struct EventBatch {
-    /// The events, in order.
+    /// Events in the order of their arrival.
     pub events: Vec<Event>,
-    /// Answered with whether the node goes on.
+    /// Receives, after all effects have been applied, whether the node keeps running.
     pub done: RpcReplyPort<bool>,
 }
 
-/// The actor's state: the decision code and everything it acts through.
+/// The actor's state: the state machine and the resources that its effects use.
 pub struct DriverState {
-    /// The decision code.
+    /// The node's state machine.
     pub node: Node,
-    /// The disk, if the node has one.
+    /// Persistent storage; `None` on a node without a data folder.
     pub store: Option<Store>,
-    /// The time.
+    /// Source of the timestamps passed to the state machine.
     pub clock: SystemClock,
-    /// The way back for answers of the platform.
+    /// Queue for the results of asynchronous calls.
     pub events: EventSender,
-    /// The callers that wait.
+    /// Callers with pending answers.
     pub callers: CallerRegistry,
-    /// Streams from engines.
+    /// The actor that runs engine streams.
     pub streams: ActorRef<StreamCommand>,
-    /// Messages to peers.
+    /// The actor that sends messages to peers.
     pub transport: ActorRef<Outgoing>,
-    /// The key-value service.
+    /// Client of the key-value service.
     pub key_value: Arc<dyn KeyValueService>,
-    /// The machine list.
+    /// Client of the machine list.
     pub machines: Arc<dyn MachineList>,
-    /// Engines.
+    /// Client of the engines.
     pub engines: Arc<dyn Engines>,
 }
 
@@ -60,14 +60,14 @@
             effects.extend(self.node.handle(event, self.clock.read()));
         }
         let keep_running = self.persist(&effects) && self.apply_effects(effects);
-        // The other side only waits while the node runs.
+        // The receiver is dropped when the node shuts down.
         let _ = batch.done.send(keep_running);
     }
 }
 
 impl DriverState {
-    /// Writes everything that the batch wants kept. Returns false if the disk refused: then nothing of
-    /// the batch may leave the node, and the node stops.
+    /// Commits all writes of the batch. Returns false if the write failed: no other effect of the batch
+    /// may then be applied, and the node stops.
     fn persist(&self, effects: &[Effect]) -> bool {
         let mut write = StoreWrite::default();
         for effect in effects {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Carries out the other effects, in order. Returns false if the node stops.
+    /// Applies all effects other than disk writes, in order. Returns false if the node is to stop.
     fn apply_effects(&mut self, effects: Vec<Effect>) -> bool {
         let mut keep_running = true;
         for effect in effects {
@@ -157,7 +157,7 @@
     }
 }
 
-/// Writes a numbered event to the log.
+/// Logs an event at the level of its severity.
 pub fn log_event(event: LogEvent, detail: &str) {
     let level = match event.severity() {
         Severity::Information => log::Level::Info,
--- a/crates/node/src/http/answer.rs
+++ b/crates/node/src/http/answer.rs
@@ -1,4 +1,4 @@
-//! Responses that are not pieces of an answer.
+//! Complete responses and refusals.
 
 use hyper::{Response, StatusCode};
 use serde::Serialize;
@@ -7,10 +7,10 @@
 
 use super::body::AnswerBody;
 
-/// The header that says whether a refused request ran.
+/// Response header that states whether a refused request ran.
 pub const RAN_HEADER: &str = "stallmoor-ran";
 
-/// A JSON response.
+/// Returns a JSON response.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<AnswerBody> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(AnswerBody::full(bytes));
@@ -19,7 +19,7 @@
     response
 }
 
-/// A plain text response.
+/// Returns a text response.
 pub fn text(status: StatusCode, content_type: &'static str, body: String) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::full(body));
     *response.status_mut() = status;
@@ -27,7 +27,7 @@
     response
 }
 
-/// The JSON of a refusal, as OpenAI's clients expect an error, with what stallmoor adds.
+/// Returns a refusal as JSON in OpenAI's error format, extended by stallmoor's fields.
 pub fn refusal_json(refusal: &Refusal) -> serde_json::Value {
     json!({
         "error": {
@@ -40,7 +40,7 @@
     })
 }
 
-/// The response for a refusal.
+/// Returns the response for a refusal.
 pub fn refusal(refusal: &Refusal) -> Response<AnswerBody> {
     const MILLIS_PER_SECOND: u64 = 1_000;
     let status = StatusCode::from_u16(refusal.kind.answer().status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -48,18 +48,18 @@
     let headers = response.headers_mut();
     headers.insert(RAN_HEADER, hyper::header::HeaderValue::from_static(refusal.ran.as_str()));
     if let Some(millis) = refusal.retry_after_ms {
-        // The header counts whole seconds; the body has the milliseconds.
+        // The header is in whole seconds, the body in milliseconds.
         headers.insert("retry-after", millis.div_ceil(MILLIS_PER_SECOND).into());
     }
     response
 }
 
-/// The response for a refusal that needs no more than kind and detail.
+/// Returns the response for a refusal with the given kind and detail.
 pub fn refuse(kind: ErrorKind, detail: impl Into<String>) -> Response<AnswerBody> {
     refusal(&Refusal::new(kind, detail))
 }
 
-/// The response when the node stopped or answered what it must not.
+/// Returns the response to send if the node stopped or its answer has an unexpected type.
 pub fn unexpected() -> Response<AnswerBody> {
     refuse(ErrorKind::Internal, "the node stopped before it answered")
 }
--- a/crates/node/src/http/batch.rs
+++ b/crates/node/src/http/batch.rs
@@ -1,7 +1,7 @@
-//! Batch jobs: files and batches as OpenAI has them, and a job in one request.
+//! Batch jobs: OpenAI's file and batch endpoints, and submission of a job in one request.
 //!
-//! An uploaded file is a job that is not accepted yet, so it is replicated like one and readable at any
-//! node; creating the batch accepts it. Output and error files are views of the job's results.
+//! An uploaded file is a job that has not been accepted, so it is replicated like one and readable from any
+//! node; creating the batch accepts the job. Output and error files are views of the job's results.
 
 use std::sync::Arc;
 
@@ -20,20 +20,19 @@
 use super::request::{parse_json, query_parameter, read_headers};
 use super::router::HttpService;
 
-/// How long a job may take where the caller doesn't say.
+/// Time limit of a job if the caller specifies none.
 const DEFAULT_JOB_TIMEOUT: Millis = Millis(24 * 3_600_000);
-/// Most jobs in one list.
 const MAX_LISTED_JOBS: u32 = 1_000;
-/// Items looked at in one page of results.
+/// Default number of items scanned per page of results.
 const DEFAULT_PAGE_ITEMS: u32 = 5_000;
-/// Most items looked at in one page on request.
+/// Maximum number of items scanned per page of results.
 const MAX_PAGE_ITEMS: u32 = 20_000;
-/// Output files are named by this and the job.
+/// Prefix of output file names, followed by the job ID.
 const OUTPUT_PREFIX: &str = "output-";
-/// Error files are named by this and the job.
+/// Prefix of error file names, followed by the job ID.
 const ERROR_PREFIX: &str = "errors-";
 
-/// One line of a submission: OpenAI's, or a bare prompt.
+/// One line of a submission: either OpenAI's format or a plain prompt.
 #[derive(Deserialize)]
 struct SubmissionLine {
     custom_id: Option<String>,
@@ -46,7 +45,7 @@
     input_file_id: String,
 }
 
-/// What a submission's lines hold together.
+/// The parsed lines of a submission.
 struct ParsedLines {
     model: Option<Arc<str>>,
     adapter: Option<Arc<str>>,
@@ -70,7 +69,7 @@
     }
 }
 
-/// `POST /v1/batches`: accepts an uploaded job, or takes a whole one in JSON Lines.
+/// `POST /v1/batches`: accepts an uploaded job, or creates a job from a body in JSON Lines.
 pub async fn create_batch(
     service: &HttpService,
     headers: &HeaderMap,
@@ -92,7 +91,7 @@
     created.map_or_else(|response| response, |(job, summary)| answer::json(StatusCode::OK, &batch_json(job, &summary)))
 }
 
-/// `GET /v1/batches?limit=N`: the tenant's jobs, by group and id.
+/// `GET /v1/batches?limit=N`: lists the tenant's jobs, ordered by group and ID.
 pub async fn list_batches(service: &HttpService, headers: &HeaderMap, query: Option<&str>) -> Response<AnswerBody> {
     let caller = match read_headers(headers) {
         Ok(caller) => caller,
@@ -122,7 +121,7 @@
     answer::json(StatusCode::OK, &json!({"object": "list", "data": listed}))
 }
 
-/// `GET /v1/batches/JOB`.
+/// `GET /v1/batches/JOB`: returns the status of a job.
 pub async fn batch_status(service: &HttpService, id: &str) -> Response<AnswerBody> {
     let result = match parse_job(id) {
         Ok(job) => request_job(service, BatchCall::Status(job)).await,
@@ -131,7 +130,7 @@
     result.map_or_else(|response| response, |(job, summary)| answer::json(StatusCode::OK, &batch_json(job, &summary)))
 }
 
-/// `POST /v1/batches/JOB/cancel`.
+/// `POST /v1/batches/JOB/cancel`: cancels a job.
 pub async fn cancel_batch(service: &HttpService, id: &str) -> Response<AnswerBody> {
     let result = match parse_job(id) {
         Ok(job) => request_job(service, BatchCall::Cancel(job)).await,
@@ -140,7 +139,7 @@
     result.map_or_else(|response| response, |(job, summary)| answer::json(StatusCode::OK, &batch_json(job, &summary)))
 }
 
-/// `GET /v1/batches/JOB/results?first=N&limit=M`: a page of results as JSON.
+/// `GET /v1/batches/JOB/results?first=N&limit=M`: returns a page of results as JSON.
 pub async fn batch_results(service: &HttpService, id: &str, query: Option<&str>) -> Response<AnswerBody> {
     let number = |name: &str| query_parameter(query, name).map(str::parse::<u32>).transpose();
     let (Ok(first), Ok(limit)) = (number("first"), number("limit")) else {
@@ -161,7 +160,7 @@
     }
 }
 
-/// `GET /v1/files/FILE/content`: the output or error file of a job, in JSON Lines.
+/// `GET /v1/files/FILE/content`: returns the output or error file of a job in JSON Lines.
 pub async fn file_content(service: &HttpService, id: &str) -> Response<AnswerBody> {
     let (wants_errors, job) = if let Some(job) = id.strip_prefix(OUTPUT_PREFIX) {
         (false, job)
@@ -223,7 +222,7 @@
     JobId::parse(id).ok_or_else(|| Refusal::new(ErrorKind::UnknownJob, format!("\"{id}\" is not a job's id")))
 }
 
-// Reading submissions.
+// Parsing of submissions.
 
 fn read_submission(
     headers: &HeaderMap,
@@ -259,7 +258,7 @@
     })
 }
 
-/// Parses JSON Lines; an error names its line. All lines of a job must ask for the same model.
+/// Parses JSON Lines; errors contain the line number. All lines must specify the same model and adapter.
 fn parse_lines(body: &[u8]) -> Result<ParsedLines, Refusal> {
     let text = std::str::from_utf8(body).map_err(|error| {
         let line = body[..error.valid_up_to()].iter().filter(|byte| **byte == b'\n').count() + 1;
@@ -301,7 +300,7 @@
     Refusal::new(ErrorKind::MalformedRequest, format!("line {line}: {message}"))
 }
 
-// Writing.
+// Serialization of responses.
 
 fn file_json(job: JobId, summary: &JobSummary) -> Value {
     json!({"id": job.to_string(), "object": "file", "purpose": "batch", "items": summary.received})
--- a/crates/node/src/http/body.rs
+++ b/crates/node/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of responses: whole, or pieces as they come.
+//! Response bodies, complete or streamed.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -10,31 +10,31 @@
 
 use crate::callers::CallInProgress;
 
-/// Turns an answer into bytes of the body.
+/// Serializes an answer into bytes of the body.
 pub type RenderAnswer = Box<dyn FnMut(CallerAnswer) -> Bytes + Send>;
 
-/// The body of a response.
+/// A response body.
 pub enum AnswerBody {
-    /// All of it.
+    /// A complete body; `None` once it has been sent.
     Full(Option<Bytes>),
-    /// Pieces as they come.
+    /// A body that is sent as answers arrive.
     Stream(Box<AnswerStream>),
 }
 
-/// A body that follows a call. Dropping it reports to the node that the caller is gone.
+/// A body that streams the answers to a call. Dropping it before the final answer cancels the call.
 pub struct AnswerStream {
-    /// Bytes that are ready before the next answer.
+    /// Bytes to send before polling for the next answer.
     pub ready: Option<Bytes>,
-    /// The call.
+    /// The call that provides the answers.
     pub call: CallInProgress,
-    /// How answers are written.
+    /// Serializer of answers.
     pub render: RenderAnswer,
-    /// Nothing follows.
+    /// Whether the final answer has been received.
     pub ended: bool,
 }
 
 impl AnswerBody {
-    /// A whole body.
+    /// Creates a complete body.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self::Full(Some(bytes.into()))
     }
--- a/crates/node/src/http/metrics.rs
+++ b/crates/node/src/http/metrics.rs
@@ -1,4 +1,4 @@
-//! `GET /metrics` in Prometheus' text format.
+//! `GET /metrics` in the Prometheus text format.
 
 use std::fmt::Write;
 
@@ -16,12 +16,12 @@
     value: u64,
 }
 
-/// Writes a node's status as metrics.
+/// Returns a node's status as metrics.
 pub fn metrics(status: &NodeStatus) -> Response<AnswerBody> {
     let mut text = String::new();
     for sample in samples(status) {
         let Sample { name, kind, help, value } = sample;
-        // Writing to a string can't fail.
+        // Writing to a `String` can't fail.
         let _ =
             writeln!(text, "# HELP stallmoor_{name} {help}\n# TYPE stallmoor_{name} {kind}\nstallmoor_{name} {value}");
     }
--- a/crates/node/src/http/mod.rs
+++ b/crates/node/src/http/mod.rs
@@ -1,8 +1,8 @@
-//! The interface for callers and operators over HTTP.
+//! The HTTP interface for callers and operators.
 //!
-//! The way of a request, top to bottom: [`server`] accepts the connection and bounds it, [`router`]
-//! finds the handler by method and path, [`online`], [`batch`] or [`operator`] turns the request into a
-//! typed call and the typed answer into a response, and [`answer`] writes refusals.
+//! A request passes through these modules: [`server`] accepts the connection and applies limits, [`router`]
+//! selects the handler by method and path, [`online`], [`batch`] or [`operator`] converts the request to a
+//! typed call and the typed answer to a response, and [`answer`] serializes refusals.
 
 mod answer;
 mod batch;
--- a/crates/node/src/http/online.rs
+++ b/crates/node/src/http/online.rs
@@ -1,4 +1,4 @@
-//! Online completions, whole or in pieces.
+//! Online completions, complete or streamed.
 
 use std::sync::Arc;
 
@@ -17,16 +17,16 @@
 use super::router::HttpService;
 use crate::callers::CallInProgress;
 
-/// Which of OpenAI's two shapes the answer has.
+/// OpenAI's response formats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionShape {
-    /// `/v1/chat/completions`.
+    /// Format of `/v1/chat/completions`.
     Chat,
-    /// `/v1/completions`.
+    /// Format of `/v1/completions`.
     Plain,
 }
 
-/// Serves a completion.
+/// Handles a chat or plain completion request.
 pub async fn complete(
     service: &HttpService,
     shape: CompletionShape,
@@ -70,7 +70,7 @@
     Ok((call, completion.stream))
 }
 
-/// Writes the answer to one request.
+/// Serializes the answer to one request.
 #[derive(Clone)]
 struct AnswerWriter {
     shape: CompletionShape,
@@ -79,7 +79,7 @@
 }
 
 impl AnswerWriter {
-    /// Waits for the whole answer.
+    /// Waits for the final answer and returns the complete response.
     async fn full(&self, mut call: CallInProgress) -> Response<AnswerBody> {
         let mut text = String::new();
         while let Some(next) = call.next().await {
@@ -95,7 +95,7 @@
         answer::unexpected()
     }
 
-    /// Answers in pieces. A refusal before the first piece is an ordinary refusal.
+    /// Returns a streaming response. A refusal before the first token is returned as a regular error response.
     async fn stream(&self, mut call: CallInProgress) -> Response<AnswerBody> {
         let first = match call.next().await {
             Some(CallerAnswer::Refused(refusal)) => return answer::refusal(&refusal),
@@ -114,7 +114,7 @@
         response
     }
 
-    /// One answer as server-sent events.
+    /// Serializes an answer as server-sent events.
     fn event(&self, answer: CallerAnswer) -> Bytes {
         match answer {
             CallerAnswer::Piece { first, tokens, text } => {
--- a/crates/node/src/http/operator.rs
+++ b/crates/node/src/http/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask: configuration, status, explanations.
+//! Operator endpoints: configuration, status and explanations of requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
     files: BTreeMap<String, Arc<str>>,
 }
 
-/// `POST /operator/configuration`.
+/// `POST /operator/configuration`: applies a set of configuration files.
 pub async fn apply(service: &HttpService, body: &[u8]) -> Response<AnswerBody> {
     let body: ApplyBody = match parse_json(body) {
         Ok(body) => body,
@@ -48,7 +48,7 @@
     }
 }
 
-/// `GET /operator/configuration`.
+/// `GET /operator/configuration`: returns the active configuration.
 pub async fn configuration(service: &HttpService) -> Response<AnswerBody> {
     match send_call(service, OperatorCall::ReadConfiguration).await {
         Some(CallerAnswer::Configuration { revision, bundle }) => {
@@ -58,7 +58,7 @@
     }
 }
 
-/// `GET /operator/status`.
+/// `GET /operator/status`: returns the status of the fleet.
 pub async fn fleet_status(service: &HttpService) -> Response<AnswerBody> {
     match send_call(service, OperatorCall::FleetStatus).await {
         Some(CallerAnswer::FleetStatus(status)) => answer::json(StatusCode::OK, &status),
@@ -66,7 +66,7 @@
     }
 }
 
-/// `GET /operator/explain/ID`.
+/// `GET /operator/explain/ID`: returns the recorded steps of a request.
 pub async fn explain(service: &HttpService, id: &str) -> Response<AnswerBody> {
     match send_call(service, OperatorCall::Explain(Arc::from(id))).await {
         Some(CallerAnswer::Explanation(explanation)) => answer::json(StatusCode::OK, &explanation),
@@ -74,7 +74,7 @@
     }
 }
 
-/// `GET /v1/models`.
+/// `GET /v1/models`: lists the models and their adapters.
 pub async fn models(service: &HttpService) -> Response<AnswerBody> {
     match send_call(service, OperatorCall::Models).await {
         Some(CallerAnswer::Models(models)) => {
@@ -88,7 +88,7 @@
     }
 }
 
-/// `GET /readyz`: whether the node takes requests.
+/// `GET /readyz`: reports whether the node accepts requests.
 pub async fn ready(service: &HttpService) -> Response<AnswerBody> {
     match node_status(service).await {
         Some(status) if status.ready => answer::text(StatusCode::OK, "text/plain", "ready\n".to_owned()),
@@ -97,7 +97,7 @@
     }
 }
 
-/// This node's status.
+/// Returns this node's status, or `None` if the node has stopped.
 pub async fn node_status(service: &HttpService) -> Option<NodeStatus> {
     match send_call(service, OperatorCall::NodeStatus).await {
         Some(CallerAnswer::NodeStatus(status)) => Some(status),
--- a/crates/node/src/http/prompt.rs
+++ b/crates/node/src/http/prompt.rs
@@ -1,4 +1,4 @@
-//! From OpenAI's request bodies to a model, an adapter and a prompt.
+//! Conversion of OpenAI request bodies to a model, an adapter and a prompt.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -6,17 +6,17 @@
 use serde::Deserialize;
 use stallmoor_core::error::{ErrorKind, Refusal};
 
-/// A model with an adapter is written `model:adapter`.
+/// Separates model and adapter, as in `model:adapter`.
 const ADAPTER_SEPARATOR: char = ':';
 
-/// One message of a chat.
+/// A chat message.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ChatMessage {
     role: String,
     content: MessageContent,
 }
 
-/// A message's content: a text, or parts of which the texts count.
+/// The content of a message: a string, or parts of which only the text is used.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 enum MessageContent {
@@ -30,8 +30,8 @@
     text: String,
 }
 
-/// The body of a completion, chat or plain. Fields that OpenAI knows and stallmoor doesn't use are
-/// ignored, as OpenAI's clients expect.
+/// The body of a chat or plain completion request. Unsupported fields of OpenAI's API are ignored, as its
+/// clients expect.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CompletionBody {
     model: String,
@@ -39,30 +39,30 @@
     prompt: Option<String>,
     max_tokens: Option<u32>,
     max_completion_tokens: Option<u32>,
-    /// Whether the answer comes in pieces.
+    /// Whether to stream the answer.
     #[serde(default)]
     pub stream: bool,
 }
 
-/// What a completion asks for.
+/// The parameters of a completion.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletionParameters {
-    /// The model.
+    /// Name of the model, without the adapter.
     pub model: Arc<str>,
-    /// The adapter, if any.
+    /// Name of the adapter, if one was requested.
     pub adapter: Option<Arc<str>>,
-    /// The prompt.
+    /// Prompt text; chat messages are rendered into one text.
     pub prompt: Arc<str>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: Option<u32>,
 }
 
 impl CompletionBody {
-    /// What the body asks for.
+    /// Extracts the completion parameters from the body.
     ///
     /// # Errors
     ///
-    /// There is neither a prompt nor a message, or the limit of tokens is zero.
+    /// Returns an error if there is neither a prompt nor a message, or if the token limit is zero.
     pub fn parameters(&self) -> Result<CompletionParameters, Refusal> {
         let prompt = match (&self.messages, &self.prompt) {
             (Some(messages), _) if !messages.is_empty() => render_chat(messages),
@@ -85,7 +85,7 @@
     Refusal::new(ErrorKind::MalformedRequest, detail)
 }
 
-/// Each message on its own line behind its role. The turns of a session thus share their prefix.
+/// Renders each message as a line that starts with its role, so that successive requests of a chat share a prefix.
 fn render_chat(messages: &[ChatMessage]) -> String {
     let mut prompt = String::new();
     for message in messages {
@@ -93,7 +93,7 @@
             MessageContent::Text(text) => text.clone(),
             MessageContent::Parts(parts) => parts.iter().map(|part| part.text.as_str()).collect(),
         };
-        // Writing to a string can't fail.
+        // Writing to a `String` can't fail.
         let _ = writeln!(prompt, "{}: {content}", message.role);
     }
     prompt
--- a/crates/node/src/http/request.rs
+++ b/crates/node/src/http/request.rs
@@ -1,4 +1,4 @@
-//! Reading requests: bounded bodies and typed headers.
+//! Parsing of requests: size-limited bodies and typed headers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,31 +11,30 @@
 use stallmoor_core::error::{ErrorKind, Refusal};
 use stallmoor_core::time::Millis;
 
-/// Who asks.
+/// Name of the tenant.
 pub const TENANT_HEADER: &str = "stallmoor-tenant";
-/// The session.
+/// Name of the session.
 pub const SESSION_HEADER: &str = "stallmoor-session";
-/// The idempotency key.
+/// Idempotency key of the request.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// `false` marks a request that must run at most once.
+/// Set to `false` for a request that must run at most once.
 pub const REPEATABLE_HEADER: &str = "stallmoor-repeatable";
-/// How long the caller waits, in milliseconds.
+/// Maximum time that the caller waits, in milliseconds.
 pub const DEADLINE_HEADER: &str = "stallmoor-deadline-ms";
-/// The token to continue a broken stream from.
+/// Index of the token from which to resume an interrupted stream.
 pub const RESUME_HEADER: &str = "stallmoor-resume-from";
-/// The request's id, in answers.
+/// Request ID, set on responses.
 pub const REQUEST_HEADER: &str = "stallmoor-request-id";
 
-/// Most bytes of a header's value that names something.
+/// Maximum length of a header value.
 const MAX_NAME_BYTES: usize = 512;
-/// The longest deadline, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// The body is too large, broke off, or took too long.
+/// Returns an error if the body is too large, is truncated or does not arrive in time.
 pub async fn read_body(body: Incoming, limit: usize, within: Millis) -> Result<Bytes, Refusal> {
     let collect = Limited::new(body, limit).collect();
     match tokio::time::timeout(Duration::from_millis(within.0), collect).await {
@@ -55,33 +54,33 @@
 ///
 /// # Errors
 ///
-/// The body is not what is expected; the detail names line and column.
+/// Returns an error with line and column if the body does not match the expected type.
 pub fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Refusal> {
     serde_json::from_slice(body).map_err(|error| Refusal::new(ErrorKind::MalformedRequest, error.to_string()))
 }
 
-/// What the headers of a caller's request say.
+/// Parsed headers of a caller's request.
 #[derive(Clone, Debug)]
 pub struct CallerHeaders {
-    /// Who asks.
+    /// Name of the tenant.
     pub tenant: Arc<str>,
-    /// The session.
+    /// Name of the session.
     pub session: Option<Arc<str>>,
-    /// The idempotency key.
+    /// Idempotency key of the request.
     pub key: Option<Arc<str>>,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// How long the caller waits.
+    /// Maximum time that the caller waits.
     pub deadline: Option<Millis>,
-    /// The token to continue from.
+    /// Index of the token from which to resume; 0 for a new request.
     pub resume_from: u32,
 }
 
-/// Reads the headers.
+/// Parses the request headers.
 ///
 /// # Errors
 ///
-/// The tenant is missing, or a header holds what it must not.
+/// Returns an error if the tenant is missing or a header value is invalid.
 pub fn read_headers(headers: &HeaderMap) -> Result<CallerHeaders, Refusal> {
     let tenant = match name(headers, TENANT_HEADER)? {
         Some(tenant) => tenant,
@@ -97,7 +96,7 @@
     })
 }
 
-/// OpenAI's clients send a key in this header; here it names the tenant.
+/// Reads the tenant from the bearer token, where OpenAI's clients send their API key.
 fn bearer_tenant(headers: &HeaderMap) -> Result<Arc<str>, Refusal> {
     let value = name(headers, "authorization")?;
     let tenant = value.as_deref().and_then(|value| value.strip_prefix("Bearer ")).map(Arc::from);
@@ -137,7 +136,7 @@
     Refusal::new(ErrorKind::MalformedRequest, format!("header {header}: {message}"))
 }
 
-/// The value of a query parameter.
+/// Returns the value of a query parameter.
 pub fn query_parameter<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     query?.split('&').filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name).map(|(_, value)| value)
 }
--- a/crates/node/src/http/router.rs
+++ b/crates/node/src/http/router.rs
@@ -1,4 +1,4 @@
-//! From method and path to the handler.
+//! Dispatch of requests to handlers by method and path.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,33 +16,33 @@
 use crate::events::EventSender;
 use crate::settings::CallerLimits;
 
-/// What every handler needs.
+/// State shared by all handlers.
 #[derive(Clone)]
 pub struct HttpService {
-    /// The way to the node.
+    /// Event queue of the node.
     pub events: EventSender,
-    /// The callers that wait.
+    /// Callers with pending answers.
     pub callers: CallerRegistry,
-    /// Limits for callers.
+    /// Limits on the requests of callers.
     pub limits: CallerLimits,
     request_prefix: u32,
     next_request: Arc<AtomicU64>,
 }
 
 impl HttpService {
-    /// A service that sends its calls to a node.
+    /// Creates a service that sends its calls to a node.
     pub fn new(events: EventSender, callers: CallerRegistry, limits: CallerLimits) -> Self {
         let request_prefix = Xoshiro256PlusPlus::from_os_rng().next_u32();
         Self { events, callers, limits, request_prefix, next_request: Arc::default() }
     }
 
-    /// A request id that no other node or start gives.
+    /// Returns a new request ID. Its random prefix distinguishes nodes and restarts.
     pub fn next_request_id(&self) -> Arc<str> {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         Arc::from(format!("request-{:08x}-{number}", self.request_prefix))
     }
 
-    /// Serves one request.
+    /// Handles one request.
     pub async fn handle(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let (parts, body) = request.into_parts();
         let body = match request::read_body(body, self.limits.body_bytes, self.limits.request_timeout).await {
--- a/crates/node/src/http/server.rs
+++ b/crates/node/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Accepting connections of callers, within limits.
+//! Accepts connections from callers and applies connection limits.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 
 use super::router::HttpService;
 
-/// The wait after a connection could not be accepted.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves callers until the process ends.
+/// Serves callers until the process exits.
 pub async fn serve(listener: TcpListener, service: HttpService) {
     let permits = Arc::new(Semaphore::new(service.limits.connections));
     loop {
@@ -24,7 +24,7 @@
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        // Small pieces must not wait for one another.
+        // Small chunks of a stream must be sent without delay.
         let _ = stream.set_nodelay(true);
         let service = service.clone();
         tokio::spawn(async move {
@@ -33,7 +33,7 @@
                 let service = service.clone();
                 async move { Ok::<_, Infallible>(service.handle(request).await) }
             });
-            // A connection that breaks is reported to the node by dropping its call.
+            // A failed connection drops its call, which notifies the node.
             let _ = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(Duration::from_millis(limits.request_timeout.0))
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,15 +1,15 @@
-//! A running node: the decision code of `stallmoor-core` between real sockets, clocks and disks.
+//! The I/O layer of a node: runs the state machine of `stallmoor-core` on sockets, clocks and disks.
 //!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
 //! | [`settings`] | the node's settings file |
-//! | [`running`] | starting the parts and stopping them |
-//! | `actor` | the way from the actor runtime to a state that takes messages |
-//! | `driver` | the actor that feeds events to the decision code and carries out its effects |
-//! | `streams` | the actor that holds the streams from engines |
+//! | [`running`] | startup and shutdown |
+//! | `actor` | adapter between the actor runtime and message handlers |
+//! | `driver` | the actor that feeds events to the state machine and applies its effects |
+//! | `streams` | the actor that runs engine streams |
 //! | `transport` | messages between nodes over TCP and UDP |
-//! | `callers` | answers on their way to callers |
-//! | `http` | the interface for callers and operators |
+//! | `callers` | delivery of answers to callers |
+//! | `http` | the HTTP interface for callers and operators |
 
 mod actor;
 mod callers;
--- a/crates/node/src/running.rs
+++ b/crates/node/src/running.rs
@@ -1,4 +1,4 @@
-//! Starting a node and stopping it.
+//! Startup and shutdown of a node.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -27,72 +27,70 @@
 use crate::streams::StreamsState;
 use crate::transport::{TransportState, accept_peers, receive_datagrams};
 
-/// Time between two ticks of the decision code.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// Most events in one batch.
 const MAX_EVENTS_PER_BATCH: usize = 512;
 
-/// Why a node can't start.
+/// An error that prevents a node from starting.
 #[derive(Debug, Snafu)]
 pub enum NodeError {
-    /// An address can't be listened on.
+    /// Binding an address failed.
     #[snafu(display("can't listen on {address}: {source}"))]
     Listen {
-        /// The address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// The error returned by the operating system.
         source: std::io::Error,
     },
-    /// The data folder can't be used.
+    /// Opening the data folder failed.
     #[snafu(display("{source}"))]
     Storage {
-        /// Why.
+        /// The underlying error.
         source: StorageError,
     },
-    /// An actor did not start.
-    #[snafu(display("an actor did not start: {source}"))]
+    /// Starting an actor failed.
+    #[snafu(display("failed to start actor: {source}"))]
     Spawn {
-        /// Why.
+        /// The underlying error.
         source: SpawnErr,
     },
 }
 
-/// A node that runs.
+/// A handle to a running node.
 pub struct RunningNode {
     events: EventSender,
     stopped: watch::Receiver<bool>,
-    /// Where it serves callers.
+    /// Address that serves callers and operators.
     pub caller_address: SocketAddr,
-    /// Where it takes messages of other nodes.
+    /// Address that receives messages from other nodes.
     pub peer_address: SocketAddr,
 }
 
 impl RunningNode {
-    /// Begins a planned stop.
+    /// Starts a planned stop.
     pub async fn stop(&self) {
         self.events.send(Event::Stop).await;
     }
 
     /// Waits until the node has stopped.
     pub async fn stopped(&mut self) {
-        // A closed channel means that the node is gone too.
+        // A closed channel also means that the node has stopped.
         let _ = self.stopped.wait_for(|stopped| *stopped).await;
     }
 }
 
-/// What the disk gave.
+/// Identity and state loaded from the data folder.
 struct OpenedDisk {
     id: NodeId,
     store: Option<Store>,
     persisted: PersistedNode,
 }
 
-/// What a node listens on.
+/// The node's listening sockets.
 struct Sockets {
     peers: TcpListener,
     datagrams: Arc<UdpSocket>,
     callers: TcpListener,
-    /// Of `peers` and `datagrams`; the port is chosen by the system where the settings say 0.
+    /// Bound address of `peers` and `datagrams`; the system assigns the port if the settings specify port 0.
     peer_address: SocketAddr,
     caller_address: SocketAddr,
 }
@@ -108,11 +106,11 @@
     }
 }
 
-/// Starts a node. Returns once it listens.
+/// Starts a node. Returns once its sockets are bound.
 ///
 /// # Errors
 ///
-/// An address or the data folder can't be used.
+/// Returns an error if an address can't be bound, the data folder can't be opened or an actor fails to start.
 pub async fn start(settings: &NodeFileSettings, adopt_data_folder: bool) -> Result<RunningNode, NodeError> {
     let sockets = Sockets::open(settings).await?;
     let (peer_address, caller_address) = (sockets.peer_address, sockets.caller_address);
@@ -201,7 +199,7 @@
     }
 }
 
-/// Passes events to the driver in batches, the next once the last is carried out.
+/// Sends events to the driver in batches, each after the effects of the previous one have been applied.
 async fn feed_driver(driver: ActorRef<EventBatch>, mut queue: mpsc::Receiver<Event>, stopped: watch::Sender<bool>) {
     loop {
         let mut events = Vec::new();
@@ -213,7 +211,7 @@
             break;
         }
     }
-    // Whoever waits for the stop gets it, or is gone.
+    // Fails only if all receivers have been dropped.
     let _ = stopped.send(true);
 }
 
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -7,54 +7,54 @@
 use stallmoor_core::node::configuration::{ConfigurationError, SourceFile};
 use stallmoor_core::time::Millis;
 
-/// The least severe level that is logged.
+/// Minimum severity that is logged.
 pub use log::LevelFilter as LogLevel;
 
-/// What a settings file says.
+/// Settings of a node, as read from its settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeFileSettings {
-    /// The node's zone.
+    /// Name of the zone that the node runs in.
     pub zone: String,
-    /// Where it takes messages of other nodes.
+    /// Address that receives messages from other nodes.
     pub peer_address: SocketAddr,
-    /// Where it serves callers and operators.
+    /// Address that serves callers and operators.
     pub caller_address: SocketAddr,
-    /// Addresses of nodes that may be up.
+    /// Peer addresses of other nodes, contacted to join the cluster.
     pub seeds: Vec<SocketAddr>,
-    /// The data folder, if the node stores.
+    /// Data folder; `None` if the node is not a storage node.
     pub data_folder: Option<PathBuf>,
-    /// How many storing nodes must be present before groups are founded.
+    /// Number of storage nodes that must be present before the replica groups are bootstrapped.
     pub founding_stores: usize,
-    /// How long a planned stop waits for requests in hand.
+    /// Maximum time that a planned stop waits for pending requests.
     pub stop_timeout: Millis,
-    /// The key-value service.
+    /// Address of the key-value service.
     pub key_value: SocketAddr,
-    /// The machine list.
+    /// Address of the machine list.
     pub machine_list: SocketAddr,
-    /// Most calls a second to the key-value service.
+    /// Maximum rate of calls to the key-value service, per second.
     pub key_value_rate: f64,
-    /// Time between two reads of the configuration by a watching node.
+    /// Interval at which a watching node reads the configuration.
     pub configuration_poll: Millis,
-    /// The least severe level that is logged.
+    /// Minimum severity that is logged.
     pub log_level: log::LevelFilter,
-    /// The file that the log goes to; the standard error stream if absent.
+    /// Log file; standard error if `None`.
     pub log_file: Option<PathBuf>,
-    /// Limits for callers.
+    /// Limits on the requests of callers.
     pub limits: CallerLimits,
 }
 
-/// Limits for callers.
+/// Limits on the requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Most bytes of a request's body.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// Most bytes of a request's head.
+    /// Maximum size of a request head.
     pub head_bytes: usize,
-    /// Most connections.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// How long a caller may take to send its request.
+    /// Time limit for receiving a request.
     pub request_timeout: Millis,
-    /// Most online requests in hand.
+    /// Maximum number of pending online requests.
     pub online_requests: usize,
 }
 
@@ -70,11 +70,11 @@
     }
 }
 
-/// Reads a settings file.
+/// Parses a settings file.
 ///
 /// # Errors
 ///
-/// Every error in the file, each with line and field.
+/// Returns all errors in the file, each with its line and field.
 pub fn parse_settings(file: &SourceFile) -> Result<NodeFileSettings, Vec<ConfigurationError>> {
     let document = Document::parse(file).map_err(|error| vec![error])?;
     let mut errors = Vec::new();
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -1,4 +1,4 @@
-//! The actor that holds the streams from engines.
+//! The actor that runs engine streams.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,18 +11,18 @@
 use crate::actor::MessageHandler;
 use crate::events::EventSender;
 
-/// Ended streams are cleared away after this many starts.
+/// Number of started streams after which finished tasks are removed.
 const STARTS_BETWEEN_SWEEPS: usize = 256;
 
-/// The messages of the actor.
+/// Messages to the actor.
 pub enum StreamCommand {
-    /// Send a request.
+    /// Sends a request to an engine and forwards its stream.
     Start(EngineRequest),
-    /// Drop a stream, which closes its connection and so cancels the request.
+    /// Aborts a stream; closing its connection cancels the request at the engine.
     Cancel(AttemptId),
 }
 
-/// The actor's state: the streams that run, and what each needs.
+/// The actor's state: tasks of the running streams.
 pub struct StreamsState {
     engines: Arc<dyn Engines>,
     events: EventSender,
@@ -31,7 +31,7 @@
 }
 
 impl StreamsState {
-    /// A state without streams.
+    /// Creates a state without streams.
     pub fn new(engines: Arc<dyn Engines>, events: EventSender) -> Self {
         Self { engines, events, running: HashMap::new(), starts: 0 }
     }
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -1,7 +1,7 @@
-//! Messages between nodes: membership over UDP, everything else over TCP.
+//! Messages between nodes: small membership messages over UDP, all others over TCP.
 //!
-//! A connection carries messages one way. Nothing waits for a slow or dead peer: each has a bounded
-//! queue, and what doesn't fit is dropped, as the decision code expects of a network.
+//! A connection carries messages in one direction. Slow or failed peers block no sender: each peer has a
+//! bounded queue, and messages that don't fit are dropped; the protocols tolerate message loss.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,37 +19,36 @@
 use crate::driver::log_event;
 use crate::events::EventSender;
 
-/// Most messages that wait for one peer.
+/// Maximum number of messages queued for one peer.
 const PEER_QUEUE_CAPACITY: usize = 4_096;
-/// Messages of at most this size go as one datagram.
+/// Maximum size of a message sent as a datagram.
 const MAX_DATAGRAM_BYTES: usize = 8_192;
-/// Room for one datagram. Larger than any UDP payload, so that none is cut off.
+/// Larger than any UDP payload, so that no datagram is truncated.
 const DATAGRAM_BUFFER_BYTES: usize = 65_536;
-/// How long a connection attempt may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long one write may take before the connection is given up.
+/// Time limit for one write; the connection is closed when it expires.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The wait after a failed connection attempt; messages meanwhile are dropped.
+/// Delay after a failed connection; messages queued in the meantime are dropped.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
-/// A connection without messages for this long is closed.
+/// Connections without messages are closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A message to send.
+/// A message to send to a peer.
 pub struct Outgoing {
-    /// Where to.
+    /// Address of the peer.
     pub to: SocketAddr,
-    /// The message.
+    /// The message to encode and send.
     pub message: PeerMessage,
 }
 
-/// The state of the actor that sends to peers.
+/// The state of the actor that sends messages to peers.
 pub struct TransportState {
     socket: Arc<UdpSocket>,
     peers: HashMap<SocketAddr, mpsc::Sender<Vec<u8>>>,
 }
 
 impl TransportState {
-    /// A state without connections.
+    /// Creates a state without connections.
     pub fn new(socket: Arc<UdpSocket>) -> Self {
         Self { socket, peers: HashMap::new() }
     }
@@ -58,7 +57,7 @@
         let bytes = stallmoor_wire::encode(&outgoing.message);
         let is_membership = matches!(outgoing.message, PeerMessage::Membership(_));
         if is_membership && bytes.len() <= MAX_DATAGRAM_BYTES {
-            // A full socket buffer loses the datagram, which membership bears.
+            // The datagram is lost if the socket buffer is full; the membership protocol tolerates this.
             let _ = self.socket.try_send_to(&bytes, outgoing.to);
             return;
         }
@@ -76,7 +75,7 @@
     }
 }
 
-/// Starts the task that keeps a connection to a peer.
+/// Starts the task that maintains the connection to a peer.
 fn connect(peer: SocketAddr) -> mpsc::Sender<Vec<u8>> {
     let (sender, receiver) = mpsc::channel(PEER_QUEUE_CAPACITY);
     tokio::spawn(maintain_connection(peer, receiver));
@@ -97,7 +96,7 @@
     }
 }
 
-/// Writes frames until the connection breaks (false) or there is nothing to send any more (true).
+/// Writes frames to the connection. Returns false if the connection failed, true if it is no longer needed.
 async fn write_frames(stream: TcpStream, frames: &mut mpsc::Receiver<Vec<u8>>) -> bool {
     let mut writer = BufWriter::new(stream);
     loop {
@@ -127,7 +126,7 @@
     writer.write_all(frame).await
 }
 
-/// Accepts connections of peers and passes their messages on.
+/// Accepts connections from peers and forwards their messages to the driver.
 pub async fn accept_peers(listener: TcpListener, events: EventSender) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
@@ -151,7 +150,7 @@
             log_event(LogEvent::MessageRefused, &format!("a frame of {length} bytes from {peer}"));
             return;
         }
-        // Read piece by piece, so that a length without bytes behind it costs no memory.
+        // Grows the buffer as data arrives, so that a forged length doesn't allocate memory.
         let mut frame = Vec::new();
         let mut limited = (&mut reader).take(length as u64);
         if limited.read_to_end(&mut frame).await.is_err() || frame.len() < length {
@@ -166,7 +165,7 @@
     }
 }
 
-/// Receives datagrams and passes their messages on.
+/// Receives datagrams and forwards their messages to the driver.
 pub async fn receive_datagrams(socket: Arc<UdpSocket>, events: EventSender) {
     let mut buffer = vec![0; DATAGRAM_BUFFER_BYTES];
     loop {
--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input meets a clear error, and nothing is lost by it.
+//! Invalid input is rejected with a specific error and does not affect other requests.
 
 #[allow(dead_code)]
 mod support;
@@ -72,7 +72,8 @@
     let fleet = fleet(1, 1).await;
     let to = fleet.caller_address(0);
     let mut truncated = TcpStream::connect(to).await.expect("connected");
-    truncated.write_all(b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 500\r\n\r\n{\"model\"")
+    truncated
+        .write_all(b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 500\r\n\r\n{\"model\"")
         .await
         .expect("sent");
     drop(truncated);
--- a/crates/node/tests/engine_faults.rs
+++ b/crates/node/tests/engine_faults.rs
@@ -1,4 +1,4 @@
-//! Engines that misbehave, and nodes that stop by plan, through real sockets.
+//! Faulty engines, planned stops and service outages, tested over real sockets.
 
 #[allow(dead_code)]
 mod support;
@@ -33,7 +33,7 @@
 async fn leaving_engine_receives_no_new_requests() {
     let fleet = fleet(1, 2).await;
     fleet.client.post(fleet.engines[0], "/fault", &[], json!({"leaving": true})).await;
-    eventually("the node knows", || async {
+    eventually("the node routes around the leaving engine", || async {
         let response = fleet.request_completion(0, &[], "who serves this?").await;
         response.json()["stallmoor"]["engine"] == "engine-1"
     })
@@ -65,7 +65,7 @@
     };
     eventually("the request runs", || async { fleet.run_count("while it stops").await > 0 }).await;
     fleet.nodes[0].stop().await;
-    let response = pending_request.await.expect("not cut");
+    let response = pending_request.await.expect("request task panicked");
     assert_eq!(response.status, StatusCode::OK, "{:?}", response.body);
     fleet.nodes[0].stopped().await;
     let to = fleet.caller_address(1);
--- a/crates/node/tests/golden_http.rs
+++ b/crates/node/tests/golden_http.rs
@@ -1,4 +1,4 @@
-//! What a node serves on HTTP apart from answers, as it is today: its metrics, and how refusals are answered.
+//! Guards against unintended changes of metric names and refusal responses.
 
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
@@ -8,9 +8,9 @@
 use std::fmt::Write;
 
 use hyper::Method;
-use support::{TestResponse, MODEL, TENANT, fleet, unconfigured_fleet};
+use support::{MODEL, TENANT, TestResponse, fleet, unconfigured_fleet};
 
-/// The metrics with values left out.
+/// Removes the values from the metrics.
 fn without_values(text: &str) -> String {
     let name = |line: &str| match line.strip_prefix('#') {
         Some(_) => line.to_owned(),
@@ -28,7 +28,7 @@
     golden::check_text("metrics.txt", &format!("{kind}\n{}", without_values(&text)));
 }
 
-/// Status, the headers that are stallmoor's own or say when to retry, and the body.
+/// Appends status, relevant headers and body of a response.
 fn describe(described: &mut String, case: &str, response: &TestResponse) {
     writeln!(described, "# {case}\n{}", response.status.as_u16()).expect("written to a string");
     for name in ["content-type", "stallmoor-ran", "retry-after"] {
--- a/crates/node/tests/golden_settings.rs
+++ b/crates/node/tests/golden_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of `stallmoor node`, as it is today.
+//! Guards against unintended changes of the settings file format of `stallmoor node` and its error messages.
 
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
@@ -8,7 +8,7 @@
 use stallmoor_core::node::configuration::SourceFile;
 use stallmoor_node::{NodeFileSettings, parse_settings};
 
-/// Every field, with a value other than its default.
+/// All fields, with values that differ from the defaults.
 const FULL: &str = r#"
 [node]
 zone = "zone-c"
@@ -37,7 +37,7 @@
 online_requests = 19
 "#;
 
-/// No field that has a default.
+/// Only fields without a default.
 const MINIMAL: &str = r#"
 [node]
 zone = "z"
@@ -49,7 +49,7 @@
 machine_list = "[::1]:4"
 "#;
 
-/// What is read, by the names of the file's tables and fields.
+/// Lists the parsed settings under their names in the file.
 fn describe(settings: &NodeFileSettings) -> String {
     let limits = settings.limits;
     let lines = [
@@ -81,12 +81,12 @@
 
 #[test]
 fn full_and_minimal_settings_match_the_golden_file() {
-    let read = |text: &str| describe(&parse_settings(&file(text)).expect("the settings are sound"));
+    let read = |text: &str| describe(&parse_settings(&file(text)).expect("valid settings"));
     let described = format!("# full\n{}\n# minimal\n{}", read(FULL), read(MINIMAL));
     golden::check_text("settings.txt", &described);
 }
 
-/// Each case changes one place of the full file; the last has several errors at once.
+/// Each case changes one part of the full file; the last one contains several errors.
 #[test]
 fn settings_errors_match_the_golden_file() {
     let cases = [
--- a/crates/node/tests/serving.rs
+++ b/crates/node/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Online and batch through real sockets: whole answers, sessions, keys, results readable everywhere.
+//! Online and batch requests over real sockets: complete answers, sessions, idempotency keys and batch results.
 
 #[allow(dead_code)]
 mod support;
@@ -44,7 +44,8 @@
     let fleet = fleet(3, 4).await;
     let mut engines = BTreeSet::new();
     for turn in 0..6 {
-        let response = fleet.request_completion(turn % 3, &[("stallmoor-session", "desk-9")], &format!("turn {turn}")).await;
+        let response =
+            fleet.request_completion(turn % 3, &[("stallmoor-session", "desk-9")], &format!("turn {turn}")).await;
         assert_eq!(response.status, StatusCode::OK, "{:?}", response.body);
         engines.insert(response.json()["stallmoor"]["engine"].to_string());
     }
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet in one process: real nodes on free ports of the loopback, in front of stand-ins.
+//! Runs a small fleet in one process: nodes on free loopback ports, with stand-ins for the platform.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,17 +20,17 @@
 use tempfile::TempDir;
 use tokio::net::TcpListener;
 
-/// The model that the fleet offers.
+/// Model in the fleet's configuration.
 pub const MODEL: &str = "model";
-/// The tenant that the fleet knows.
+/// Tenant in the fleet's configuration.
 pub const TENANT: &str = "tenant";
-/// Nothing that these tests wait for takes longer.
+/// Time limit of [`eventually`].
 const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Every change has an id of its own.
+/// Gives each configuration change a unique ID.
 static NEXT_APPLY: AtomicU64 = AtomicU64::new(1);
 
-/// A fleet.
+/// A running fleet.
 pub struct Fleet {
     pub nodes: Vec<RunningNode>,
     pub engines: Vec<SocketAddr>,
@@ -40,7 +40,7 @@
     _folders: Vec<TempDir>,
 }
 
-/// An answer, read whole.
+/// A complete HTTP response.
 pub struct TestResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
@@ -79,7 +79,7 @@
         let request = request.body(Full::new(body.into())).expect("a request");
         let response = self.caller.send(request).await.expect("an answer");
         let (parts, body) = response.into_parts();
-        let body = body.collect().await.expect("a whole body").to_bytes();
+        let body = body.collect().await.expect("a complete body").to_bytes();
         TestResponse { status: parts.status, headers: parts.headers, body }
     }
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// Starts `nodes` storing nodes in front of `engines` engines and applies a configuration.
+/// Starts `nodes` storage nodes and `engines` engines, and applies a configuration.
 pub async fn fleet(nodes: usize, engines: usize) -> Fleet {
     let fleet = unconfigured_fleet(nodes, engines).await;
     let applied = fleet.apply(fleet.files(), None).await;
@@ -101,7 +101,7 @@
     fleet
 }
 
-/// Starts a fleet without configuration.
+/// Starts a fleet without a configuration.
 pub async fn unconfigured_fleet(nodes: usize, engines: usize) -> Fleet {
     let key_value = KeyValue::new(KeyValueFaults::default(), 1);
     let key_value = serve(move |call| key_value.clone().handle(call)).await;
@@ -136,7 +136,7 @@
     fleet
 }
 
-/// Settings of a node without a disk.
+/// Returns the settings of a node without a data folder.
 pub fn settings(key_value: SocketAddr, machine_list: SocketAddr) -> NodeFileSettings {
     NodeFileSettings {
         zone: "zone-a".to_owned(),
@@ -184,7 +184,7 @@
         self.nodes[node].caller_address
     }
 
-    /// A set of files that names this fleet's engines.
+    /// Returns configuration files that list this fleet's engines.
     pub fn files(&self) -> Value {
         let mut machines = String::new();
         for (index, engine) in self.engines.iter().enumerate() {
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Asks a question at a node, with more headers than the tenant's.
+    /// Sends a completion request to a node, with `headers` in addition to the tenant header.
     pub async fn request_completion(&self, node: usize, headers: &[(&str, &str)], prompt: &str) -> TestResponse {
         let mut all = vec![("stallmoor-tenant", TENANT)];
         all.extend_from_slice(headers);
@@ -232,7 +232,7 @@
         self.client.send(Method::POST, self.caller_address(node), &path, &headers, lines).await
     }
 
-    /// How often a prompt ran, by the engines' own count.
+    /// Returns the number of times that the engines ran a prompt.
     pub async fn run_count(&self, prompt: &str) -> usize {
         let mut runs = 0;
         for engine in &self.engines {
@@ -243,7 +243,7 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until the condition is true; panics after `EVENTUALLY_TIMEOUT`.
 pub async fn eventually<F>(what: &str, mut holds: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
@@ -253,10 +253,14 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    assert!(tokio::time::timeout(EVENTUALLY_TIMEOUT, wait).await.is_ok(), "{what}: not within {} s", EVENTUALLY_TIMEOUT.as_secs());
+    assert!(
+        tokio::time::timeout(EVENTUALLY_TIMEOUT, wait).await.is_ok(),
+        "{what}: not within {} s",
+        EVENTUALLY_TIMEOUT.as_secs()
+    );
 }
 
-/// Many items in JSON Lines.
+/// Returns `count` batch items in JSON Lines.
 pub fn lines(count: usize) -> String {
     (0..count)
         .map(|item| {
