--- a/crates/node/tests/golden_http.rs
+++ b/crates/node/tests/golden_http.rs
@@ -30,11 +30,11 @@
 
 /// Appends status, relevant headers and body of a response.
 fn describe(described: &mut String, case: &str, response: &TestResponse) {
-    writeln!(described, "# {case}\n{}", response.status.as_u16()).expect("written to a string");
+    writeln!(described, "# {case}\n{}", response.status.as_u16()).expect("writing to a String failed");
     for name in ["content-type", "stallmoor-ran", "retry-after"] {
-        writeln!(described, "{name}: {:?}", response.headers.get(name)).expect("written to a string");
+        writeln!(described, "{name}: {:?}", response.headers.get(name)).expect("writing to a String failed");
     }
-    writeln!(described, "{}\n", String::from_utf8_lossy(&response.body)).expect("written to a string");
+    writeln!(described, "{}\n", String::from_utf8_lossy(&response.body)).expect("writing to a String failed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/node/tests/golden_settings.rs
+++ b/crates/node/tests/golden_settings.rs
@@ -109,9 +109,9 @@
     for (case, from, to) in cases {
         assert!(FULL.contains(from), "{case}: {from}");
         let errors = parse_settings(&file(&FULL.replacen(from, to, 1))).expect_err(case);
-        writeln!(described, "# {case}").expect("written to a string");
+        writeln!(described, "# {case}").expect("writing to a String failed");
         for error in errors {
-            writeln!(described, "{}", error.to_string().trim_end()).expect("written to a string");
+            writeln!(described, "{}", error.to_string().trim_end()).expect("writing to a String failed");
         }
         described.push('\n');
     }
--- a/crates/node/tests/serving.rs
+++ b/crates/node/tests/serving.rs
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn interrupted_stream_resumes_from_its_offset_on_another_node() {
+async fn resumed_request_starts_at_its_offset_on_another_node() {
     let fleet = fleet(3, 2).await;
     let complete = answer_text(MODEL, "resume me", 40);
     let words: Vec<&str> = complete.split_inclusive(' ').collect();
