--- a/crates/emulator/src/cache.rs
+++ b/crates/emulator/src/cache.rs
@@ -1,25 +1,24 @@
-//! The prefix cache: which prompt prefixes the engine need not compute again.
+//! The prefix cache: prompt prefixes that the engine doesn't need to prefill again.
 
 use std::collections::BTreeMap;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of prompt text in one block.
 const BLOCK_BYTES: usize = 64;
-/// Most blocks of a prompt that are cached.
+/// Maximum number of cached blocks per prompt.
 const MAX_BLOCKS: usize = 64;
 
-/// One change of the cache, as the engine publishes it.
+/// A cache change, as published by the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// A prefix is cached.
+    /// The prefix with this hash was stored.
     Stored(u64),
-    /// A prefix was evicted.
+    /// The prefix with this hash was evicted.
     Removed(u64),
 }
 
-/// The block hashes of a prompt, shortest prefix first: each is the hash of the one before and the
-/// block, every part followed by its length.
+/// Returns the block hashes of a prompt, shortest prefix first. Each hash covers the previous hash and the
+/// block, both followed by their length.
 pub fn prompt_blocks(model: &str, prompt: &str) -> Vec<u64> {
     let mut hash = hash_parts(&[model.as_bytes()]);
     let blocks = prompt.as_bytes().chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS);
@@ -38,52 +37,52 @@
     })
 }
 
-/// Cached prefixes, the least recently used evicted first.
+/// A least-recently-used cache of prompt prefixes.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
     capacity: usize,
-    used_at: BTreeMap<u64, u64>,
-    by_use: BTreeMap<u64, u64>,
+    last_used: BTreeMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
     uses: u64,
     changes: Vec<CacheChange>,
 }
 
 impl PrefixCache {
-    /// A cache of at most `capacity` blocks.
+    /// Creates a cache of at most `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, ..Self::default() }
     }
 
-    /// How many leading blocks are cached.
+    /// Returns the number of leading blocks that are cached.
     pub fn overlap(&self, blocks: &[u64]) -> usize {
-        blocks.iter().take_while(|block| self.used_at.contains_key(block)).count()
+        blocks.iter().take_while(|block| self.last_used.contains_key(block)).count()
     }
 
-    /// Caches blocks, or marks them as used.
+    /// Stores blocks, or marks them as recently used if they are cached.
     pub fn store(&mut self, blocks: &[u64]) {
         for block in blocks {
             self.uses += 1;
-            match self.used_at.insert(*block, self.uses) {
+            match self.last_used.insert(*block, self.uses) {
                 Some(earlier) => {
-                    self.by_use.remove(&earlier);
+                    self.by_last_use.remove(&earlier);
                 }
                 None => self.changes.push(CacheChange::Stored(*block)),
             }
-            self.by_use.insert(self.uses, *block);
+            self.by_last_use.insert(self.uses, *block);
         }
-        while self.used_at.len() > self.capacity {
-            let Some((_, oldest)) = self.by_use.pop_first() else { break };
-            self.used_at.remove(&oldest);
+        while self.last_used.len() > self.capacity {
+            let Some((_, oldest)) = self.by_last_use.pop_first() else { break };
+            self.last_used.remove(&oldest);
             self.changes.push(CacheChange::Removed(oldest));
         }
     }
 
-    /// All cached blocks.
+    /// Returns the hashes of all cached blocks.
     pub fn blocks(&self) -> impl Iterator<Item = u64> + '_ {
-        self.used_at.keys().copied()
+        self.last_used.keys().copied()
     }
 
-    /// Takes the changes since the last call.
+    /// Returns the changes since the previous call.
     pub fn take_changes(&mut self) -> Vec<CacheChange> {
         std::mem::take(&mut self.changes)
     }
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to callers.
+//! Delivery of answers to callers.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,17 +10,17 @@
 
 use crate::events::EventSender;
 
-/// Most pieces that wait for one slow caller; one that is slower is cut off.
-const MOST_WAITING: usize = 16_384;
+/// Maximum number of answers queued for one caller; a caller that falls further behind is disconnected.
+const MAX_PENDING_ANSWERS: usize = 16_384;
 
-/// The callers that wait for answers.
+/// Calls that have not received their final answer.
 #[derive(Clone, Default)]
 pub struct CallerRegistry {
-    waiting: Arc<Mutex<HashMap<CallerId, mpsc::Sender<CallerAnswer>>>>,
+    pending: Arc<Mutex<HashMap<CallerId, mpsc::Sender<CallerAnswer>>>>,
     next: Arc<AtomicU64>,
 }
 
-/// One call under way. Dropping it before the final answer reports to the node that the caller is gone.
+/// A call in progress. Dropping it before the final answer sends [`Event::CallerGone`] to the node.
 pub struct CallInProgress {
     caller: CallerId,
     registry: CallerRegistry,
@@ -30,39 +30,39 @@
 }
 
 impl CallerRegistry {
-    /// Sends a call to the node.
+    /// Registers a caller and sends its call to the node.
     pub async fn call(&self, events: &EventSender, call: CallerCall) -> CallInProgress {
         let caller = CallerId(self.next.fetch_add(1, Ordering::Relaxed) + 1);
-        let (sender, answers) = mpsc::channel(MOST_WAITING);
+        let (sender, answers) = mpsc::channel(MAX_PENDING_ANSWERS);
         self.lock().insert(caller, sender);
         events.send(Event::Call { caller, call }).await;
         CallInProgress { caller, registry: self.clone(), events: events.clone(), answers, ended: false }
     }
 
-    /// Gives an answer to a caller. Returns false if the caller is gone or too slow.
+    /// Sends an answer to a caller. Returns false if the caller is gone or its queue is full.
     pub fn answer(&self, caller: CallerId, answer: CallerAnswer) -> bool {
         let is_final = answer.is_final();
-        let mut waiting = self.lock();
-        let Some(sender) = waiting.get(&caller) else { return false };
+        let mut pending = self.lock();
+        let Some(sender) = pending.get(&caller) else { return false };
         let delivered = sender.try_send(answer).is_ok();
         if is_final || !delivered {
-            waiting.remove(&caller);
+            pending.remove(&caller);
         }
         delivered
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<CallerId, mpsc::Sender<CallerAnswer>>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl CallInProgress {
-    /// The next answer; `None` if the node stopped before the final one.
+    /// Returns the next answer, or `None` if the node stopped before the final one.
     pub async fn next(&mut self) -> Option<CallerAnswer> {
         std::future::poll_fn(|context| self.poll_next(context)).await
     }
 
-    /// Polls for the next answer.
+    /// Polls for the next answer; see [`next`](Self::next).
     pub fn poll_next(&mut self, context: &mut std::task::Context<'_>) -> std::task::Poll<Option<CallerAnswer>> {
         let polled = self.answers.poll_recv(context);
         if let std::task::Poll::Ready(answer) = &polled {
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,7 +1,7 @@
-//! The actor that feeds events to the decision code and carries out its effects.
+//! The actor that feeds events to the state machine and applies its effects.
 //!
-//! Events are taken in batches. All writes to disk of a batch go into one transaction, before anything
-//! else of the batch is carried out; so one flush of the disk serves many requests.
+//! Events are processed in batches. All disk writes of a batch are committed in one transaction before any
+//! other effect is applied, so that many requests share one disk flush.
 
 use std::sync::Arc;
 
@@ -19,35 +19,35 @@
 use crate::streams::StreamCommand;
 use crate::transport::Outgoing;
 
-/// A batch of events; the port is answered once all their effects are carried out.
+/// A batch of events to process.
 pub struct EventBatch {
-    /// The events, in order.
+    /// Events in the order of their arrival.
     pub events: Vec<Event>,
-    /// Answered with whether the node goes on.
+    /// Receives, after all effects have been applied, whether the node keeps running.
     pub done: RpcReplyPort<bool>,
 }
 
-/// The actor's state: the decision code and everything it acts through.
+/// The actor's state: the state machine and the resources that its effects use.
 pub struct DriverState {
-    /// The decision code.
+    /// The node's state machine.
     pub node: Node,
-    /// The disk, if the node has one.
+    /// Persistent storage; `None` on a node without a data folder.
     pub store: Option<Store>,
-    /// The time.
+    /// Source of the timestamps passed to the state machine.
     pub clock: SystemClock,
-    /// The way back for answers of the platform.
+    /// Queue for the results of asynchronous calls.
     pub events: EventSender,
-    /// The callers that wait.
+    /// Callers with pending answers.
     pub callers: CallerRegistry,
-    /// Streams from engines.
+    /// The actor that runs engine streams.
     pub streams: ActorRef<StreamCommand>,
-    /// Messages to peers.
+    /// The actor that sends messages to peers.
     pub transport: ActorRef<Outgoing>,
-    /// The key-value service.
+    /// Client of the key-value service.
     pub key_value: Arc<dyn KeyValueService>,
-    /// The machine list.
+    /// Client of the machine list.
     pub machines: Arc<dyn MachineList>,
-    /// Engines.
+    /// Client of the engines.
     pub engines: Arc<dyn Engines>,
 }
 
@@ -59,15 +59,15 @@
         for event in batch.events {
             effects.extend(self.node.handle(event, self.clock.read()));
         }
-        let goes_on = self.persist(&effects) && self.carry_out(effects);
-        // The other side only waits while the node runs.
-        let _ = batch.done.send(goes_on);
+        let keep_running = self.persist(&effects) && self.apply_effects(effects);
+        // The receiver is dropped when the node shuts down.
+        let _ = batch.done.send(keep_running);
     }
 }
 
 impl DriverState {
-    /// Writes everything that the batch wants kept. Returns false if the disk refused: then nothing of
-    /// the batch may leave the node, and the node stops.
+    /// Commits all writes of the batch. Returns false if the write failed: no other effect of the batch
+    /// may then be applied, and the node stops.
     fn persist(&self, effects: &[Effect]) -> bool {
         let mut write = StoreWrite::default();
         for effect in effects {
@@ -87,9 +87,9 @@
         }
     }
 
-    /// Carries out the other effects, in order. Returns false if the node stops.
-    fn carry_out(&mut self, effects: Vec<Effect>) -> bool {
-        let mut goes_on = true;
+    /// Applies all effects other than disk writes, in order. Returns false if the node is to stop.
+    fn apply_effects(&mut self, effects: Vec<Effect>) -> bool {
+        let mut keep_running = true;
         for effect in effects {
             match effect {
                 Effect::Persist { .. } | Effect::PersistConfiguration(_) => {}
@@ -99,7 +99,7 @@
                 Effect::KeyValue { call, operation } => self.call_key_value(call, operation),
                 Effect::ReadMachines => self.read_machines(),
                 Effect::PollEngine { engine, address, cache_from } => self.poll_engine(engine, address, cache_from),
-                Effect::Order(order) => self.give_order(order),
+                Effect::Order(order) => self.send_order(order),
                 Effect::StartStream(request) => {
                     let _ = self.streams.cast(StreamCommand::Start(request));
                 }
@@ -109,14 +109,14 @@
                 Effect::Answer { caller, answer } => {
                     let is_final = answer.is_final();
                     if !self.callers.answer(caller, answer) && !is_final {
-                        self.events.offer(Event::CallerGone(caller));
+                        self.events.try_send(Event::CallerGone(caller));
                     }
                 }
                 Effect::Log { event, detail } => log_event(event, &detail),
-                Effect::Exit => goes_on = false,
+                Effect::Exit => keep_running = false,
             }
         }
-        goes_on
+        keep_running
     }
 
     fn call_key_value(&self, call: KeyValueCall, operation: KeyValueOperation) {
@@ -136,7 +136,7 @@
         });
     }
 
-    fn give_order(&self, order: EngineOrder) {
+    fn send_order(&self, order: EngineOrder) {
         let (engines, events) = (self.engines.clone(), self.events.clone());
         tokio::spawn(async move {
             let engine = order.engine.clone();
@@ -157,7 +157,7 @@
     }
 }
 
-/// Writes a numbered event to the log.
+/// Logs an event at the level of its severity.
 pub fn log_event(event: LogEvent, detail: &str) {
     let level = match event.severity() {
         Severity::Information => log::Level::Info,
--- a/crates/node/src/http/batch.rs
+++ b/crates/node/src/http/batch.rs
@@ -1,7 +1,7 @@
-//! Batch jobs: files and batches as OpenAI has them, and a job in one request.
+//! Batch jobs: OpenAI's file and batch endpoints, and submission of a job in one request.
 //!
-//! An uploaded file is a job that is not accepted yet, so it is replicated like one and readable at any
-//! node; creating the batch accepts it. Output and error files are views of the job's results.
+//! An uploaded file is a job that has not been accepted, so it is replicated like one and readable from any
+//! node; creating the batch accepts the job. Output and error files are views of the job's results.
 
 use std::sync::Arc;
 
@@ -20,20 +20,19 @@
 use super::request::{parse_json, query_parameter, read_headers};
 use super::router::HttpService;
 
-/// How long a job may take where the caller doesn't say.
-const DEFAULT_WITHIN: Millis = Millis(24 * 3_600_000);
-/// Most jobs in one list.
-const LISTED_JOBS: u32 = 1_000;
-/// Items looked at in one page of results.
-const PAGE_ITEMS: u32 = 5_000;
-/// Most items looked at in one page on request.
-const MOST_PAGE_ITEMS: u32 = 20_000;
-/// Output files are named by this and the job.
+/// Time limit of a job if the caller specifies none.
+const DEFAULT_JOB_TIMEOUT: Millis = Millis(24 * 3_600_000);
+const MAX_LISTED_JOBS: u32 = 1_000;
+/// Default number of items scanned per page of results.
+const DEFAULT_PAGE_ITEMS: u32 = 5_000;
+/// Maximum number of items scanned per page of results.
+const MAX_PAGE_ITEMS: u32 = 20_000;
+/// Prefix of output file names, followed by the job ID.
 const OUTPUT_PREFIX: &str = "output-";
-/// Error files are named by this and the job.
+/// Prefix of error file names, followed by the job ID.
 const ERROR_PREFIX: &str = "errors-";
 
-/// One line of a submission: OpenAI's, or a bare prompt.
+/// One line of a submission: either OpenAI's format or a plain prompt.
 #[derive(Deserialize)]
 struct SubmissionLine {
     custom_id: Option<String>,
@@ -46,7 +45,7 @@
     input_file_id: String,
 }
 
-/// What a submission's lines hold together.
+/// The parsed lines of a submission.
 struct ParsedLines {
     model: Option<Arc<str>>,
     adapter: Option<Arc<str>>,
@@ -70,7 +69,7 @@
     }
 }
 
-/// `POST /v1/batches`: accepts an uploaded job, or takes a whole one in JSON Lines.
+/// `POST /v1/batches`: accepts an uploaded job, or creates a job from a body in JSON Lines.
 pub async fn create_batch(
     service: &HttpService,
     headers: &HeaderMap,
@@ -85,14 +84,14 @@
         }
     } else {
         match parse_json::<CreateBatch>(body).and_then(|create| parse_job(&create.input_file_id)) {
-            Ok(job) => ask_job(service, BatchCall::Accept(job)).await,
+            Ok(job) => request_job(service, BatchCall::Accept(job)).await,
             Err(refusal) => Err(answer::refusal(&refusal)),
         }
     };
     created.map_or_else(|response| response, |(job, summary)| answer::json(StatusCode::OK, &batch_json(job, &summary)))
 }
 
-/// `GET /v1/batches?limit=N`: the tenant's jobs, by group and id.
+/// `GET /v1/batches?limit=N`: lists the tenant's jobs, ordered by group and ID.
 pub async fn list_batches(service: &HttpService, headers: &HeaderMap, query: Option<&str>) -> Response<AnswerBody> {
     let caller = match read_headers(headers) {
         Ok(caller) => caller,
@@ -101,7 +100,7 @@
     let Ok(limit) = query_parameter(query, "limit").map(str::parse::<u32>).transpose() else {
         return answer::refuse(ErrorKind::MalformedRequest, "limit must be a whole number");
     };
-    let limit = limit.unwrap_or(LISTED_JOBS).min(LISTED_JOBS) as usize;
+    let limit = limit.unwrap_or(MAX_LISTED_JOBS).min(MAX_LISTED_JOBS) as usize;
     let mut listed = Vec::new();
     let mut group = 0;
     let mut group_count = 1;
@@ -122,37 +121,37 @@
     answer::json(StatusCode::OK, &json!({"object": "list", "data": listed}))
 }
 
-/// `GET /v1/batches/JOB`.
+/// `GET /v1/batches/JOB`: returns the status of a job.
 pub async fn batch_status(service: &HttpService, id: &str) -> Response<AnswerBody> {
-    let asked = match parse_job(id) {
-        Ok(job) => ask_job(service, BatchCall::Status(job)).await,
+    let result = match parse_job(id) {
+        Ok(job) => request_job(service, BatchCall::Status(job)).await,
         Err(refusal) => Err(answer::refusal(&refusal)),
     };
-    asked.map_or_else(|response| response, |(job, summary)| answer::json(StatusCode::OK, &batch_json(job, &summary)))
+    result.map_or_else(|response| response, |(job, summary)| answer::json(StatusCode::OK, &batch_json(job, &summary)))
 }
 
-/// `POST /v1/batches/JOB/cancel`.
+/// `POST /v1/batches/JOB/cancel`: cancels a job.
 pub async fn cancel_batch(service: &HttpService, id: &str) -> Response<AnswerBody> {
-    let asked = match parse_job(id) {
-        Ok(job) => ask_job(service, BatchCall::Cancel(job)).await,
+    let result = match parse_job(id) {
+        Ok(job) => request_job(service, BatchCall::Cancel(job)).await,
         Err(refusal) => Err(answer::refusal(&refusal)),
     };
-    asked.map_or_else(|response| response, |(job, summary)| answer::json(StatusCode::OK, &batch_json(job, &summary)))
+    result.map_or_else(|response| response, |(job, summary)| answer::json(StatusCode::OK, &batch_json(job, &summary)))
 }
 
-/// `GET /v1/batches/JOB/results?first=N&limit=M`: a page of results as JSON.
+/// `GET /v1/batches/JOB/results?first=N&limit=M`: returns a page of results as JSON.
 pub async fn batch_results(service: &HttpService, id: &str, query: Option<&str>) -> Response<AnswerBody> {
     let number = |name: &str| query_parameter(query, name).map(str::parse::<u32>).transpose();
     let (Ok(first), Ok(limit)) = (number("first"), number("limit")) else {
         return answer::refuse(ErrorKind::MalformedRequest, "first and limit must be whole numbers");
     };
     let first = first.unwrap_or(0);
-    let limit = limit.unwrap_or(PAGE_ITEMS).clamp(1, MOST_PAGE_ITEMS);
+    let limit = limit.unwrap_or(DEFAULT_PAGE_ITEMS).clamp(1, MAX_PAGE_ITEMS);
     let job = match parse_job(id) {
         Ok(job) => job,
         Err(refusal) => return answer::refusal(&refusal),
     };
-    match ask_results(service, job, first, limit).await {
+    match request_results(service, job, first, limit).await {
         Ok((results, next)) => {
             let results: Vec<Value> = results.iter().map(result_json).collect();
             answer::json(StatusCode::OK, &json!({"results": results, "next": next}))
@@ -161,7 +160,7 @@
     }
 }
 
-/// `GET /v1/files/FILE/content`: the output or error file of a job, in JSON Lines.
+/// `GET /v1/files/FILE/content`: returns the output or error file of a job in JSON Lines.
 pub async fn file_content(service: &HttpService, id: &str) -> Response<AnswerBody> {
     let (wants_errors, job) = if let Some(job) = id.strip_prefix(OUTPUT_PREFIX) {
         (false, job)
@@ -177,7 +176,7 @@
     let mut lines = String::new();
     let mut first = Some(0);
     while let Some(from) = first {
-        let (results, next) = match ask_results(service, job, from, PAGE_ITEMS).await {
+        let (results, next) = match request_results(service, job, from, DEFAULT_PAGE_ITEMS).await {
             Ok(page) => page,
             Err(response) => return response,
         };
@@ -192,10 +191,10 @@
 }
 
 async fn submit(service: &HttpService, submission: JobSubmission) -> Result<(JobId, JobSummary), Response<AnswerBody>> {
-    ask_job(service, BatchCall::Submit(submission)).await
+    request_job(service, BatchCall::Submit(submission)).await
 }
 
-async fn ask_job(service: &HttpService, call: BatchCall) -> Result<(JobId, JobSummary), Response<AnswerBody>> {
+async fn request_job(service: &HttpService, call: BatchCall) -> Result<(JobId, JobSummary), Response<AnswerBody>> {
     let mut call = service.callers.call(&service.events, CallerCall::Batch(call)).await;
     match call.next().await {
         Some(CallerAnswer::Job { job, summary }) => Ok((job, summary)),
@@ -204,7 +203,7 @@
     }
 }
 
-async fn ask_results(
+async fn request_results(
     service: &HttpService,
     job: JobId,
     first: u32,
@@ -223,7 +222,7 @@
     JobId::parse(id).ok_or_else(|| Refusal::new(ErrorKind::UnknownJob, format!("\"{id}\" is not a job's id")))
 }
 
-// Reading submissions.
+// Parsing of submissions.
 
 fn read_submission(
     headers: &HeaderMap,
@@ -253,22 +252,22 @@
         model,
         adapter,
         items: lines.items,
-        within: number("within_ms")?.map_or(DEFAULT_WITHIN, Millis),
+        within: number("within_ms")?.map_or(DEFAULT_JOB_TIMEOUT, Millis),
         max_tokens: max_tokens.or(lines.max_tokens),
         accept,
     })
 }
 
-/// Parses JSON Lines; an error names its line. All lines of a job must ask for the same model.
+/// Parses JSON Lines; errors contain the line number. All lines must specify the same model and adapter.
 fn parse_lines(body: &[u8]) -> Result<ParsedLines, Refusal> {
     let text = std::str::from_utf8(body).map_err(|error| {
         let line = body[..error.valid_up_to()].iter().filter(|byte| **byte == b'\n').count() + 1;
         line_error(line, "not UTF-8")
     })?;
     let mut parsed = ParsedLines { model: None, adapter: None, max_tokens: None, items: Vec::new() };
-    for (place, line) in text.lines().enumerate() {
+    for (index, line) in text.lines().enumerate() {
         if !line.trim().is_empty() {
-            add_line(&mut parsed, place + 1, line)?;
+            add_line(&mut parsed, index + 1, line)?;
         }
     }
     Ok(parsed)
@@ -279,16 +278,16 @@
     let label = read.custom_id.unwrap_or_else(|| number.to_string());
     let prompt = match (read.body, read.prompt) {
         (Some(body), _) => {
-            let demand = body.demand().map_err(|refusal| line_error(number, &refusal.detail))?;
+            let parameters = body.parameters().map_err(|refusal| line_error(number, &refusal.detail))?;
             let is_first = parsed.model.is_none() && parsed.items.is_empty();
             if is_first {
-                parsed.model = Some(demand.model);
-                parsed.adapter = demand.adapter;
-                parsed.max_tokens = demand.max_tokens;
-            } else if parsed.model.as_ref() != Some(&demand.model) || parsed.adapter != demand.adapter {
+                parsed.model = Some(parameters.model);
+                parsed.adapter = parameters.adapter;
+                parsed.max_tokens = parameters.max_tokens;
+            } else if parsed.model.as_ref() != Some(&parameters.model) || parsed.adapter != parameters.adapter {
                 return Err(line_error(number, "asks for another model than the first line"));
             }
-            demand.prompt
+            parameters.prompt
         }
         (None, Some(prompt)) if !prompt.is_empty() => Arc::from(prompt),
         _ => return Err(line_error(number, "has neither a body nor a prompt")),
@@ -301,7 +300,7 @@
     Refusal::new(ErrorKind::MalformedRequest, format!("line {line}: {message}"))
 }
 
-// Writing.
+// Serialization of responses.
 
 fn file_json(job: JobId, summary: &JobSummary) -> Value {
     json!({"id": job.to_string(), "object": "file", "purpose": "batch", "items": summary.received})
--- a/crates/node/src/http/request.rs
+++ b/crates/node/src/http/request.rs
@@ -1,4 +1,4 @@
-//! Reading requests: bounded bodies and typed headers.
+//! Parsing of requests: size-limited bodies and typed headers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,31 +11,30 @@
 use stallmoor_core::error::{ErrorKind, Refusal};
 use stallmoor_core::time::Millis;
 
-/// Who asks.
+/// Name of the tenant.
 pub const TENANT_HEADER: &str = "stallmoor-tenant";
-/// The session.
+/// Name of the session.
 pub const SESSION_HEADER: &str = "stallmoor-session";
-/// The idempotency key.
+/// Idempotency key of the request.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// `false` marks a request that must run at most once.
+/// Set to `false` for a request that must run at most once.
 pub const REPEATABLE_HEADER: &str = "stallmoor-repeatable";
-/// How long the caller waits, in milliseconds.
+/// Maximum time that the caller waits, in milliseconds.
 pub const DEADLINE_HEADER: &str = "stallmoor-deadline-ms";
-/// The token to continue a broken stream from.
+/// Index of the token from which to resume an interrupted stream.
 pub const RESUME_HEADER: &str = "stallmoor-resume-from";
-/// The request's id, in answers.
+/// Request ID, set on responses.
 pub const REQUEST_HEADER: &str = "stallmoor-request-id";
 
-/// Most bytes of a header's value that names something.
-const MOST_NAME_BYTES: usize = 512;
-/// The longest deadline, in milliseconds.
-const LONGEST_DEADLINE_MS: u64 = 3_600_000;
+/// Maximum length of a header value.
+const MAX_NAME_BYTES: usize = 512;
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// The body is too large, broke off, or took too long.
+/// Returns an error if the body is too large, is truncated or does not arrive in time.
 pub async fn read_body(body: Incoming, limit: usize, within: Millis) -> Result<Bytes, Refusal> {
     let collect = Limited::new(body, limit).collect();
     match tokio::time::timeout(Duration::from_millis(within.0), collect).await {
@@ -55,50 +54,50 @@
 ///
 /// # Errors
 ///
-/// The body is not what is expected; the detail names line and column.
+/// Returns an error with line and column if the body does not match the expected type.
 pub fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Refusal> {
     serde_json::from_slice(body).map_err(|error| Refusal::new(ErrorKind::MalformedRequest, error.to_string()))
 }
 
-/// What the headers of a caller's request say.
+/// Parsed headers of a caller's request.
 #[derive(Clone, Debug)]
 pub struct CallerHeaders {
-    /// Who asks.
+    /// Name of the tenant.
     pub tenant: Arc<str>,
-    /// The session.
+    /// Name of the session.
     pub session: Option<Arc<str>>,
-    /// The idempotency key.
+    /// Idempotency key of the request.
     pub key: Option<Arc<str>>,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// How long the caller waits.
+    /// Maximum time that the caller waits.
     pub deadline: Option<Millis>,
-    /// The token to continue from.
+    /// Index of the token from which to resume; 0 for a new request.
     pub resume_from: u32,
 }
 
-/// Reads the headers.
+/// Parses the request headers.
 ///
 /// # Errors
 ///
-/// The tenant is missing, or a header holds what it must not.
+/// Returns an error if the tenant is missing or a header value is invalid.
 pub fn read_headers(headers: &HeaderMap) -> Result<CallerHeaders, Refusal> {
     let tenant = match name(headers, TENANT_HEADER)? {
         Some(tenant) => tenant,
-        None => bearer(headers)?,
+        None => bearer_tenant(headers)?,
     };
     Ok(CallerHeaders {
         tenant,
         session: name(headers, SESSION_HEADER)?,
         key: name(headers, KEY_HEADER)?,
         repeatable: flag(headers, REPEATABLE_HEADER)?.unwrap_or(true),
-        deadline: number(headers, DEADLINE_HEADER, LONGEST_DEADLINE_MS)?.map(Millis),
+        deadline: number(headers, DEADLINE_HEADER, MAX_DEADLINE_MS)?.map(Millis),
         resume_from: number(headers, RESUME_HEADER, u64::from(u32::MAX))?.unwrap_or(0) as u32,
     })
 }
 
-/// OpenAI's clients send a key in this header; here it names the tenant.
-fn bearer(headers: &HeaderMap) -> Result<Arc<str>, Refusal> {
+/// Reads the tenant from the bearer token, where OpenAI's clients send their API key.
+fn bearer_tenant(headers: &HeaderMap) -> Result<Arc<str>, Refusal> {
     let value = name(headers, "authorization")?;
     let tenant = value.as_deref().and_then(|value| value.strip_prefix("Bearer ")).map(Arc::from);
     tenant.ok_or_else(|| {
@@ -111,7 +110,7 @@
 fn name(headers: &HeaderMap, header: &str) -> Result<Option<Arc<str>>, Refusal> {
     let Some(value) = headers.get(header) else { return Ok(None) };
     match value.to_str() {
-        Ok(text) if !text.is_empty() && text.len() <= MOST_NAME_BYTES => Ok(Some(Arc::from(text))),
+        Ok(text) if !text.is_empty() && text.len() <= MAX_NAME_BYTES => Ok(Some(Arc::from(text))),
         _ => Err(invalid(header, "must be from 1 to 512 printable characters")),
     }
 }
@@ -125,11 +124,11 @@
     }
 }
 
-fn number(headers: &HeaderMap, header: &str, most: u64) -> Result<Option<u64>, Refusal> {
+fn number(headers: &HeaderMap, header: &str, max: u64) -> Result<Option<u64>, Refusal> {
     let Some(text) = name(headers, header)? else { return Ok(None) };
     match text.parse::<u64>() {
-        Ok(number) if number <= most => Ok(Some(number)),
-        _ => Err(invalid(header, &format!("must be a whole number up to {most}"))),
+        Ok(number) if number <= max => Ok(Some(number)),
+        _ => Err(invalid(header, &format!("must be a whole number up to {max}"))),
     }
 }
 
@@ -137,7 +136,7 @@
     Refusal::new(ErrorKind::MalformedRequest, format!("header {header}: {message}"))
 }
 
-/// The value of a query parameter.
+/// Returns the value of a query parameter.
 pub fn query_parameter<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     query?.split('&').filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name).map(|(_, value)| value)
 }
--- a/crates/node/tests/golden_settings.rs
+++ b/crates/node/tests/golden_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of `stallmoor node`, as it is today.
+//! Guards against unintended changes of the settings file format of `stallmoor node` and its error messages.
 
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
@@ -8,7 +8,7 @@
 use stallmoor_core::node::configuration::SourceFile;
 use stallmoor_node::{NodeFileSettings, parse_settings};
 
-/// Every field, with a value other than its default.
+/// All fields, with values that differ from the defaults.
 const FULL: &str = r#"
 [node]
 zone = "zone-c"
@@ -37,7 +37,7 @@
 online_requests = 19
 "#;
 
-/// No field that has a default.
+/// Only fields without a default.
 const MINIMAL: &str = r#"
 [node]
 zone = "z"
@@ -49,7 +49,7 @@
 machine_list = "[::1]:4"
 "#;
 
-/// What is read, by the names of the file's tables and fields.
+/// Lists the parsed settings under their names in the file.
 fn describe(settings: &NodeFileSettings) -> String {
     let limits = settings.limits;
     let lines = [
@@ -80,15 +80,15 @@
 }
 
 #[test]
-fn a_full_and_a_minimal_file_are_read_as_ever() {
-    let read = |text: &str| describe(&parse_settings(&file(text)).expect("the settings are sound"));
+fn full_and_minimal_settings_match_the_golden_file() {
+    let read = |text: &str| describe(&parse_settings(&file(text)).expect("valid settings"));
     let described = format!("# full\n{}\n# minimal\n{}", read(FULL), read(MINIMAL));
     golden::check_text("settings.txt", &described);
 }
 
-/// Each case changes one place of the full file; the last has several errors at once.
+/// Each case changes one part of the full file; the last one contains several errors.
 #[test]
-fn errors_of_the_file_read_as_ever() {
+fn settings_errors_match_the_golden_file() {
     let cases = [
         ("unknown table", "[limits]", "[limit]"),
         ("unknown field", "seeds = ", "seed = "),
@@ -109,9 +109,9 @@
     for (case, from, to) in cases {
         assert!(FULL.contains(from), "{case}: {from}");
         let errors = parse_settings(&file(&FULL.replacen(from, to, 1))).expect_err(case);
-        writeln!(described, "# {case}").expect("written to a string");
+        writeln!(described, "# {case}").expect("writing to a String failed");
         for error in errors {
-            writeln!(described, "{}", error.to_string().trim_end()).expect("written to a string");
+            writeln!(described, "{}", error.to_string().trim_end()).expect("writing to a String failed");
         }
         described.push('\n');
     }
