--- a/crates/core/src/node/batch_demand.rs
+++ b/crates/core/src/node/batch_demand.rs
@@ -14,12 +14,12 @@
 use crate::time::Millis;
 
 /// Most engines asked by one node for one service.
-const MOST_ENGINES_ASKED: usize = 24;
+const MAX_ENGINES_PER_SERVICE: usize = 24;
 /// Most startable items counted as demand.
-const MOST_DEMAND: u32 = 4_096;
+const MAX_DEMAND: u32 = 4_096;
 
 impl Node {
-    pub(super) fn ask_for_room(&mut self) {
+    pub(super) fn request_capacity(&mut self) {
         let Some(fleet) = self.fleet() else { return };
         if self.stopping.is_some() {
             return;
@@ -29,7 +29,7 @@
         for service in fleet.services.keys() {
             let demand = self.startable_items(&jobs, service);
             if demand > 0 {
-                for engine in self.engines_to_ask(service) {
+                for engine in self.capacity_candidates(service) {
                     wanted.insert(engine, demand);
                 }
             }
@@ -37,25 +37,25 @@
         for engine in self.batch.dispatcher.engines_in_use() {
             wanted.entry(engine.clone()).or_insert(0);
         }
-        let no_longer: Vec<EngineName> =
-            self.batch.asked.iter().filter(|engine| !wanted.contains_key(*engine)).cloned().collect();
-        for engine in no_longer {
-            self.send_ask(&engine, 0);
+        let unneeded: Vec<EngineName> =
+            self.batch.requested.iter().filter(|engine| !wanted.contains_key(*engine)).cloned().collect();
+        for engine in unneeded {
+            self.send_capacity_request(&engine, 0);
         }
-        self.batch.asked = wanted.keys().cloned().collect();
+        self.batch.requested = wanted.keys().cloned().collect();
         for (engine, demand) in wanted {
             let want = demand + self.batch.dispatcher.streams_at(&engine) as u32;
-            self.send_ask(&engine, want);
+            self.send_capacity_request(&engine, want);
         }
     }
 
-    pub(super) fn release_asks(&mut self) {
-        for engine in std::mem::take(&mut self.batch.asked) {
-            self.send_ask(&engine, 0);
+    pub(super) fn cancel_capacity_requests(&mut self) {
+        for engine in std::mem::take(&mut self.batch.requested) {
+            self.send_capacity_request(&engine, 0);
         }
     }
 
-    fn send_ask(&mut self, engine: &EngineName, want: u32) {
+    fn send_capacity_request(&mut self, engine: &EngineName, want: u32) {
         let from = self.settings.id;
         let message = CreditMessage::Ask { engine: engine.clone(), from, want };
         self.send(self.steward_of(engine), PeerMessage::Credit(message));
@@ -66,20 +66,23 @@
         let mut demand = 0;
         for job in jobs.iter().filter(|job| &*job.service == service) {
             if self.batch.dispatcher.has_startable(job.job, job.item_count, now) {
-                let left = self.groups.get(job.job.group).and_then(|hosted| hosted.state.job(job.job));
-                demand += left.map_or(0, |held| job.item_count - held.completed);
+                let stored_job = self.groups.get(job.job.group).and_then(|hosted| hosted.state.job(job.job));
+                demand += stored_job.map_or(0, |stored| job.item_count - stored.completed);
             }
         }
-        demand.min(MOST_DEMAND)
+        demand.min(MAX_DEMAND)
     }
 
     /// Usable engines of a service; where there are many, a part that differs from node to node.
-    fn engines_to_ask(&self, service: &str) -> Vec<EngineName> {
+    fn capacity_candidates(&self, service: &str) -> Vec<EngineName> {
         let now = self.clock.now;
         let usable = self.engines.of_service(service).filter(|(_, state)| state.is_usable(now));
         let key = hash_parts(&[b"ask", &self.settings.id.0.to_le_bytes()]);
         let names = usable.map(|(name, _)| name);
-        rendezvous(key, names, |name| hash_bytes(name.0.as_bytes()), MOST_ENGINES_ASKED).into_iter().cloned().collect()
+        rendezvous(key, names, |name| hash_bytes(name.0.as_bytes()), MAX_ENGINES_PER_SERVICE)
+            .into_iter()
+            .cloned()
+            .collect()
     }
 
     pub(super) fn on_batch_grant(&mut self, engine: EngineName, limit: u32, lifetime: Millis) {
--- a/crates/core/src/node/batch_flow.rs
+++ b/crates/core/src/node/batch_flow.rs
@@ -16,9 +16,9 @@
 use crate::time::{Millis, Timestamp, UnixMillis};
 
 /// Time between two asks for room.
-const ASK_INTERVAL: Millis = Millis(400);
+const CAPACITY_REQUEST_INTERVAL: Millis = Millis(400);
 /// A batch stream that brings nothing for this long counts as lost.
-const SILENCE_TIMEOUT: Millis = Millis(20_000);
+const STREAM_IDLE_TIMEOUT: Millis = Millis(20_000);
 /// How long recording results is tried before the items are run again.
 const RECORD_TIMEOUT: Millis = Millis(10_000);
 /// Time between two sweeps of state beyond its retention.
@@ -32,10 +32,10 @@
     /// Engines whose steward is due a report of this node's online requests.
     pub(super) notices_due: BTreeSet<EngineName>,
     pub(super) next_notice: Timestamp,
-    next_ask: Timestamp,
+    next_capacity_request: Timestamp,
     next_forget: Timestamp,
     /// Engines whose steward knows a demand of this node.
-    pub(super) asked: BTreeSet<EngineName>,
+    pub(super) requested: BTreeSet<EngineName>,
     results: BTreeMap<JobId, Vec<CompletedItem>>,
 }
 
@@ -46,9 +46,9 @@
             is_dirty: false,
             notices_due: BTreeSet::new(),
             next_notice: now,
-            next_ask: now,
+            next_capacity_request: now,
             next_forget: now + FORGET_INTERVAL,
-            asked: BTreeSet::new(),
+            requested: BTreeSet::new(),
             results: BTreeMap::new(),
         }
     }
@@ -67,11 +67,11 @@
 impl Node {
     pub(super) fn tick_batch(&mut self) {
         let now = self.clock.now;
-        self.drop_silent_streams();
+        self.fail_idle_streams();
         self.schedule_batch();
-        if now >= self.batch.next_ask {
-            self.batch.next_ask = now + ASK_INTERVAL;
-            self.ask_for_room();
+        if now >= self.batch.next_capacity_request {
+            self.batch.next_capacity_request = now + CAPACITY_REQUEST_INTERVAL;
+            self.request_capacity();
         }
         if now >= self.batch.next_forget {
             self.batch.next_forget = now + FORGET_INTERVAL;
@@ -91,9 +91,9 @@
         if jobs.is_empty() {
             return;
         }
-        if self.batch.asked.is_empty() {
+        if self.batch.requested.is_empty() {
             // The first job need not wait for the next round of asking.
-            self.ask_for_room();
+            self.request_capacity();
         }
         loop {
             let started = self.start_round(&jobs);
@@ -110,8 +110,8 @@
         for engine in self.batch.dispatcher.engines_with_room(now) {
             let Some(state) = self.engines.get(&engine).filter(|state| state.is_usable(now)) else { continue };
             let service = state.configured.service.clone();
-            let Some(place) = self.best_job(jobs, &service) else { continue };
-            if self.start_next_item(&jobs[place], &engine) {
+            let Some(index) = self.best_job(jobs, &service) else { continue };
+            if self.start_next_item(&jobs[index], &engine) {
                 started += 1;
             }
         }
@@ -140,7 +140,7 @@
     fn best_job(&self, jobs: &[RunnableJob], service: &str) -> Option<usize> {
         let now = self.clock.now;
         let mut best: Option<(JobRank, usize)> = None;
-        for (place, job) in jobs.iter().enumerate() {
+        for (index, job) in jobs.iter().enumerate() {
             let startable =
                 &*job.service == service && self.batch.dispatcher.has_startable(job.job, job.item_count, now);
             if !startable {
@@ -149,10 +149,10 @@
             let usage = &self.batch.dispatcher.usage;
             let rank = usage.rank(&job.tenant, job.weight, job.deadline, self.clock.civil);
             if best.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
-                best = Some((rank, place));
+                best = Some((rank, index));
             }
         }
-        best.map(|(_, place)| place)
+        best.map(|(_, index)| index)
     }
 
     /// Starts the next item of a job that has no result yet.
@@ -173,10 +173,12 @@
         let Some(fleet) = self.fleet() else { return false };
         let Some(service) = fleet.services.get(&job.service) else { return false };
         let hosted = self.groups.get(job.job.group);
-        let held = hosted.and_then(|hosted| hosted.state.job(job.job));
-        let Some(held) = held else { return false };
-        let Some(prompt) = held.items.get(item as usize).and_then(|item| item.prompt.clone()) else { return false };
-        let specification = held.specification.clone();
+        let stored_job = hosted.and_then(|hosted| hosted.state.job(job.job));
+        let Some(stored_job) = stored_job else { return false };
+        let Some(prompt) = stored_job.items.get(item as usize).and_then(|item| item.prompt.clone()) else {
+            return false;
+        };
+        let specification = stored_job.specification.clone();
         let attempt = self.draw_attempt();
         let from_token = self.batch.dispatcher.started(attempt, job.job, item, job.tenant.clone(), engine.clone(), now);
         self.batch.dispatcher.pace(engine, service.batch_start_interval, now);
@@ -199,13 +201,13 @@
 
     /// Streams of jobs that ended, or of groups that this node leads no longer, are stopped.
     fn abandon_ended_jobs(&mut self) {
-        let known = self.batch.dispatcher.known_jobs();
-        for job in known {
+        let tracked_jobs = self.batch.dispatcher.known_jobs();
+        for job in tracked_jobs {
             let is_running = self.groups.get(job.group).is_some_and(|hosted| {
-                let held = hosted.state.job(job);
+                let stored_job = hosted.state.job(job);
                 hosted.replica.is_leader()
-                    && held.is_some_and(|held| {
-                        held.phase == crate::node::partition::JobPhase::Accepted && !held.has_ended()
+                    && stored_job.is_some_and(|stored_job| {
+                        stored_job.phase == crate::node::partition::JobPhase::Accepted && !stored_job.has_ended()
                     })
             });
             if is_running {
@@ -229,19 +231,19 @@
         for attempt in attempts {
             self.stop_stream(attempt, StreamEnd::Paused);
         }
-        self.release_asks();
+        self.cancel_capacity_requests();
     }
 
-    fn drop_silent_streams(&mut self) {
+    fn fail_idle_streams(&mut self) {
         let now = self.clock.now;
-        let silent: Vec<(AttemptId, EngineName)> = self
+        let idle: Vec<(AttemptId, EngineName)> = self
             .batch
             .dispatcher
             .streams()
-            .filter(|(_, stream)| now.since(stream.last_piece) >= SILENCE_TIMEOUT)
+            .filter(|(_, stream)| now.since(stream.last_piece) >= STREAM_IDLE_TIMEOUT)
             .map(|(attempt, stream)| (attempt, stream.engine.clone()))
             .collect();
-        for (attempt, engine) in silent {
+        for (attempt, engine) in idle {
             self.stop_stream(attempt, StreamEnd::Failed);
             self.note_engine_failure(&engine);
         }
@@ -283,8 +285,8 @@
     }
 
     fn on_batch_end(&mut self, attempt: AttemptId, length: u32) {
-        let is_whole = self.batch.dispatcher.stream_mut(attempt).is_some_and(|stream| stream.tokens == length);
-        if is_whole {
+        let is_complete = self.batch.dispatcher.stream_mut(attempt).is_some_and(|stream| stream.tokens == length);
+        if is_complete {
             self.complete_item(attempt, ItemVerdict::Completed);
         } else {
             self.fail_batch_stream(attempt, false);
--- a/crates/core/src/node/group_client.rs
+++ b/crates/core/src/node/group_client.rs
@@ -16,11 +16,11 @@
 use crate::time::{Millis, Timestamp};
 
 /// Longest wait for the answer to one try; the wait is drawn between half of it and all of it.
-const MOST_TRY_WAIT: Millis = Millis(800);
+const MAX_RETRY_INTERVAL: Millis = Millis(800);
 /// How long a request waits after a refusal.
 const REFUSAL_BACKOFF: Backoff = Backoff::new(Millis(10), Millis(400));
 /// Most requests that wait at once.
-const MOST_PENDING: usize = 16_384;
+const MAX_PENDING_REQUESTS: usize = 16_384;
 
 /// Who asked, and for what.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -91,14 +91,14 @@
     /// Drops what a caller waits for that went away. Commands under way may still take effect.
     pub(super) fn forget_caller(&mut self, caller: CallerId) {
         self.pending.retain(|_, pending| match &pending.purpose {
-            Purpose::Upload(of)
-            | Purpose::JobStatus(of, _)
-            | Purpose::JobList(of)
-            | Purpose::JobResults(of)
-            | Purpose::AcceptJob(of, _)
-            | Purpose::CancelJob(of, _)
-            | Purpose::Mark(of)
-            | Purpose::FindSession(of) => *of != caller,
+            Purpose::Upload(owner)
+            | Purpose::JobStatus(owner, _)
+            | Purpose::JobList(owner)
+            | Purpose::JobResults(owner)
+            | Purpose::AcceptJob(owner, _)
+            | Purpose::CancelJob(owner, _)
+            | Purpose::Mark(owner)
+            | Purpose::FindSession(owner) => *owner != caller,
             _ => true,
         });
     }
@@ -116,17 +116,17 @@
 
 impl Node {
     /// Sends a command to a group.
-    pub(super) fn command(&mut self, group: GroupId, command: Command, purpose: Purpose, within: Millis) {
-        self.request(group, GroupRequestBody::Command(command), purpose, within);
+    pub(super) fn command(&mut self, group: GroupId, command: Command, purpose: Purpose, timeout: Millis) {
+        self.request(group, GroupRequestBody::Command(command), purpose, timeout);
     }
 
     /// Sends a query to a group.
-    pub(super) fn query(&mut self, group: GroupId, query: Query, purpose: Purpose, within: Millis) {
-        self.request(group, GroupRequestBody::Query(query), purpose, within);
+    pub(super) fn query(&mut self, group: GroupId, query: Query, purpose: Purpose, timeout: Millis) {
+        self.request(group, GroupRequestBody::Query(query), purpose, timeout);
     }
 
-    fn request(&mut self, group: GroupId, body: GroupRequestBody, purpose: Purpose, within: Millis) {
-        if self.client.pending.len() >= MOST_PENDING {
+    fn request(&mut self, group: GroupId, body: GroupRequestBody, purpose: Purpose, timeout: Millis) {
+        if self.client.pending.len() >= MAX_PENDING_REQUESTS {
             self.on_reply(purpose, GroupReply::TimedOut);
             return;
         }
@@ -137,7 +137,7 @@
             group,
             body,
             purpose,
-            deadline: now + within,
+            deadline: now + timeout,
             next_try: now,
             tries: 0,
             refusals: 0,
@@ -149,7 +149,7 @@
 
     fn try_request(&mut self, id: u64) {
         let now = self.clock.now;
-        let wait = self.client.jitter(MOST_TRY_WAIT);
+        let wait = self.client.jitter(MAX_RETRY_INTERVAL);
         let Some(pending) = self.client.pending.get_mut(&id) else { return };
         let target = choose_target(self.directory.get(pending.group), pending.tries);
         pending.tries += 1;
@@ -172,9 +172,9 @@
                 }
                 continue;
             }
-            if let Some(silent) = pending.target {
+            if let Some(unresponsive) = pending.target {
                 let group = pending.group;
-                self.directory.forget_leader(group, silent);
+                self.directory.forget_leader(group, unresponsive);
             }
             self.try_request(id);
         }
--- a/crates/core/src/node/group_repair.rs
+++ b/crates/core/src/node/group_repair.rs
@@ -12,7 +12,7 @@
 use crate::time::Timestamp;
 
 /// A learner is caught up when it misses at most this many entries.
-const CAUGHT_UP_ENTRIES: u64 = 16;
+const MAX_CAUGHT_UP_LAG: u64 = 16;
 
 impl Node {
     pub(super) fn repair_groups(&mut self) {
@@ -47,19 +47,20 @@
     fn replica_health(&self, hosted: &HostedGroup, node: NodeId) -> ReplicaHealth {
         let now = self.clock.now;
         let is_own = node == self.settings.id;
-        let gone_since = match self.membership.member(node) {
+        let absent_since = match self.membership.member(node) {
             Some(member) if member.is_present() => None,
             Some(_) => self.membership.changed_at(node),
             None => Some(Timestamp::default()),
         };
         let progress = hosted.replica.progress(node);
         let matched = progress.map_or(0, |progress| progress.matched.0);
-        let answers = progress.and_then(|progress| progress.last_answer).is_some_and(|at| now.since(at) < REPAIR_DELAY);
-        let is_gone = gone_since.is_some_and(|since| now.since(since) >= REPAIR_DELAY);
+        let is_responsive =
+            progress.and_then(|progress| progress.last_answer).is_some_and(|at| now.since(at) < REPAIR_DELAY);
+        let is_absent = absent_since.is_some_and(|since| now.since(since) >= REPAIR_DELAY);
         ReplicaHealth {
             node,
-            is_lost: !is_own && is_gone && !answers,
-            is_caught_up: matched + CAUGHT_UP_ENTRIES >= hosted.replica.commit().0 && answers,
+            is_lost: !is_own && is_absent && !is_responsive,
+            is_caught_up: matched + MAX_CAUGHT_UP_LAG >= hosted.replica.commit().0 && is_responsive,
         }
     }
 
--- a/crates/core/src/node/group_requests.rs
+++ b/crates/core/src/node/group_requests.rs
@@ -10,7 +10,7 @@
 use crate::time::Timestamp;
 
 /// Someone who waits for a command to be applied.
-pub(super) struct Waiting {
+pub(super) struct PendingCommand {
     pub(super) term: Term,
     request: u64,
     from: NodeId,
@@ -36,7 +36,7 @@
                 let result = if hosted.replica.may_answer_reads(now) {
                     Ok(GroupAnswerBody::Answer(hosted.state.query(&query)))
                 } else {
-                    Err(refusal_of(&hosted.replica))
+                    Err(refusal_for(&hosted.replica))
                 };
                 self.answer_group_request(request.from, request.id, request.group, result);
             }
@@ -44,11 +44,11 @@
                 let term = hosted.replica.term();
                 match hosted.replica.propose(command.encode(), now) {
                     Ok(index) => {
-                        let waiting = Waiting { term, request: request.id, from: request.from, applied: None };
-                        hosted.waiting.insert(index, waiting);
+                        let pending = PendingCommand { term, request: request.id, from: request.from, applied: None };
+                        hosted.pending.insert(index, pending);
                     }
                     Err(ProposalError::NotLeader(_)) => {
-                        let refusal = refusal_of(&hosted.replica);
+                        let refusal = refusal_for(&hosted.replica);
                         self.answer_group_request(request.from, request.id, request.group, Err(refusal));
                     }
                     Err(ProposalError::Busy) => {
@@ -72,40 +72,40 @@
     }
 
     /// Whoever waits at a deposed leader is answered that it should ask the new one.
-    pub(super) fn drop_waiting(&mut self, group: GroupId) {
+    pub(super) fn reject_pending_commands(&mut self, group: GroupId) {
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
-        let refusal = refusal_of(&hosted.replica);
-        let waiting = std::mem::take(&mut hosted.waiting);
-        for waiting in waiting.into_values() {
-            self.answer_group_request(waiting.from, waiting.request, group, Err(refusal));
+        let refusal = refusal_for(&hosted.replica);
+        let pending = std::mem::take(&mut hosted.pending);
+        for pending in pending.into_values() {
+            self.answer_group_request(pending.from, pending.request, group, Err(refusal));
         }
     }
 
     /// An outcome is answered once every replica that answers holds it, or after a short wait.
-    pub(super) fn answer_waiting(&mut self, group: GroupId) {
+    pub(super) fn answer_pending_commands(&mut self, group: GroupId) {
         let now = self.clock.now;
         let wait = self.settings.replication.full_ack_timeout;
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let mut ready = Vec::new();
-        for (index, waiting) in &hosted.waiting {
-            let Some((applied_at, _)) = &waiting.applied else { break };
+        for (index, pending) in &hosted.pending {
+            let Some((applied_at, _)) = &pending.applied else { break };
             let waited = now.since(*applied_at) >= wait;
             if !waited && !hosted.replica.is_on_all_responsive_voters(*index, now) {
                 break;
             }
             ready.push(*index);
         }
-        let answered: Vec<Waiting> = ready.iter().filter_map(|index| hosted.waiting.remove(index)).collect();
-        for waiting in answered {
-            if let Some((_, outcome)) = waiting.applied {
+        let answered: Vec<PendingCommand> = ready.iter().filter_map(|index| hosted.pending.remove(index)).collect();
+        for pending in answered {
+            if let Some((_, outcome)) = pending.applied {
                 let result = Ok(GroupAnswerBody::Outcome(outcome));
-                self.answer_group_request(waiting.from, waiting.request, group, result);
+                self.answer_group_request(pending.from, pending.request, group, result);
             }
         }
     }
 }
 
-fn refusal_of(replica: &Replica) -> GroupRefusal {
+fn refusal_for(replica: &Replica) -> GroupRefusal {
     if replica.is_leader() {
         return GroupRefusal::Busy;
     }
--- a/crates/core/src/node/groups.rs
+++ b/crates/core/src/node/groups.rs
@@ -10,7 +10,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 use super::effect::Effect;
-use super::group_requests::Waiting;
+use super::group_requests::PendingCommand;
 use super::machine::Node;
 use super::settings::NodeSettings;
 use super::status::GroupStatus;
@@ -28,12 +28,12 @@
 /// Time between two looks at the health of a group's members.
 const REPAIR_INTERVAL: Millis = Millis(1_000);
 /// A log may grow to this many times its limit while a follower is behind.
-const COMPACT_SLACK: usize = 4;
+const MAX_LOG_GROWTH_FACTOR: usize = 4;
 /// One hosted replica with its state machine.
 pub(super) struct HostedGroup {
     pub(super) replica: Replica,
     pub(super) state: PartitionState,
-    pub(super) waiting: BTreeMap<LogIndex, Waiting>,
+    pub(super) pending: BTreeMap<LogIndex, PendingCommand>,
     was_leader: bool,
 }
 
@@ -71,7 +71,7 @@
         let state = PartitionState::decode(&persisted.snapshot.state).unwrap_or_default();
         let seed = self.random.random();
         let replica = Replica::new(group, self.id, self.settings, persisted, now, seed);
-        let hosted = HostedGroup { replica, state, waiting: BTreeMap::new(), was_leader: false };
+        let hosted = HostedGroup { replica, state, pending: BTreeMap::new(), was_leader: false };
         self.hosted.insert(group, hosted);
     }
 
@@ -165,9 +165,9 @@
                 ReplicaEffect::Restore(snapshot) => self.restore_group(group, &snapshot),
             }
         }
-        self.note_leadership(group);
+        self.update_leadership(group);
         self.apply_committed(group);
-        self.answer_waiting(group);
+        self.answer_pending_commands(group);
     }
 
     fn restore_group(&mut self, group: GroupId, snapshot: &Snapshot) {
@@ -179,7 +179,7 @@
         self.log(LogEvent::SnapshotInstalled, format!("group {group} up to entry {}", snapshot.index.0));
     }
 
-    fn note_leadership(&mut self, group: GroupId) {
+    fn update_leadership(&mut self, group: GroupId) {
         let own = self.settings.id;
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let entry = DirectoryEntry {
@@ -202,7 +202,7 @@
             self.log(LogEvent::LeaderElected, format!("group {group} in term {}", entry.term.0));
         } else {
             self.log(LogEvent::LeaderStoodDown, format!("group {group} at {own}"));
-            self.drop_waiting(group);
+            self.reject_pending_commands(group);
         }
         self.batch.is_dirty = true;
     }
@@ -210,7 +210,7 @@
     fn apply_committed(&mut self, group: GroupId) {
         let now = self.clock.now;
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
-        let mut notices = Vec::new();
+        let mut log_events = Vec::new();
         let mut applied_any = false;
         while let Some(entry) = hosted.replica.next_committed() {
             applied_any = true;
@@ -218,26 +218,26 @@
             let Some(command) = Command::decode(bytes) else { continue };
             let outcome = hosted.state.apply(&command);
             if hosted.replica.is_leader() {
-                notices.extend(Self::notice_of(&command, &outcome, &hosted.state));
+                log_events.extend(Self::log_event_for(&command, &outcome, &hosted.state));
             }
-            if let Some(waiting) = hosted.waiting.get_mut(&entry.index) {
-                if waiting.term == entry.term {
-                    waiting.applied = Some((now, outcome));
+            if let Some(pending) = hosted.pending.get_mut(&entry.index) {
+                if pending.term == entry.term {
+                    pending.applied = Some((now, outcome));
                 } else {
-                    hosted.waiting.remove(&entry.index);
+                    hosted.pending.remove(&entry.index);
                 }
             }
         }
         if applied_any {
             self.batch.is_dirty = true;
         }
-        for (event, job) in notices {
+        for (event, job) in log_events {
             self.log(event, job.to_string());
         }
     }
 
     /// What an applied command means for the log.
-    fn notice_of(command: &Command, outcome: &CommandOutcome, state: &PartitionState) -> Option<(LogEvent, JobId)> {
+    fn log_event_for(command: &Command, outcome: &CommandOutcome, state: &PartitionState) -> Option<(LogEvent, JobId)> {
         match (command, outcome) {
             (Command::AcceptJob { job }, CommandOutcome::JobOpen { phase: JobPhase::Accepted, .. }) => {
                 Some((LogEvent::JobAccepted, *job))
@@ -263,7 +263,7 @@
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let bytes = hosted.replica.log().bytes();
         let due = bytes > limit && hosted.replica.all_members_caught_up();
-        if due || bytes > limit * COMPACT_SLACK {
+        if due || bytes > limit * MAX_LOG_GROWTH_FACTOR {
             let state = hosted.state.encode();
             hosted.replica.compact(state);
             self.settle_group(group);
--- a/crates/core/src/node/machine.rs
+++ b/crates/core/src/node/machine.rs
@@ -148,7 +148,7 @@
         while let Some(message) = self.loopback.pop_front() {
             self.on_peer(message);
         }
-        self.drain_membership();
+        self.apply_membership_effects();
         std::mem::take(&mut self.effects)
     }
 
@@ -169,7 +169,7 @@
 
     fn tick(&mut self) {
         self.membership.tick(self.clock.now);
-        self.drain_membership();
+        self.apply_membership_effects();
         self.tick_groups();
         self.tick_client();
         self.tick_configuration();
@@ -188,7 +188,7 @@
         match message {
             PeerMessage::Membership(message) => {
                 self.membership.step(message, self.clock.now);
-                self.drain_membership();
+                self.apply_membership_effects();
             }
             PeerMessage::Replication(message) => self.on_replication(message),
             PeerMessage::GroupRequest(request) => self.on_group_request(request),
@@ -293,8 +293,8 @@
     pub(super) fn address_of(&self, node: NodeId) -> Option<SocketAddr> {
         let member = self.membership.member(node)?;
         let address = member.peer_address;
-        let is_taken = !member.is_present() && self.membership.present().any(|other| other.peer_address == address);
-        (!is_taken).then_some(address)
+        let is_reused = !member.is_present() && self.membership.present().any(|other| other.peer_address == address);
+        (!is_reused).then_some(address)
     }
 
     pub(super) fn draw_attempt(&mut self) -> AttemptId {
@@ -315,7 +315,7 @@
         rendezvous(key, present, |node| node.0, count).contains(&self.settings.id)
     }
 
-    fn drain_membership(&mut self) {
+    fn apply_membership_effects(&mut self) {
         for effect in self.membership.take_effects() {
             match effect {
                 MembershipEffect::Send { to, message } => {
--- a/crates/core/src/node/partition/job.rs
+++ b/crates/core/src/node/partition/job.rs
@@ -137,13 +137,13 @@
 
     /// Adds items from place `first` on. Items already held are skipped; a gap adds nothing.
     pub fn add_items(&mut self, first: u32, items: &[NewItem]) {
-        let held = self.items.len() as u32;
+        let received = self.items.len() as u32;
         let limit = self.specification.item_count as usize;
-        if self.phase != JobPhase::Uploading || first > held {
+        if self.phase != JobPhase::Uploading || first > received {
             return;
         }
-        let known = (held - first) as usize;
-        for item in items.iter().skip(known) {
+        let already_received = (received - first) as usize;
+        for item in items.iter().skip(already_received) {
             if self.items.len() < limit {
                 let prompt = Some(item.prompt.clone());
                 self.items.push(Item { label: item.label.clone(), prompt, result: None });
--- a/crates/core/src/node/partition/state.rs
+++ b/crates/core/src/node/partition/state.rs
@@ -14,7 +14,7 @@
 use crate::time::UnixMillis;
 
 /// Most bytes of result text in one answer to [`Query::JobResults`].
-const RESULT_PAGE_BYTES: usize = 1 << 20;
+const MAX_RESULT_PAGE_BYTES: usize = 1 << 20;
 
 /// An item that has no result yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -128,10 +128,10 @@
 
     fn open_job(&mut self, id: JobId, specification: &JobSpecification, at: UnixMillis) -> CommandOutcome {
         let job = self.jobs.entry(id).or_insert_with(|| Job::new(specification.clone(), at));
-        let same = job.specification.content_digest == specification.content_digest
+        let is_same = job.specification.content_digest == specification.content_digest
             && job.specification.tenant == specification.tenant
             && job.specification.key == specification.key;
-        if !same {
+        if !is_same {
             return CommandOutcome::JobConflict;
         }
         CommandOutcome::JobOpen { received: job.items.len() as u32, phase: job.phase }
@@ -162,11 +162,11 @@
 
     fn complete_items(&mut self, id: JobId, results: &[CompletedItem], at: UnixMillis) -> CommandOutcome {
         let Some(job) = self.jobs.get_mut(&id) else { return CommandOutcome::UnknownJob };
-        let taken = results.iter().filter(|done| job.complete_item(done.item, &done.result, at)).count();
+        let recorded = results.iter().filter(|done| job.complete_item(done.item, &done.result, at)).count();
         if job.has_ended() {
             self.running.remove(&id);
         }
-        CommandOutcome::ItemsCompleted { dropped: (results.len() - taken) as u32 }
+        CommandOutcome::ItemsCompleted { dropped: (results.len() - recorded) as u32 }
     }
 
     fn cancel_job(&mut self, id: JobId, at: UnixMillis) -> CommandOutcome {
@@ -219,16 +219,16 @@
         if record.generation == current + 1 {
             self.sessions.insert(session.clone(), record.clone());
         }
-        let held = self.sessions.get(session).unwrap_or(record);
-        CommandOutcome::Session(held.clone())
+        let stored = self.sessions.get(session).unwrap_or(record);
+        CommandOutcome::Session(stored.clone())
     }
 
     fn forget(&mut self, before: UnixMillis) -> CommandOutcome {
-        let keeps_job = |job: &Job| match job.phase {
+        let is_retained = |job: &Job| match job.phase {
             JobPhase::Uploading => job.opened_at >= before,
             _ => job.ended_at.is_none_or(|ended| ended >= before),
         };
-        self.jobs.retain(|_, job| keeps_job(job));
+        self.jobs.retain(|_, job| is_retained(job));
         self.marks.retain(|_, mark| mark.marked_at >= before);
         self.sessions.retain(|_, record| record.placed_at >= before);
         CommandOutcome::Forgotten
@@ -243,16 +243,16 @@
         let Some(job) = self.jobs.get(&id) else { return QueryAnswer::UnknownJob };
         let mut results = Vec::new();
         let mut bytes = 0;
-        let mut place = first;
-        while (place as usize) < job.items.len() && place - first < limit && bytes < RESULT_PAGE_BYTES {
-            let item = &job.items[place as usize];
+        let mut index = first;
+        while (index as usize) < job.items.len() && index - first < limit && bytes < MAX_RESULT_PAGE_BYTES {
+            let item = &job.items[index as usize];
             if let Some(result) = &item.result {
                 bytes += result.text.len();
-                results.push(FinishedItem { item: place, label: item.label.clone(), result: result.clone() });
+                results.push(FinishedItem { item: index, label: item.label.clone(), result: result.clone() });
             }
-            place += 1;
+            index += 1;
         }
-        let next = ((place as usize) < job.items.len()).then_some(place);
+        let next = ((index as usize) < job.items.len()).then_some(index);
         QueryAnswer::Results { results, next }
     }
 }
--- a/crates/core/src/node/upload.rs
+++ b/crates/core/src/node/upload.rs
@@ -14,15 +14,15 @@
 use crate::time::{Millis, UnixMillis};
 
 /// Most bytes of bodies in one command.
-const CHUNK_BYTES: usize = 256 << 10;
+const MAX_CHUNK_BYTES: usize = 256 << 10;
 /// Most items in one command.
-const CHUNK_ITEMS: usize = 2_048;
+const MAX_CHUNK_ITEMS: usize = 2_048;
 /// How long one step may take.
 const STEP_TIMEOUT: Millis = Millis(8_000);
 /// How long a read may take.
 pub(super) const READ_TIMEOUT: Millis = Millis(4_000);
 /// Most items in a job.
-const MOST_ITEMS: usize = 250_000;
+const MAX_JOB_ITEMS: usize = 250_000;
 
 /// A job that is being taken in.
 pub(super) struct JobUpload {
@@ -78,8 +78,8 @@
                 return;
             }
         };
-        if items.is_empty() || items.len() > MOST_ITEMS {
-            let detail = format!("a job has from 1 to {MOST_ITEMS} items, not {}", items.len());
+        if items.is_empty() || items.len() > MAX_JOB_ITEMS {
+            let detail = format!("a job has from 1 to {MAX_JOB_ITEMS} items, not {}", items.len());
             self.refuse(caller, ErrorKind::MalformedRequest, detail);
             return;
         }
@@ -111,16 +111,16 @@
         if !fleet.tenants.contains_key(tenant) {
             return Err(Refusal::new(ErrorKind::UnknownTenant, format!("there is no tenant \"{tenant}\"")));
         }
-        let Some(known) = fleet.models.get(model) else {
+        let Some(configured_model) = fleet.models.get(model) else {
             return Err(Refusal::new(ErrorKind::UnknownModel, format!("there is no model \"{model}\"")));
         };
         if let Some(adapter) = adapter
-            && !known.adapters.contains(adapter)
+            && !configured_model.adapters.contains(adapter)
         {
             let detail = format!("model \"{model}\" has no adapter \"{adapter}\"");
             return Err(Refusal::new(ErrorKind::UnknownAdapter, detail));
         }
-        let service = fleet.services.get(&known.service);
+        let service = fleet.services.get(&configured_model.service);
         Ok(service.map_or(0, |service| service.max_tokens))
     }
 
@@ -130,24 +130,24 @@
             let ran = if upload.accepting { Ran::Unknown } else { Ran::NotRun };
             let detail =
                 format!("{}: the job's group did not answer in time; submit again with the same key", upload.job);
-            self.end_upload(caller, Refusal::new(ErrorKind::StateUnavailable, detail).with_ran(ran));
+            self.fail_upload(caller, Refusal::new(ErrorKind::StateUnavailable, detail).with_ran(ran));
             return;
         };
         match outcome {
-            CommandOutcome::JobOpen { phase: JobPhase::Accepted, .. } => self.uploaded(caller),
+            CommandOutcome::JobOpen { phase: JobPhase::Accepted, .. } => self.finish_upload(caller),
             CommandOutcome::JobOpen { phase: JobPhase::Cancelled, .. } | CommandOutcome::JobCancelled => {
                 let detail = format!("{} was cancelled", upload.job);
-                self.end_upload(caller, Refusal::new(ErrorKind::JobCancelled, detail));
+                self.fail_upload(caller, Refusal::new(ErrorKind::JobCancelled, detail));
             }
             CommandOutcome::JobOpen { phase: JobPhase::Uploading, received }
             | CommandOutcome::ItemsMissing { received } => self.continue_upload(caller, received),
             CommandOutcome::JobConflict => {
                 let detail = format!("key \"{}\" was used for another job", upload.specification.key);
-                self.end_upload(caller, Refusal::new(ErrorKind::KeyConflict, detail));
+                self.fail_upload(caller, Refusal::new(ErrorKind::KeyConflict, detail));
             }
             _ => {
                 let detail = format!("{}: unexpected outcome", upload.job);
-                self.end_upload(caller, Refusal::new(ErrorKind::Internal, detail));
+                self.fail_upload(caller, Refusal::new(ErrorKind::Internal, detail));
             }
         }
     }
@@ -157,7 +157,7 @@
         let job = upload.job;
         if received >= upload.specification.item_count {
             if !upload.accept {
-                self.uploaded(caller);
+                self.finish_upload(caller);
                 return;
             }
             upload.accepting = true;
@@ -169,13 +169,13 @@
         self.command(job.group, command, Purpose::Upload(caller), STEP_TIMEOUT);
     }
 
-    fn uploaded(&mut self, caller: CallerId) {
+    fn finish_upload(&mut self, caller: CallerId) {
         let Some(upload) = self.uploads.remove(&caller) else { return };
         let job = upload.job;
         self.query(job.group, Query::JobStatus { job }, Purpose::JobStatus(caller, job), READ_TIMEOUT);
     }
 
-    fn end_upload(&mut self, caller: CallerId, refusal: Refusal) {
+    fn fail_upload(&mut self, caller: CallerId, refusal: Refusal) {
         self.uploads.remove(&caller);
         self.answer(caller, CallerAnswer::Refused(refusal));
     }
@@ -261,9 +261,9 @@
 fn take_chunk(items: &[NewItem]) -> Vec<NewItem> {
     let mut chunk = Vec::new();
     let mut bytes = 0;
-    for item in items.iter().take(CHUNK_ITEMS) {
+    for item in items.iter().take(MAX_CHUNK_ITEMS) {
         bytes += item.label.len() + item.prompt.len();
-        if !chunk.is_empty() && bytes > CHUNK_BYTES {
+        if !chunk.is_empty() && bytes > MAX_CHUNK_BYTES {
             break;
         }
         chunk.push(item.clone());
--- a/crates/core/tests/marks_and_sessions.rs
+++ b/crates/core/tests/marks_and_sessions.rs
@@ -65,9 +65,9 @@
                     state.marks.insert(*key, (*digest, *holder, None));
                     state.granted = true;
                 }
-                Some((held, _, _)) if held != *digest => {}
-                Some((_, by, None)) => state.granted = by == *holder,
-                Some((_, by, Some(Settlement::NotRun))) if by != *holder => {
+                Some((recorded, _, _)) if recorded != *digest => {}
+                Some((_, owner, None)) => state.granted = owner == *holder,
+                Some((_, owner, Some(Settlement::NotRun))) if owner != *holder => {
                     state.marks.insert(*key, (*digest, *holder, None));
                     state.granted = true;
                 }
@@ -144,9 +144,13 @@
                     marks.not_run.entry(key).or_default().insert(holder);
                 }
             }
-            Step::Place { session, generation, engine: place } => {
-                let record =
-                    SessionRecord { model: Arc::from("model"), engine: engine(place), generation, placed_at: at };
+            Step::Place { session, generation, engine: engine_index } => {
+                let record = SessionRecord {
+                    model: Arc::from("model"),
+                    engine: engine(engine_index),
+                    generation,
+                    placed_at: at,
+                };
                 marks.state.apply(&Command::PlaceSession { session: session_key(session), record });
             }
             Step::Reload => {
@@ -158,13 +162,13 @@
 
     fn check_invariants(marks: &Marks, model: &Model) {
         for (key, senders) in &marks.senders {
-            let said_not_run = marks.not_run.get(key).cloned().unwrap_or_default();
+            let settled_not_run = marks.not_run.get(key).cloned().unwrap_or_default();
             // Of all who were told to send, at most one has not said that it did not.
-            assert!(senders.difference(&said_not_run).count() <= 1, "two holders may both have sent key {key}");
+            assert!(senders.difference(&settled_not_run).count() <= 1, "two holders may both have sent key {key}");
         }
-        for (session, (generation, place)) in &model.sessions {
+        for (session, (generation, engine_index)) in &model.sessions {
             let record = marks.state.session(&session_key(*session)).expect("a placed session is kept");
-            assert_eq!((record.generation, &record.engine), (*generation, &engine(*place)));
+            assert_eq!((record.generation, &record.engine), (*generation, &engine(*engine_index)));
         }
     }
 }
@@ -173,5 +177,5 @@
     #![proptest_config(support::fuzz_config())]
 
     #[test]
-    fn marks_and_sessions_agree_with_maps(sequential 1..150 => MarksTest);
+    fn marks_and_sessions_match_the_reference_model(sequential 1..150 => MarksTest);
 }
