--- a/crates/core/src/node/effect.rs
+++ b/crates/core/src/node/effect.rs
@@ -1,4 +1,4 @@
-//! What a node wants done.
+//! Effects that a node requests from its I/O layer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,134 +11,134 @@
 use crate::peer_message::PeerMessage;
 use crate::replication::LogWrite;
 
-/// Something to do.
+/// An action for the I/O layer to execute. Effects of one event are executed in order.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Write to a group's log, durably, before any later effect.
+    /// Write durably to a group's log before executing any later effect.
     Persist {
-        /// The group.
+        /// The group whose log is written.
         group: GroupId,
-        /// What to write.
+        /// The entries and metadata to write.
         write: LogWrite,
     },
-    /// Keep a configuration on disk, durably, before any later effect.
+    /// Store a configuration durably on disk before executing any later effect.
     PersistConfiguration(Arc<InForce>),
-    /// Send to another node. It may be lost.
+    /// Send a message to another node. Delivery is not guaranteed.
     Send {
-        /// Where to.
+        /// The recipient's peer address.
         to: SocketAddr,
-        /// The message.
+        /// The message to send.
         message: PeerMessage,
     },
-    /// Call the key-value service.
+    /// Call the key-value service; the result arrives as `Event::KeyValue`.
     KeyValue {
-        /// Comes back with the answer.
+        /// Correlates the result with this call.
         call: KeyValueCall,
-        /// What to do.
+        /// The operation to perform.
         operation: KeyValueOperation,
     },
     /// Read the machine list.
     ReadMachines,
-    /// Ask an engine for its load and cache events.
+    /// Query an engine's load and cache events.
     PollEngine {
-        /// The engine.
+        /// Name of the engine.
         engine: EngineName,
-        /// Its address.
+        /// Address of the engine.
         address: SocketAddr,
-        /// The next cache event wanted, or `None` for the whole state.
+        /// Sequence number of the first cache event to return, or `None` for the full cache state.
         cache_from: Option<u64>,
     },
-    /// Give an order to an engine.
+    /// Send a model order to an engine.
     Order(EngineOrder),
-    /// Send a request to an engine.
+    /// Send a generation request to an engine and stream its response.
     StartStream(EngineRequest),
-    /// Stop a stream. Nothing more of it is wanted.
+    /// Cancel a stream; its remaining events are ignored.
     CancelStream {
-        /// The attempt.
+        /// The attempt whose stream is canceled.
         attempt: AttemptId,
     },
-    /// Answer a caller.
+    /// Send an answer to a caller.
     Answer {
-        /// The connection.
+        /// The caller's connection.
         caller: CallerId,
-        /// The answer.
+        /// The answer to send.
         answer: CallerAnswer,
     },
-    /// Write to the log.
+    /// Write a log event.
     Log {
         /// The numbered event.
         event: LogEvent,
-        /// What exactly happened.
+        /// Details of this occurrence.
         detail: String,
     },
-    /// The planned stop is complete.
+    /// Exit the process: the graceful shutdown is complete.
     Exit,
 }
 
 /// An operation of the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyValueOperation {
-    /// Read a key.
+    /// Read a key's value and version.
     Get {
-        /// The key.
+        /// The key to access.
         key: String,
     },
-    /// Write a key if its version is still the expected one; 0 means that it must not exist.
+    /// Write a key only if its current version matches `expected`.
     CompareAndSwap {
-        /// The key.
+        /// The key to access.
         key: String,
-        /// The version.
+        /// The expected version; 0 means that the key must not exist.
         expected: u64,
-        /// The new value.
+        /// The value to write.
         value: String,
     },
 }
 
-/// An order to an engine, which refuses it if it has seen a later epoch.
+/// A model order for an engine. The engine rejects it if it has seen a later epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineOrder {
-    /// The engine.
+    /// Name of the engine.
     pub engine: EngineName,
-    /// Its address.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// The control epoch that it is given under.
+    /// The control epoch in which the order was issued.
     pub epoch: u64,
-    /// What to do.
+    /// The model to load or unload.
     pub order: ModelOrder,
 }
 
-/// Whether a person waits.
+/// Whether a request is interactive or part of a batch job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestClass {
-    /// A caller waits.
+    /// Interactive: a caller waits for the response.
     Online,
-    /// An item of a job.
+    /// An item of a batch job.
     Batch,
 }
 
-/// A request for an engine.
+/// A generation request for an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineRequest {
-    /// The attempt; the engine repeats it on every piece.
+    /// The attempt ID, which the engine repeats in every piece of its response.
     pub attempt: AttemptId,
-    /// The engine.
+    /// Name of the engine.
     pub engine: EngineName,
-    /// Its address.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// Whether a person waits.
+    /// Whether the request is interactive.
     pub class: RequestClass,
-    /// The engine's priority; lower runs first.
+    /// Scheduling priority at the engine; lower values run first.
     pub priority: u32,
-    /// The model.
+    /// The model to run.
     pub model: Arc<str>,
-    /// The adapter, if any.
+    /// The adapter to apply, if any.
     pub adapter: Option<Arc<str>>,
-    /// The prompt.
+    /// The prompt text.
     pub prompt: Arc<str>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// The token to start from: those before it were received from an earlier attempt.
+    /// Index of the first token to return; earlier tokens were received from a previous attempt.
     pub from_token: u32,
-    /// Whether the request may run more than once, for the engine's own count.
+    /// Whether the request may run more than once; used only for the engine's statistics.
     pub repeatable: bool,
 }
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -1,4 +1,4 @@
-//! The events that a node takes.
+//! Events that the I/O layer passes to a node, and the calls and answers of its callers.
 
 use std::sync::Arc;
 
@@ -15,327 +15,327 @@
 use crate::peer_message::PeerMessage;
 use crate::time::{Millis, Timestamp, UnixMillis};
 
-/// The time at an event.
+/// The time at which an event is handled.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    /// Monotonic time, for everything that this node decides.
+    /// Monotonic time, used for all local decisions.
     pub now: Timestamp,
-    /// Civil time, for deadlines that callers give and for records. It may jump.
+    /// Wall-clock time, used for caller deadlines and stored records. It may jump.
     pub civil: UnixMillis,
 }
 
-/// Something that happened.
+/// An input to the node.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed.
+    /// Periodic timer tick.
     Tick,
-    /// A message of another node.
+    /// A message from another node.
     Peer(PeerMessage),
-    /// An answer of the key-value service, or its absence.
+    /// The result of a call to the key-value service.
     KeyValue {
-        /// The call.
+        /// The call that finished.
         call: KeyValueCall,
-        /// How it ended.
+        /// The result of the call.
         outcome: KeyValueOutcome,
     },
-    /// The machine list.
+    /// The platform's current list of machines.
     Machines(Vec<MachineReport>),
-    /// An engine's load, or `None` if it did not answer.
+    /// The result of polling an engine.
     EngineLoad {
-        /// The engine.
+        /// The engine that was polled.
         engine: EngineName,
-        /// Its report.
+        /// Its load, or `None` if it did not answer.
         report: Option<LoadReport>,
-        /// Its cache events since the last poll.
+        /// Its cache events since the last poll, if any were returned.
         cache: Option<CacheEventBatch>,
     },
-    /// How an order to an engine ended.
+    /// The result of an order to an engine.
     Ordered {
-        /// The engine.
+        /// The engine that received the order.
         engine: EngineName,
-        /// How.
+        /// The result of the order.
         outcome: OrderOutcome,
     },
-    /// Something came on a stream from an engine.
+    /// An event on a response stream from an engine.
     Stream {
-        /// The attempt that the stream is for.
+        /// The attempt that the stream belongs to.
         attempt: AttemptId,
-        /// What came.
+        /// The stream event.
         event: StreamEvent,
     },
-    /// A caller or operator asks.
+    /// A call from a caller or operator.
     Call {
-        /// The connection.
+        /// The caller's connection.
         caller: CallerId,
-        /// What is asked.
+        /// The requested operation.
         call: CallerCall,
     },
-    /// A caller went away.
+    /// A caller disconnected.
     CallerGone(CallerId),
-    /// Stop by plan.
+    /// Begin a graceful shutdown.
     Stop,
 }
 
-/// How an order to an engine ended.
+/// The result of an order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It was carried out.
+    /// The engine executed the order.
     Done {
-        /// What the engine has loaded now, each as `model@version`.
+        /// The models that the engine has loaded now, each as `model@version`.
         loaded: Vec<String>,
     },
-    /// The engine has seen a later epoch.
+    /// The engine rejected the order because it has seen a later epoch.
     Fenced,
-    /// No answer; it may have been carried out.
+    /// The engine did not answer; the order may have been executed.
     NoAnswer,
 }
 
-/// Numbers a call to the key-value service.
+/// Identifies a call to the key-value service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyValueCall(pub u64);
 
-/// How a call to the key-value service ended.
+/// The result of a call to the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyValueOutcome {
     /// The value and its version.
     Value {
-        /// Grows with each write of the key.
+        /// The key's version, which increases with each write.
         version: u64,
-        /// The value.
+        /// The stored value.
         value: Arc<str>,
     },
-    /// There is no such key.
+    /// The key does not exist.
     NotFound,
-    /// The write took effect.
+    /// The write succeeded.
     Written,
-    /// The write did not take effect: the stored version is another.
+    /// The write was rejected because the stored version differs from the expected one.
     VersionMismatch,
-    /// No answer, or an error. A write may have taken effect.
+    /// The service did not answer or returned an error. A write may have taken effect.
     NoAnswer,
 }
 
-/// A machine of the platform's list.
+/// An entry of the platform's machine list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MachineReport {
-    /// The machine, which carries the engine of that name.
+    /// Name of the engine that runs on the machine.
     pub engine: EngineName,
-    /// Raised with each start.
+    /// Incremented each time the machine starts.
     pub incarnation: u64,
-    /// It is leaving.
+    /// Whether the platform is removing the machine.
     pub leaving: bool,
 }
 
-/// What comes on a stream from an engine.
+/// An event on a response stream from an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamEvent {
-    /// Tokens.
+    /// Generated tokens.
     Piece {
-        /// The attempt that the engine says it answers.
+        /// The attempt ID reported by the engine.
         attempt: AttemptId,
-        /// The place of the first token.
+        /// Index of the first token in the response.
         first: u32,
-        /// How many tokens.
+        /// Number of tokens.
         tokens: u32,
-        /// Their text.
+        /// Text of the tokens.
         text: String,
     },
-    /// The answer is complete.
+    /// The engine completed the response.
     End {
-        /// The attempt that the engine says it answers.
+        /// The attempt ID reported by the engine.
         attempt: AttemptId,
-        /// Tokens in the whole answer.
+        /// Number of tokens in the complete response.
         length: u32,
     },
-    /// Nothing was sent: there was no connection.
+    /// The request was not sent because no connection could be established.
     NotSent,
-    /// The engine refused before running.
+    /// The engine declined the request before running it, for a reason unrelated to its content.
     Refused {
-        /// Because it is leaving.
+        /// Whether it declined because it is shutting down.
         leaving: bool,
     },
-    /// The engine refused the request for what it is, before running.
+    /// The engine rejected the request's content before running it.
     Rejected {
-        /// What it said.
+        /// The engine's error message.
         detail: String,
     },
-    /// The stream broke after the request was sent.
+    /// The stream failed after the request was sent.
     Broken {
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
 }
 
-/// What a caller or operator asks.
+/// A call from a caller or operator.
 #[derive(Clone, Debug)]
 pub enum CallerCall {
-    /// One answer.
+    /// An online generation request.
     Online(OnlineCall),
-    /// Something about a batch job.
+    /// An operation on batch jobs.
     Batch(BatchCall),
-    /// Something about the fleet.
+    /// An administrative operation.
     Operator(OperatorCall),
 }
 
-/// A job as a caller submits it.
+/// A batch job as submitted by a caller.
 #[derive(Clone, Debug)]
 pub struct JobSubmission {
-    /// Who submits.
+    /// The submitting tenant.
     pub tenant: Arc<str>,
-    /// The idempotency key; drawn if absent.
+    /// The idempotency key; generated at random if absent.
     pub key: Option<Arc<str>>,
-    /// The model.
+    /// The model to run.
     pub model: Arc<str>,
-    /// The adapter, if any.
+    /// The adapter to apply, if any.
     pub adapter: Option<Arc<str>>,
-    /// The items.
+    /// The items to run, in order.
     pub items: Vec<NewItem>,
-    /// How long the job may take.
+    /// Time until the job's deadline.
     pub within: Millis,
-    /// Most tokens for an item; `None` takes the service's limit.
+    /// Maximum number of tokens per item; `None` uses the service's limit.
     pub max_tokens: Option<u32>,
-    /// Accept the job at once; else it is only uploaded.
+    /// Whether to accept the job once it is uploaded.
     pub accept: bool,
 }
 
-/// What is asked about batch jobs.
+/// An operation on batch jobs.
 #[derive(Clone, Debug)]
 pub enum BatchCall {
-    /// Take a job.
+    /// Upload a job and optionally accept it.
     Submit(JobSubmission),
-    /// Accept a job that was uploaded before.
+    /// Accept a job that was already uploaded.
     Accept(JobId),
-    /// A tenant's jobs in one group; groups are numbered from 0.
+    /// List a tenant's jobs in one group; groups are numbered from 0.
     List {
-        /// The tenant.
+        /// The tenant whose jobs are listed.
         tenant: Arc<str>,
-        /// The group.
+        /// The group to query.
         group: GroupId,
-        /// Most jobs wanted.
+        /// Maximum number of jobs to return.
         limit: u32,
     },
-    /// How far a job is.
+    /// Read a job's status.
     Status(JobId),
-    /// Results from an item on.
+    /// Read a job's results, starting at an item.
     Results {
-        /// The job.
+        /// The job to read.
         job: JobId,
-        /// The first item wanted.
+        /// Index of the first item to read.
         first: u32,
-        /// Most items looked at.
+        /// Maximum number of items to examine.
         limit: u32,
     },
-    /// Stop a job.
+    /// Cancel a job.
     Cancel(JobId),
 }
 
-/// What an operator asks.
+/// An administrative operation.
 #[derive(Clone, Debug)]
 pub enum OperatorCall {
-    /// Apply a set of files.
+    /// Apply a new configuration.
     Apply {
-        /// Names the change.
+        /// Identifies the change.
         id: ApplyId,
-        /// The files.
+        /// The configuration files.
         bundle: Bundle,
-        /// The revision that the operator saw.
+        /// The revision that the change is based on, if the operator requires a match.
         expected_revision: Option<u64>,
     },
-    /// The files in force.
+    /// Read the active configuration files.
     ReadConfiguration,
-    /// How all nodes are.
+    /// Read the status of all nodes.
     FleetStatus,
-    /// How this node is.
+    /// Read the status of this node.
     NodeStatus,
-    /// The models offered.
+    /// List the available models.
     Models,
-    /// The decisions for a request.
+    /// Read the routing decisions recorded for a request.
     Explain(Arc<str>),
 }
 
-/// What a caller or operator is answered.
+/// An answer to a caller or operator.
 #[derive(Clone, Debug)]
 pub enum CallerAnswer {
-    /// A piece of an online answer.
+    /// A piece of an online response.
     Piece {
-        /// The place of its first token.
+        /// Index of its first token in the response.
         first: u32,
-        /// How many tokens.
+        /// Number of tokens.
         tokens: u32,
-        /// Its text.
+        /// Text of the tokens.
         text: String,
     },
-    /// The online answer is whole.
+    /// The online response is complete.
     End {
-        /// Tokens in the whole answer.
+        /// Number of tokens in the complete response.
         tokens: u32,
-        /// The engine that ended it.
+        /// The engine that completed the response.
         engine: EngineName,
     },
-    /// A refusal. After pieces were sent, it ends the answer as incomplete.
+    /// An error. If pieces were already sent, the response ends incomplete.
     Refused(Refusal),
-    /// A job.
+    /// The status of a job.
     Job {
-        /// The job.
+        /// ID of the job.
         job: JobId,
-        /// What it is and how far.
+        /// Its specification and progress.
         summary: JobSummary,
     },
-    /// A tenant's jobs in one group.
+    /// The jobs of a tenant in one group.
     Jobs {
-        /// The jobs.
+        /// The jobs found, up to the requested limit.
         jobs: Vec<(JobId, JobSummary)>,
-        /// How many groups there are.
+        /// Total number of replica groups.
         group_count: u32,
     },
-    /// Results of a job.
+    /// A page of a job's results.
     Results {
-        /// Those present among the items looked at.
+        /// The results found among the examined items.
         results: Vec<FinishedItem>,
-        /// The first item not looked at.
+        /// Index of the first item not examined; `None` at the end of the job.
         next: Option<u32>,
     },
-    /// A change of configuration was accepted, or changed nothing.
+    /// A configuration change was accepted or had no effect.
     Applied {
-        /// The revision in force.
+        /// The active revision.
         revision: u64,
-        /// Whether anything changed.
+        /// Whether the configuration changed.
         changed: bool,
     },
-    /// A change of configuration has errors.
+    /// A configuration change was rejected as invalid.
     Invalid(Vec<ConfigurationError>),
-    /// The files in force.
+    /// The active configuration files.
     Configuration {
-        /// Their revision; 0 for none.
+        /// Their revision; 0 if there is no configuration.
         revision: u64,
-        /// The files.
+        /// The configuration files.
         bundle: Bundle,
     },
-    /// How all nodes are.
+    /// The status of all nodes.
     FleetStatus(FleetStatus),
-    /// How this node is.
+    /// The status of this node.
     NodeStatus(NodeStatus),
-    /// The models offered, each with its adapters.
+    /// The available models, each with its adapters.
     Models(Vec<ModelSummary>),
-    /// The decisions for a request.
+    /// The routing decisions recorded for a request.
     Explanation(Explanation),
 }
 
-/// A model as callers see it.
+/// A model as listed to callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelSummary {
-    /// Its name.
+    /// Name of the model.
     pub name: Arc<str>,
-    /// Its adapters.
+    /// Names of the adapters available for the model.
     pub adapters: Vec<Arc<str>>,
 }
 
 impl CallerAnswer {
-    /// Whether nothing follows this answer.
+    /// Returns whether this is the last answer to the call.
     pub fn is_final(&self) -> bool {
         !matches!(self, Self::Piece { .. })
     }
 
-    /// The effect that gives this answer to a caller.
+    /// Returns the effect that sends this answer to a caller.
     pub fn to(self, caller: CallerId) -> Effect {
         Effect::Answer { caller, answer: self }
     }
--- a/crates/core/src/node/machine.rs
+++ b/crates/core/src/node/machine.rs
@@ -1,4 +1,4 @@
-//! The node as a whole: its parts, and the way from an event to the part that handles it.
+//! The node's state, and the dispatch of events to the component that handles them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -38,16 +38,16 @@
 use crate::replication::PersistedReplica;
 use crate::time::Timestamp;
 
-/// What a storing node's disk holds at its start.
+/// State that a storage node restores from disk at startup.
 #[derive(Clone, Debug, Default)]
 pub struct PersistedNode {
-    /// Its replicas.
+    /// The replica of each group that the node hosts.
     pub groups: BTreeMap<GroupId, PersistedReplica>,
-    /// The newest configuration it had.
+    /// The latest configuration the node stored, if any.
     pub configuration: Option<(Manifest, PartContents)>,
 }
 
-/// One node.
+/// State machine of one node. It performs no I/O: events go in, [`Effect`]s come out.
 pub struct Node {
     pub(super) settings: NodeSettings,
     pub(super) clock: Clock,
@@ -72,12 +72,12 @@
     pub(super) stopping: Option<StopState>,
     pub(super) counters: NodeCounters,
     pub(super) status_gatherings: BTreeMap<CallerId, StatusGathering>,
-    /// Messages from this node to itself, handled before the event ends.
+    /// Messages from this node to itself, handled before the current event returns.
     loopback: VecDeque<PeerMessage>,
 }
 
 impl Node {
-    /// Starts a node from what its disk holds. `seed` decides everything that is random.
+    /// Creates a node from its persisted state. All randomness is derived from `seed`.
     pub fn new(settings: NodeSettings, persisted: PersistedNode, clock: Clock, seed: u64) -> Self {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
         let own = Member {
@@ -121,22 +121,22 @@
         node
     }
 
-    /// This node's identity.
+    /// Returns this node's ID.
     pub fn id(&self) -> NodeId {
         self.settings.id
     }
 
-    /// The configuration revision in force; 0 for none.
+    /// Returns the active configuration revision, or 0 if there is none.
     pub fn configuration_revision(&self) -> u64 {
         self.configuration.revision()
     }
 
-    /// The online load that this node goes by, for each engine.
+    /// Returns this node's estimate of the online load of each engine.
     pub fn estimated_loads(&self, now: Timestamp) -> impl Iterator<Item = (&EngineName, u32)> {
         self.engines.iter().map(move |(name, state)| (name, state.estimated_online(now)))
     }
 
-    /// Takes an event and returns what to do.
+    /// Handles an event and returns the effects to execute, in order.
     pub fn handle(&mut self, event: Event, clock: Clock) -> Vec<Effect> {
         self.clock = clock;
         self.dispatch(event);
@@ -254,14 +254,14 @@
         }
     }
 
-    // Shared by the flows.
+    // Helpers shared by the flows.
 
-    /// The configuration in force.
+    /// Returns the active configuration.
     pub(super) fn fleet(&self) -> Option<Arc<FleetConfiguration>> {
         self.configuration.in_force().map(|in_force: &Arc<InForce>| in_force.fleet.clone())
     }
 
-    /// Whether this node takes requests.
+    /// Returns whether this node accepts requests.
     pub fn is_ready(&self) -> bool {
         self.stopping.is_none() && self.configuration.in_force().is_some() && self.directory.group_count() > 0
     }
@@ -278,7 +278,7 @@
         self.answer(caller, CallerAnswer::Refused(Refusal::new(kind, detail)));
     }
 
-    /// Sends to a node, itself included. A node that is not known gets nothing.
+    /// Sends a message to a node, which may be this node. Messages to unknown nodes are dropped.
     pub(super) fn send(&mut self, to: NodeId, message: PeerMessage) {
         if to == self.settings.id {
             self.loopback.push_back(message);
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Where a node is. The address of a node that is gone may be another's by now.
+    /// Returns a node's peer address, unless the node is absent and a present node has taken over its address.
     pub(super) fn address_of(&self, node: NodeId) -> Option<SocketAddr> {
         let member = self.membership.member(node)?;
         let address = member.peer_address;
@@ -301,14 +301,14 @@
         AttemptId(self.random.random())
     }
 
-    /// The node that shares out an engine: the same at every node with the same view.
+    /// Returns the node that allocates an engine's capacity. Nodes with the same membership view agree on it.
     pub(super) fn steward_of(&self, engine: &EngineName) -> NodeId {
         let key = hash_parts(&[b"steward", engine.0.as_bytes()]);
         let present = self.membership.present().map(|member| member.id);
         rendezvous(key, present, |node| node.0, 1).first().copied().unwrap_or(self.settings.id)
     }
 
-    /// Whether this node is one of the `count` that do a duty for all.
+    /// Returns whether this node is one of the `count` nodes that perform a duty for the fleet.
     pub(super) fn has_duty(&self, duty: &str, count: usize) -> bool {
         let key = hash_parts(&[b"duty", duty.as_bytes()]);
         let present = self.membership.present().map(|member| member.id);
--- a/crates/core/src/node/partition/command.rs
+++ b/crates/core/src/node/partition/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the partition's state machine and their outcomes.
+//! Commands of the partition state machine and their outcomes.
 
 use std::sync::Arc;
 
@@ -10,145 +10,146 @@
 use crate::identity::{AttemptId, JobId};
 use crate::time::UnixMillis;
 
-/// A result to record.
+/// The result of one item, to be recorded in its job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletedItem {
-    /// The item's place in its job.
+    /// Index of the item in its job.
     pub item: u32,
-    /// Its result.
+    /// The result to record.
     pub result: ItemResult,
 }
 
-/// A change to the partition's state. `at` is the proposing node's civil time.
+/// A change to the partition state. `at` is the proposing node's wall-clock time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Begin to upload a job.
+    /// Create a job and begin its upload.
     OpenJob {
-        /// The job.
+        /// ID of the job.
         job: JobId,
-        /// What it is.
+        /// The job's specification.
         specification: JobSpecification,
-        /// When.
+        /// Time of the proposal.
         at: UnixMillis,
     },
-    /// Add items to a job that is being uploaded.
+    /// Append items to a job that is being uploaded.
     AddItems {
-        /// The job.
+        /// ID of the job.
         job: JobId,
-        /// The place of the first.
+        /// Index of the first item.
         first: u32,
-        /// The items, in order.
+        /// Consecutive items of the job.
         items: Vec<NewItem>,
     },
-    /// Accept a job whose items all arrived.
+    /// Accept a job whose items have all been received.
     AcceptJob {
-        /// The job.
+        /// ID of the job.
         job: JobId,
     },
-    /// Record results.
+    /// Record results of a job's items.
     CompleteItems {
-        /// The job.
+        /// ID of the job.
         job: JobId,
-        /// The results.
+        /// The results to record.
         results: Vec<CompletedItem>,
-        /// When.
+        /// Time of the proposal.
         at: UnixMillis,
     },
-    /// Stop a job.
+    /// Cancel a job.
     CancelJob {
-        /// The job.
+        /// ID of the job.
         job: JobId,
-        /// When.
+        /// Time of the proposal.
         at: UnixMillis,
     },
-    /// Claim the right to send a not-repeatable request.
+    /// Claim the exclusive right to send a non-repeatable request.
     MarkRequest {
-        /// The request.
+        /// Key of the request.
         request: RequestKey,
-        /// Its digest.
+        /// Digest of the request.
         digest: u64,
-        /// The attempt that wants to send.
+        /// The attempt that claims the right to send.
         holder: AttemptId,
-        /// When.
+        /// Time of the proposal.
         at: UnixMillis,
     },
-    /// Say what became of a marked request.
+    /// Record the final state of a marked request.
     SettleRequest {
-        /// The request.
+        /// Key of the request.
         request: RequestKey,
-        /// Its digest.
+        /// Digest of the request.
         digest: u64,
-        /// The attempt that held the mark.
+        /// The attempt that holds the mark.
         holder: AttemptId,
-        /// What became of it.
+        /// The final state of the request.
         settlement: Settlement,
-        /// When.
+        /// Time of the proposal.
         at: UnixMillis,
     },
-    /// Create a session's record or move it; taken only if the generation is the next.
+    /// Create or move a session. Applied only if the record's generation is the current one plus one.
     PlaceSession {
-        /// The session.
+        /// Key of the session.
         session: SessionKey,
-        /// The new record.
+        /// The record to store.
         record: SessionRecord,
     },
-    /// Forget ended jobs, marks and sessions last touched before a time.
+    /// Remove marks and sessions last written before a time, and jobs that ended or, if still uploading,
+    /// were opened before it.
     Forget {
-        /// The time.
+        /// Entries older than this are removed.
         before: UnixMillis,
     },
 }
 
-/// What a command did.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// The job is known; `received` items have arrived.
+    /// The job exists.
     JobOpen {
-        /// Items received.
+        /// Number of items received so far.
         received: u32,
-        /// How far the job is.
+        /// Phase of the job.
         phase: JobPhase,
     },
-    /// The key was used before with other content.
+    /// The key was already used for a job with different content.
     JobConflict,
-    /// There is no such job.
+    /// The job does not exist.
     UnknownJob,
-    /// The job was cancelled.
+    /// The job has been canceled.
     JobCancelled,
-    /// The job can't be accepted yet: items are missing.
+    /// The job cannot be accepted because items are missing.
     ItemsMissing {
-        /// Items received.
+        /// Number of items received so far.
         received: u32,
     },
-    /// Results were recorded.
+    /// The results were processed.
     ItemsCompleted {
-        /// How many of them were dropped because the item had a result or the job had ended.
+        /// Number of results dropped because the item already had one or the job had ended.
         dropped: u32,
     },
-    /// The holder may send.
+    /// The mark was granted: the holder may send the request.
     Marked,
-    /// Another attempt marked the request before.
+    /// The request was already marked and may not be sent by this attempt.
     AlreadyMarked {
-        /// What became of that attempt, if known.
+        /// The settlement of the existing mark, if any.
         settlement: Option<Settlement>,
     },
-    /// The key was used before with another request.
+    /// The key was already used for a different request.
     MarkConflict,
-    /// The mark is settled.
+    /// The settlement was processed.
     Settled,
-    /// The session's record, after the command.
+    /// The session's record after the command.
     Session(SessionRecord),
-    /// Old state was forgotten.
+    /// Expired state was removed.
     Forgotten,
 }
 
 impl Command {
-    /// Encodes the command for the log.
+    /// Encodes the command for the replicated log.
     pub fn encode(&self) -> Arc<[u8]> {
         postcard::to_stdvec(self).map(Arc::from).unwrap_or_default()
     }
 
-    /// Reads a command from the log.
+    /// Decodes a command from the replicated log. Returns `None` if the bytes are invalid.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/core/src/node/partition/job.rs
+++ b/crates/core/src/node/partition/job.rs
@@ -1,4 +1,4 @@
-//! Batch jobs, their items and results.
+//! Batch jobs, their items, and item results.
 
 use std::sync::Arc;
 
@@ -7,135 +7,136 @@
 use crate::identity::{AttemptId, EngineName};
 use crate::time::UnixMillis;
 
-/// What a job was submitted as. Never changes.
+/// The immutable specification of a job, as submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpecification {
-    /// Who submitted it.
+    /// The tenant that submitted the job.
     pub tenant: Arc<str>,
-    /// The caller's idempotency key.
+    /// Idempotency key given by the caller.
     pub key: Arc<str>,
-    /// Digest of all item bodies and of the fields below; distinguishes a resend from a conflict.
+    /// Digest of model, adapter, token limit and items, which distinguishes a resend from a key conflict.
     pub content_digest: u64,
-    /// The model to run.
+    /// Name of the model to run.
     pub model: Arc<str>,
-    /// The adapter, if any.
+    /// The adapter to apply, if any.
     pub adapter: Option<Arc<str>>,
-    /// How many items the job has.
+    /// Number of items in the job.
     pub item_count: u32,
-    /// When the job should be complete.
+    /// Time by which the job should complete.
     pub deadline: UnixMillis,
-    /// Most tokens generated for an item.
+    /// Maximum number of tokens generated per item.
     pub max_tokens: u32,
 }
 
-/// How far a job is.
+/// The phase of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobPhase {
-    /// Items are still arriving. Nothing was promised yet.
+    /// Items are being received; no guarantee is given yet.
     Uploading,
-    /// Accepted: every item will complete exactly once.
+    /// The job is accepted: each item's result is committed exactly once.
     Accepted,
-    /// Cancelled: no further item starts or completes.
+    /// The job is canceled: no further items start or complete.
     Cancelled,
 }
 
-/// How an item ended.
+/// The final state of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemVerdict {
-    /// The engine gave a whole answer.
+    /// The engine returned a complete response.
     Completed,
-    /// The engine refused the item for what it is; running it again can't help.
+    /// The engine rejected the item's content, so a retry would fail too. Holds the engine's message.
     Rejected(Arc<str>),
 }
 
-/// The one result of an item. Never changes once committed.
+/// The result of an item, immutable once committed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemResult {
-    /// The attempt that gave it.
+    /// The attempt that produced the result.
     pub attempt: AttemptId,
-    /// The engine that gave it.
+    /// The engine that produced the result.
     pub engine: EngineName,
-    /// How it ended.
+    /// Whether the item completed or was rejected.
     pub verdict: ItemVerdict,
-    /// The answer's text.
+    /// Text of the response.
     pub text: Arc<str>,
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub tokens: u32,
 }
 
-/// An item as it is submitted.
+/// An item as submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewItem {
-    /// The caller's name for it.
+    /// Name given to the item by the caller.
     pub label: Arc<str>,
-    /// What to run.
+    /// Prompt to run.
     pub prompt: Arc<str>,
 }
 
 /// One item of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// The caller's name for it.
+    /// Name given to the item by the caller.
     pub label: Arc<str>,
-    /// What to run. Dropped once there is a result or the job is cancelled.
+    /// Prompt to run; dropped once the item has a result or the job is canceled.
     pub prompt: Option<Arc<str>>,
-    /// The result, once committed.
+    /// The item's result, once committed.
     pub result: Option<ItemResult>,
 }
 
 /// A batch job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// What it was submitted as.
+    /// The job's specification.
     pub specification: JobSpecification,
-    /// How far it is.
+    /// The job's current phase.
     pub phase: JobPhase,
-    /// Its items, in order; while uploading, those received so far.
+    /// The items in order; during the upload, those received so far.
     pub items: Vec<Item>,
-    /// How many items have a result.
+    /// Number of items that have a result.
     pub completed: u32,
-    /// When the job was opened, by the proposing node's clock.
+    /// Time at which the job was opened, by the proposing node's clock.
     pub opened_at: UnixMillis,
-    /// When the last item completed or the job was cancelled, by the proposing node's clock.
+    /// Time at which the last item completed or the job was canceled, by the proposing node's clock.
     pub ended_at: Option<UnixMillis>,
 }
 
-/// The status of a job, as a caller gets it.
+/// The status of a job as returned to callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSummary {
-    /// What it was submitted as.
+    /// The job's specification.
     pub specification: JobSpecification,
-    /// How far it is.
+    /// The job's current phase.
     pub phase: JobPhase,
-    /// How many items arrived.
+    /// Number of items received.
     pub received: u32,
-    /// How many items have a result.
+    /// Number of items that have a result.
     pub completed: u32,
-    /// How many of those results are rejections.
+    /// Number of results that are rejections.
     pub rejected: u32,
-    /// When it was opened.
+    /// Time at which the job was opened.
     pub opened_at: UnixMillis,
-    /// When it ended, if it has.
+    /// Time at which the job ended, if it has.
     pub ended_at: Option<UnixMillis>,
 }
 
 impl Job {
-    /// A job without items.
+    /// Creates a job without items.
     pub fn new(specification: JobSpecification, opened_at: UnixMillis) -> Self {
         Self { specification, phase: JobPhase::Uploading, items: Vec::new(), completed: 0, opened_at, ended_at: None }
     }
 
-    /// Whether every item has its result.
+    /// Returns whether every item has a result.
     pub fn is_complete(&self) -> bool {
         self.phase == JobPhase::Accepted && self.completed == self.specification.item_count
     }
 
-    /// Whether nothing will happen to the job any more.
+    /// Returns whether the job is canceled or complete.
     pub fn has_ended(&self) -> bool {
         self.phase == JobPhase::Cancelled || self.is_complete()
     }
 
-    /// Adds items from place `first` on. Items already held are skipped; a gap adds nothing.
+    /// Appends items starting at index `first`. Items already received are skipped; if items before
+    /// `first` are missing, nothing is added.
     pub fn add_items(&mut self, first: u32, items: &[NewItem]) {
         let received = self.items.len() as u32;
         let limit = self.specification.item_count as usize;
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Records an item's result unless it has one. Returns whether the result was taken.
+    /// Records an item's result unless it already has one. Returns whether the result was recorded.
     pub fn complete_item(&mut self, index: u32, result: &ItemResult, at: UnixMillis) -> bool {
         if self.phase != JobPhase::Accepted {
             return false;
@@ -169,7 +170,7 @@
         true
     }
 
-    /// Stops the job. Results that are committed stay readable.
+    /// Cancels the job. Committed results remain readable.
     pub fn cancel(&mut self, at: UnixMillis) {
         if self.has_ended() {
             return;
@@ -181,7 +182,7 @@
         }
     }
 
-    /// The status, as a caller gets it.
+    /// Returns the job's status for callers.
     pub fn summary(&self) -> JobSummary {
         let is_rejected =
             |item: &&Item| item.result.as_ref().is_some_and(|result| result.verdict != ItemVerdict::Completed);
--- a/crates/core/src/node/partition/mark.rs
+++ b/crates/core/src/node/partition/mark.rs
@@ -1,4 +1,4 @@
-//! Marks of requests that must run at most once.
+//! Marks that ensure that non-repeatable requests run at most once.
 
 use std::sync::Arc;
 
@@ -7,36 +7,36 @@
 use crate::identity::AttemptId;
 use crate::time::UnixMillis;
 
-/// What names a not-repeatable request: its tenant and idempotency key.
+/// Identifies a non-repeatable request by tenant and idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestKey {
-    /// Who sent it.
+    /// The tenant that sent the request.
     pub tenant: Arc<str>,
-    /// The caller's idempotency key.
+    /// Idempotency key given by the caller.
     pub key: Arc<str>,
 }
 
-/// What became of a marked request.
+/// The final state of a marked request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Settlement {
-    /// Nothing was sent to an engine, or the engine refused before running. It may be tried again.
+    /// The request was not sent, or the engine declined it before running. It may be retried.
     NotRun,
-    /// It ran and the caller was sent the whole answer.
+    /// The request ran and the complete response was sent to the caller.
     Answered,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// The mark of one not-repeatable request. It is replicated before the request's first byte leaves
-/// for an engine, and names the one attempt that may send it.
+/// The mark of a non-repeatable request. It names the only attempt that may send the request, and is
+/// replicated before the request is sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    /// Digest of the request; the same key with another digest is a conflict.
+    /// Digest of the request. Reusing the key with a different digest is a conflict.
     pub digest: u64,
-    /// The attempt that holds the right to send.
+    /// The attempt that may send the request.
     pub holder: AttemptId,
-    /// What became of it; `None` while the holder may still send.
+    /// The final state; `None` while the holder may still send the request.
     pub settlement: Option<Settlement>,
-    /// When the mark was made, by the proposing node's clock.
+    /// Time at which the mark was created, by the proposing node's clock.
     pub marked_at: UnixMillis,
 }
--- a/crates/core/src/node/partition/mod.rs
+++ b/crates/core/src/node/partition/mod.rs
@@ -1,9 +1,9 @@
-//! The state that one replica group replicates: batch jobs with their items and results, marks of
-//! requests that must not run twice, and session records.
+//! The replicated state of one replica group: batch jobs with their items and results, marks of
+//! non-repeatable requests, and session records.
 //!
-//! The state changes only by [`Command`]s applied in log order, and applying a command is a pure
-//! function. Every command may arrive twice: applying it again changes nothing and gives the same
-//! outcome, because an answer can be lost after the command took effect.
+//! The state changes only through [`Command`]s, which are applied deterministically in log order.
+//! Commands are idempotent, because a client retries a command whose answer was lost: applying one
+//! again changes nothing and returns the same outcome.
 
 mod command;
 mod job;
--- a/crates/core/src/node/partition/query.rs
+++ b/crates/core/src/node/partition/query.rs
@@ -1,4 +1,4 @@
-//! Reads of the partition's state.
+//! Queries of the partition state.
 
 use std::sync::Arc;
 
@@ -8,64 +8,64 @@
 use super::session::{SessionKey, SessionRecord};
 use crate::identity::JobId;
 
-/// A read.
+/// A read-only query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Query {
-    /// What a job is and how far.
+    /// A job's specification and progress.
     JobStatus {
-        /// The job.
+        /// ID of the job.
         job: JobId,
     },
-    /// Results in order of item.
+    /// A job's results, ordered by item.
     JobResults {
-        /// The job.
+        /// ID of the job.
         job: JobId,
-        /// The first item wanted.
+        /// Index of the first item to read.
         first: u32,
-        /// Most items looked at.
+        /// Maximum number of items to examine.
         limit: u32,
     },
-    /// A tenant's jobs in this group, in order of id.
+    /// A tenant's jobs in this group, ordered by ID.
     JobList {
-        /// The tenant.
+        /// The tenant whose jobs are listed.
         tenant: Arc<str>,
-        /// Most jobs wanted.
+        /// Maximum number of jobs to return.
         limit: u32,
     },
-    /// Where a session lives.
+    /// A session's record.
     Session {
-        /// The session.
+        /// Key of the session.
         session: SessionKey,
     },
 }
 
-/// An item with its result.
+/// An item that has a result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinishedItem {
-    /// The item's place in its job.
+    /// Index of the item in its job.
     pub item: u32,
-    /// The caller's name for it.
+    /// Name given to the item by the caller.
     pub label: Arc<str>,
-    /// Its result.
+    /// The committed result.
     pub result: ItemResult,
 }
 
-/// The answer to a read.
+/// The answer to a query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QueryAnswer {
-    /// There is no such job.
+    /// The job does not exist.
     UnknownJob,
-    /// The job.
+    /// The status of the job.
     Job(JobSummary),
-    /// Results.
+    /// A page of results.
     Results {
-        /// Those present among the items looked at.
+        /// The results found among the examined items.
         results: Vec<FinishedItem>,
-        /// The first item not looked at; `None` at the job's end.
+        /// Index of the first item not examined; `None` at the end of the job.
         next: Option<u32>,
     },
-    /// Jobs.
+    /// The tenant's jobs with their status.
     Jobs(Vec<(JobId, JobSummary)>),
-    /// The session's record, if there is one.
+    /// The session's record, if it exists.
     Session(Option<SessionRecord>),
 }
--- a/crates/core/src/node/partition/session.rs
+++ b/crates/core/src/node/partition/session.rs
@@ -1,4 +1,4 @@
-//! Session records: which engine holds a session, and since which move.
+//! Session records, which map each session to the engine that serves it.
 
 use std::sync::Arc;
 
@@ -7,24 +7,25 @@
 use crate::identity::EngineName;
 use crate::time::UnixMillis;
 
-/// What names a session.
+/// Identifies a session within a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SessionKey {
-    /// Whose session it is.
+    /// The tenant that owns the session.
     pub tenant: Arc<str>,
-    /// The caller's name for it.
+    /// Session name given by the caller.
     pub session: Arc<str>,
 }
 
-/// Where a session lives. It is replicated, so it outlives the engine and the node that served it.
+/// The placement of a session. It is replicated and therefore survives the loss of the engine or node
+/// that served the session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionRecord {
-    /// The model the session talks to.
+    /// The model that the session uses.
     pub model: Arc<str>,
-    /// The engine that holds its KV cache.
+    /// The engine that holds the session's KV cache.
     pub engine: EngineName,
-    /// Grows by one with each move; a move from an older generation is refused.
+    /// Incremented with each move; a move based on an older generation is rejected.
     pub generation: u64,
-    /// When the record last changed, by the proposing node's clock.
+    /// Time of the last change, by the proposing node's clock.
     pub placed_at: UnixMillis,
 }
--- a/crates/core/src/node/partition/state.rs
+++ b/crates/core/src/node/partition/state.rs
@@ -1,4 +1,4 @@
-//! The state machine: commands in, outcomes out.
+//! The partition state machine, which applies commands and answers queries.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,15 +13,15 @@
 use crate::identity::{AttemptId, JobId};
 use crate::time::UnixMillis;
 
-/// Most bytes of result text in one answer to [`Query::JobResults`].
+/// Bytes of result text after which an answer to [`Query::JobResults`] ends its page.
 const MAX_RESULT_PAGE_BYTES: usize = 1 << 20;
 
-/// An item that has no result yet.
+/// An item without a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenItem {
-    /// The item's place in its job.
+    /// Index of the item in its job.
     pub item: u32,
-    /// What to run.
+    /// Prompt to run.
     pub prompt: Arc<str>,
 }
 
@@ -31,7 +31,7 @@
     jobs: BTreeMap<JobId, Job>,
     marks: BTreeMap<RequestKey, Mark>,
     sessions: BTreeMap<SessionKey, SessionRecord>,
-    /// Jobs that are accepted and not ended. Derived from `jobs`.
+    /// Accepted jobs that have not ended. Derived from `jobs`.
     #[serde(skip)]
     running: BTreeSet<JobId>,
 }
@@ -42,7 +42,7 @@
         postcard::to_stdvec(self).map(Arc::from).unwrap_or_default()
     }
 
-    /// Reads a snapshot. An empty one is the empty state; `None` means that the bytes are damaged.
+    /// Decodes a snapshot. No bytes decode to the empty state; `None` means that the snapshot is corrupt.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         if bytes.is_empty() {
             return Some(Self::default());
@@ -53,7 +53,7 @@
         Some(state)
     }
 
-    /// Applies a command.
+    /// Applies a command and returns its outcome.
     pub fn apply(&mut self, command: &Command) -> CommandOutcome {
         match command {
             Command::OpenJob { job, specification, at } => self.open_job(*job, specification, *at),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Answers a read.
+    /// Answers a query.
     pub fn query(&self, query: &Query) -> QueryAnswer {
         match query {
             Query::JobStatus { job } => {
@@ -82,22 +82,22 @@
         }
     }
 
-    /// A job.
+    /// Returns a job by ID.
     pub fn job(&self, job: JobId) -> Option<&Job> {
         self.jobs.get(&job)
     }
 
-    /// All jobs.
+    /// Returns all jobs, ordered by ID.
     pub fn jobs(&self) -> impl Iterator<Item = (JobId, &Job)> {
         self.jobs.iter().map(|(id, job)| (*id, job))
     }
 
-    /// Jobs that are accepted and not ended.
+    /// Returns the accepted jobs that have not ended.
     pub fn running_jobs(&self) -> impl Iterator<Item = (JobId, &Job)> {
         self.running.iter().filter_map(|id| self.jobs.get(id).map(|job| (*id, job)))
     }
 
-    /// Items of a job without a result, in order, from `first` on.
+    /// Returns a job's items without a result, in order, starting at index `first`.
     pub fn open_items(&self, job: JobId, first: u32) -> impl Iterator<Item = OpenItem> + '_ {
         let items = self.jobs.get(&job).map_or(&[][..], |job| &job.items[..]);
         items.iter().enumerate().skip(first as usize).filter_map(|(index, item)| {
@@ -106,22 +106,22 @@
         })
     }
 
-    /// The mark of a request.
+    /// Returns the mark of a request.
     pub fn mark(&self, request: &RequestKey) -> Option<&Mark> {
         self.marks.get(request)
     }
 
-    /// A session's record.
+    /// Returns a session's record.
     pub fn session(&self, session: &SessionKey) -> Option<&SessionRecord> {
         self.sessions.get(session)
     }
 
-    /// How many jobs, marks and sessions are held.
+    /// Returns the total number of jobs, marks and sessions.
     pub fn len(&self) -> usize {
         self.jobs.len() + self.marks.len() + self.sessions.len()
     }
 
-    /// Whether nothing is held.
+    /// Returns whether there are no jobs, marks or sessions.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -196,8 +196,8 @@
         }
     }
 
-    /// Settles a mark. A settlement that overtakes its mark leaves a settled mark behind, so that the
-    /// late mark gives no right to send.
+    /// Settles a mark. If the settlement arrives before its mark, it creates a settled mark, so that the
+    /// late mark command does not grant the right to send.
     fn settle_request(
         &mut self,
         request: &RequestKey,
