--- a/crates/core/src/node/batch_demand.rs
+++ b/crates/core/src/node/batch_demand.rs
@@ -1,6 +1,6 @@
-//! Asking the stewards of engines for room, and taking the limits they grant.
+//! Requests batch capacity from engine stewards and applies the limits they grant.
 //!
-//! Owns which engines are asked, and for how much. Relies on `batch_flow` for the jobs that could start.
+//! Decides which engines to request capacity from, and how much. `batch_flow` provides the runnable jobs.
 
 use std::collections::BTreeMap;
 
@@ -13,9 +13,9 @@
 use crate::peer_message::{CreditMessage, PeerMessage};
 use crate::time::Millis;
 
-/// Most engines asked by one node for one service.
+/// Maximum number of engines of one service from which a node requests capacity.
 const MAX_ENGINES_PER_SERVICE: usize = 24;
-/// Most startable items counted as demand.
+/// Maximum number of startable items reported as demand.
 const MAX_DEMAND: u32 = 4_096;
 
 impl Node {
@@ -73,7 +73,8 @@
         demand.min(MAX_DEMAND)
     }
 
-    /// Usable engines of a service; where there are many, a part that differs from node to node.
+    /// Returns usable engines of a service. If there are more than the maximum, each node selects a
+    /// different subset.
     fn capacity_candidates(&self, service: &str) -> Vec<EngineName> {
         let now = self.clock.now;
         let usable = self.engines.of_service(service).filter(|(_, state)| state.is_usable(now));
--- a/crates/core/src/node/batch_flow.rs
+++ b/crates/core/src/node/batch_flow.rs
@@ -1,7 +1,7 @@
-//! Running batch items within the limits that stewards grant.
+//! Runs batch items within the limits granted by engine stewards.
 //!
-//! Owns the streams of batch items and the results on their way to the groups. Relies on `batch_demand`
-//! for the limits, and on the groups that this node leads for the jobs.
+//! Owns the streams of batch items and the results not yet recorded by their groups. The limits come
+//! from `batch_demand`, the jobs from the groups that this node leads.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,26 +15,26 @@
 use crate::node::scheduling::{BatchDispatcher, JobRank, StreamEnd};
 use crate::time::{Millis, Timestamp, UnixMillis};
 
-/// Time between two asks for room.
+/// Interval between capacity requests to the stewards.
 const CAPACITY_REQUEST_INTERVAL: Millis = Millis(400);
-/// A batch stream that brings nothing for this long counts as lost.
+/// Time without a piece after which a batch stream is considered failed.
 const STREAM_IDLE_TIMEOUT: Millis = Millis(20_000);
-/// How long recording results is tried before the items are run again.
+/// Time allowed for recording results before the items become startable again.
 const RECORD_TIMEOUT: Millis = Millis(10_000);
-/// Time between two sweeps of state beyond its retention.
+/// Interval at which expired state is removed.
 const FORGET_INTERVAL: Millis = Millis(600_000);
 
-/// What a node keeps for batch.
+/// Batch scheduling state of a node.
 pub(super) struct BatchState {
     pub(super) dispatcher: BatchDispatcher,
-    /// Something changed that may let streams start or end.
+    /// Set when a change may allow streams to start or require them to end.
     pub(super) is_dirty: bool,
-    /// Engines whose steward is due a report of this node's online requests.
+    /// Engines whose steward must be sent this node's number of online requests.
     pub(super) notices_due: BTreeSet<EngineName>,
     pub(super) next_notice: Timestamp,
     next_capacity_request: Timestamp,
     next_forget: Timestamp,
-    /// Engines whose steward knows a demand of this node.
+    /// Engines whose steward has a current capacity request from this node.
     pub(super) requested: BTreeSet<EngineName>,
     results: BTreeMap<JobId, Vec<CompletedItem>>,
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// A running job as scheduling sees it.
+/// The properties of a running job that scheduling needs.
 pub(super) struct RunnableJob {
     pub(super) job: JobId,
     pub(super) item_count: u32,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Ends streams that are not wanted, then starts what there is room for.
+    /// Stops streams of ended jobs, then starts items while engines have capacity.
     pub(super) fn schedule_batch(&mut self) {
         self.batch.is_dirty = false;
         let Some(fleet) = self.fleet() else { return };
@@ -92,7 +92,7 @@
             return;
         }
         if self.batch.requested.is_empty() {
-            // The first job need not wait for the next round of asking.
+            // Avoids delaying the first job until the next periodic capacity request.
             self.request_capacity();
         }
         loop {
@@ -103,7 +103,8 @@
         }
     }
 
-    /// One stream for each engine that has room, so that streams spread over the engines.
+    /// Starts at most one stream per engine with free capacity, to spread streams evenly. Returns the
+    /// number of streams started.
     fn start_round(&mut self, jobs: &[RunnableJob]) -> usize {
         let now = self.clock.now;
         let mut started = 0;
@@ -155,7 +156,7 @@
         best.map(|(_, index)| index)
     }
 
-    /// Starts the next item of a job that has no result yet.
+    /// Starts the job's next startable item. Returns whether an item was started.
     fn start_next_item(&mut self, job: &RunnableJob, engine: &EngineName) -> bool {
         let now = self.clock.now;
         while let Some(item) = self.batch.dispatcher.next_item(job.job, job.item_count, now) {
@@ -199,7 +200,7 @@
         true
     }
 
-    /// Streams of jobs that ended, or of groups that this node leads no longer, are stopped.
+    /// Stops the streams of jobs that have ended or whose group this node no longer leads.
     fn abandon_ended_jobs(&mut self) {
         let tracked_jobs = self.batch.dispatcher.known_jobs();
         for job in tracked_jobs {
@@ -225,7 +226,7 @@
         self.batch.dispatcher.ended(attempt, end, self.clock.now);
     }
 
-    /// Gives back everything in hand, for a planned stop.
+    /// Stops all batch streams and withdraws all capacity requests, for a graceful shutdown.
     pub(super) fn give_back_batch(&mut self) {
         let attempts: Vec<AttemptId> = self.batch.dispatcher.streams().map(|(attempt, _)| attempt).collect();
         for attempt in attempts {
@@ -310,7 +311,7 @@
         self.batch.results.entry(stream.job).or_default().push(CompletedItem { item: stream.item, result });
     }
 
-    /// Proposes the results gathered during one event, one command a job.
+    /// Proposes the results collected during one event, with one command per job.
     pub(super) fn flush_results(&mut self) {
         let results = std::mem::take(&mut self.batch.results);
         for (job, results) in results {
--- a/crates/core/src/node/group_client.rs
+++ b/crates/core/src/node/group_client.rs
@@ -1,7 +1,7 @@
-//! Requests to groups, wherever their leaders are.
+//! Client for requests to replica groups, which may be hosted by other nodes.
 //!
-//! A request is repeated until it is answered or its deadline passes: at the leader if one is known,
-//! else at the members in turn. All commands bear repeating.
+//! A request is retried until it is answered or its deadline passes. It is sent to the leader if known,
+//! otherwise to the members in round-robin order. Retries are safe because all commands are idempotent.
 
 use std::collections::BTreeMap;
 
@@ -15,50 +15,50 @@
 use crate::peer_message::{GroupAnswer, GroupAnswerBody, GroupRefusal, GroupRequest, GroupRequestBody, PeerMessage};
 use crate::time::{Millis, Timestamp};
 
-/// Longest wait for the answer to one try; the wait is drawn between half of it and all of it.
+/// Maximum wait for an answer before a request is retried. The actual wait is at least half of it.
 const MAX_RETRY_INTERVAL: Millis = Millis(800);
-/// How long a request waits after a refusal.
+/// Backoff before a refused request is retried.
 const REFUSAL_BACKOFF: Backoff = Backoff::new(Millis(10), Millis(400));
-/// Most requests that wait at once.
+/// Maximum number of pending requests.
 const MAX_PENDING_REQUESTS: usize = 16_384;
 
-/// Who asked, and for what.
+/// Determines how the reply to a request is handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// A step of taking in a job.
+    /// A step of a job upload.
     Upload(CallerId),
-    /// A job's status for a caller.
+    /// Return a job's status to a caller.
     JobStatus(CallerId, JobId),
-    /// A tenant's jobs in one group for a caller.
+    /// Return a tenant's jobs in one group to a caller.
     JobList(CallerId),
-    /// A job's results for a caller.
+    /// Return a job's results to a caller.
     JobResults(CallerId),
-    /// The acceptance of an uploaded job for a caller; the status is read after it.
+    /// Accept an uploaded job for a caller, then read its status.
     AcceptJob(CallerId, JobId),
-    /// A cancellation for a caller; the status is read after it.
+    /// Cancel a job for a caller, then read its status.
     CancelJob(CallerId, JobId),
-    /// The mark of a not-repeatable request.
+    /// Mark a caller's non-repeatable request.
     Mark(CallerId),
-    /// A settlement. Nobody waits.
+    /// Settle a mark. The reply is ignored.
     Settle(RequestKey),
-    /// A session's record for a request.
+    /// Look up the session of a caller's request.
     FindSession(CallerId),
-    /// A session's new record. Nobody waits.
+    /// Store a session's new record. No caller waits for the reply.
     PlaceSession(SessionKey),
-    /// Results of batch items.
+    /// Record the results of batch items.
     RecordResults(JobId, Vec<u32>),
-    /// Retention. Nobody waits.
+    /// Remove expired state. The reply is ignored.
     Forget,
 }
 
-/// What became of a request.
+/// The final result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum GroupReply {
-    /// What the command did.
+    /// The outcome of the command.
     Outcome(CommandOutcome),
     /// The answer to the query.
     Answer(QueryAnswer),
-    /// No answer came in time. A command may have taken effect.
+    /// No answer arrived before the deadline. A command may have taken effect.
     TimedOut,
 }
 
@@ -73,7 +73,7 @@
     target: Option<NodeId>,
 }
 
-/// Requests that wait for their answer.
+/// Requests that await an answer.
 pub(super) struct GroupClient {
     next_id: u64,
     pending: BTreeMap<u64, Pending>,
@@ -83,12 +83,12 @@
 impl GroupClient {
     pub(super) fn new(seed: u64) -> Self {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
-        // A restarted node must not take answers that were meant for its former self.
+        // A random start keeps a restarted node from accepting answers to requests of its previous run.
         let next_id = random.random::<u64>() >> 1;
         Self { next_id, pending: BTreeMap::new(), random }
     }
 
-    /// Drops what a caller waits for that went away. Commands under way may still take effect.
+    /// Drops the pending requests of a disconnected caller. Commands already sent may still take effect.
     pub(super) fn forget_caller(&mut self, caller: CallerId) {
         self.pending.retain(|_, pending| match &pending.purpose {
             Purpose::Upload(owner)
@@ -103,24 +103,23 @@
         });
     }
 
-    /// How many requests wait.
     pub(super) fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// A wait drawn between half the span and all of it.
+    /// Returns a random wait between half of `span` and all of it.
     fn jitter(&mut self, span: Millis) -> Millis {
         Millis(span.0 / 2 + self.random.random_range(0..=span.0 / 2))
     }
 }
 
 impl Node {
-    /// Sends a command to a group.
+    /// Sends a command to a group and retries it until `timeout`.
     pub(super) fn command(&mut self, group: GroupId, command: Command, purpose: Purpose, timeout: Millis) {
         self.request(group, GroupRequestBody::Command(command), purpose, timeout);
     }
 
-    /// Sends a query to a group.
+    /// Sends a query to a group and retries it until `timeout`.
     pub(super) fn query(&mut self, group: GroupId, query: Query, purpose: Purpose, timeout: Millis) {
         self.request(group, GroupRequestBody::Query(query), purpose, timeout);
     }
@@ -187,7 +186,7 @@
                 let reply = match body {
                     GroupAnswerBody::Outcome(outcome) => GroupReply::Outcome(outcome),
                     GroupAnswerBody::Answer(answer) => GroupReply::Answer(answer),
-                    // This node never asks for pass-through jobs or changes, so whatever this answers is gone.
+                    // This node never requests pass-through jobs or changes, so the answer cannot be matched.
                     GroupAnswerBody::Jobs(_) | GroupAnswerBody::Changes(_) | GroupAnswerBody::Contents(_) => {
                         GroupReply::TimedOut
                     }
@@ -234,7 +233,7 @@
     }
 }
 
-/// The leader, if one is known; else the members in turn.
+/// Returns the leader if known, otherwise the next member in round-robin order.
 fn choose_target(entry: Option<&crate::node::control::DirectoryEntry>, tries: u32) -> Option<NodeId> {
     let entry = entry?;
     if let Some(leader) = entry.leader {
--- a/crates/core/src/node/group_repair.rs
+++ b/crates/core/src/node/group_repair.rs
@@ -1,7 +1,6 @@
-//! Replacing lost members of the groups that this node leads, one step at a time.
+//! Replaces lost members of the groups that this node leads, one membership change at a time.
 //!
-//! Owns how a member's health is judged. Relies on `plan_repair` for the step and on the membership for
-//! who is present.
+//! Determines the health of each member; `plan_repair` selects the next change.
 
 use super::groups::HostedGroup;
 use super::machine::Node;
@@ -11,7 +10,7 @@
 use crate::replication::{MembershipChange, REPAIR_DELAY, RepairInput, ReplicaHealth, StoreCandidate, plan_repair};
 use crate::time::Timestamp;
 
-/// A learner is caught up when it misses at most this many entries.
+/// Maximum number of missing log entries for a learner to count as caught up.
 const MAX_CAUGHT_UP_LAG: u64 = 16;
 
 impl Node {
--- a/crates/core/src/node/group_requests.rs
+++ b/crates/core/src/node/group_requests.rs
@@ -1,6 +1,6 @@
-//! Requests to the groups that this node hosts, and their answers.
+//! Handles requests to the groups that this node hosts.
 //!
-//! Owns who waits for which entry of a log. Relies on `groups` to apply what is committed.
+//! Tracks the proposed commands that await an answer; `groups` applies committed entries.
 
 use super::machine::Node;
 use crate::identity::{GroupId, NodeId};
@@ -9,7 +9,7 @@
 use crate::replication::{ProposalError, Replica, Term};
 use crate::time::Timestamp;
 
-/// Someone who waits for a command to be applied.
+/// A proposed command whose requester has not been answered yet.
 pub(super) struct PendingCommand {
     pub(super) term: Term,
     request: u64,
@@ -27,7 +27,7 @@
             return;
         };
         match request.body {
-            // The groups of this node hold no pass-through jobs, and it keeps no view of a metadata store.
+            // Groups of this node store no pass-through jobs, and the node maintains no metadata view.
             GroupRequestBody::Jobs(_) | GroupRequestBody::Changes(_) | GroupRequestBody::Follow(_) => {
                 let result = Err(GroupRefusal::Busy);
                 self.answer_group_request(request.from, request.id, request.group, result);
@@ -71,7 +71,7 @@
         self.send(to, PeerMessage::GroupAnswer(GroupAnswer { id, group, result }));
     }
 
-    /// Whoever waits at a deposed leader is answered that it should ask the new one.
+    /// Refuses all pending commands after the loss of leadership, naming the new leader if known.
     pub(super) fn reject_pending_commands(&mut self, group: GroupId) {
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let refusal = refusal_for(&hosted.replica);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// An outcome is answered once every replica that answers holds it, or after a short wait.
+    /// Answers applied commands once all responsive voters store the entry, or after `full_ack_timeout`.
     pub(super) fn answer_pending_commands(&mut self, group: GroupId) {
         let now = self.clock.now;
         let wait = self.settings.replication.full_ack_timeout;
--- a/crates/core/src/node/groups.rs
+++ b/crates/core/src/node/groups.rs
@@ -1,8 +1,8 @@
-//! The replicas that this node hosts: feeding them, carrying out what they want, and applying what they
-//! commit.
+//! The replicas that this node hosts: passes messages and ticks to them, executes their effects, and
+//! applies committed entries.
 //!
-//! Owns the replicas and their state machines. Relies on `group_requests` to answer those who asked, and
-//! on `group_repair` to replace lost members.
+//! Owns the replicas and their state machines. `group_requests` answers requests; `group_repair`
+//! replaces lost members.
 
 use std::collections::BTreeMap;
 
@@ -25,11 +25,11 @@
 };
 use crate::time::{Millis, Timestamp};
 
-/// Time between two looks at the health of a group's members.
+/// Interval between health checks of group members.
 const REPAIR_INTERVAL: Millis = Millis(1_000);
-/// A log may grow to this many times its limit while a follower is behind.
+/// Factor by which a log may exceed its size limit while a follower lags behind.
 const MAX_LOG_GROWTH_FACTOR: usize = 4;
-/// One hosted replica with its state machine.
+/// A hosted replica with its state machine.
 pub(super) struct HostedGroup {
     pub(super) replica: Replica,
     pub(super) state: PartitionState,
@@ -66,7 +66,7 @@
         host
     }
 
-    /// Starts a replica. The store has verified the snapshot, so that it can be read.
+    /// Starts a replica. Decoding cannot fail here because the store has verified the snapshot.
     fn open(&mut self, group: GroupId, persisted: PersistedReplica, now: Timestamp) {
         let state = PartitionState::decode(&persisted.snapshot.state).unwrap_or_default();
         let seed = self.random.random();
@@ -83,7 +83,7 @@
         self.hosted.keys().copied().collect()
     }
 
-    /// Groups that this node leads and knows all of.
+    /// Returns the groups of which this node is the established leader.
     pub(super) fn led(&self) -> impl Iterator<Item = (GroupId, &HostedGroup)> {
         self.hosted
             .iter()
@@ -142,7 +142,7 @@
         self.settle_group(group);
     }
 
-    /// Gives a hosted replica its first membership, from the founding record.
+    /// Bootstraps a hosted replica with the initial membership from the founding record.
     pub(super) fn found_group(&mut self, group: GroupId, membership: GroupMembership) {
         if self.groups.get(group).is_none() {
             self.groups.open(group, PersistedReplica::default(), self.clock.now);
@@ -154,7 +154,7 @@
         self.settle_group(group);
     }
 
-    /// Carries out what a replica wants, applies what it committed, and answers those who wait.
+    /// Executes a replica's effects, applies its committed entries, and answers pending commands.
     pub(super) fn settle_group(&mut self, group: GroupId) {
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let effects = hosted.replica.take_effects();
@@ -236,7 +236,7 @@
         }
     }
 
-    /// What an applied command means for the log.
+    /// Returns the log event that an applied command causes, if any.
     fn log_event_for(command: &Command, outcome: &CommandOutcome, state: &PartitionState) -> Option<(LogEvent, JobId)> {
         match (command, outcome) {
             (Command::AcceptJob { job }, CommandOutcome::JobOpen { phase: JobPhase::Accepted, .. }) => {
@@ -256,8 +256,8 @@
         }
     }
 
-    /// Bounds the log. While a follower is behind, the log is kept a while longer, so that it can
-    /// catch up without a snapshot.
+    /// Compacts the log if it exceeds its size limit. Compaction is deferred while a follower lags
+    /// behind, so that the follower can catch up without a snapshot.
     fn compact_group(&mut self, group: GroupId) {
         let limit = self.settings.compact_bytes;
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
@@ -270,7 +270,8 @@
         }
     }
 
-    /// Hands over every group that this node leads. Returns whether it leads none any more.
+    /// Transfers the leadership of every group that this node leads. Returns whether no transfer is
+    /// pending.
     pub(super) fn hand_over_leadership(&mut self) -> bool {
         let now = self.clock.now;
         let own = self.settings.id;
--- a/crates/core/src/node/upload.rs
+++ b/crates/core/src/node/upload.rs
@@ -1,4 +1,5 @@
-//! Taking in a batch job: open it, add its items in chunks, accept it.
+//! Batch job upload: opens the job, adds its items in chunks, and accepts it. Also handles the other
+//! batch calls.
 
 use std::sync::Arc;
 
@@ -13,25 +14,25 @@
 use crate::node::partition::{Command, CommandOutcome, JobPhase, JobSpecification, NewItem, Query, QueryAnswer};
 use crate::time::{Millis, UnixMillis};
 
-/// Most bytes of bodies in one command.
+/// Maximum total size of labels and prompts in one command. A larger single item is sent alone.
 const MAX_CHUNK_BYTES: usize = 256 << 10;
-/// Most items in one command.
+/// Maximum number of items in one command.
 const MAX_CHUNK_ITEMS: usize = 2_048;
-/// How long one step may take.
+/// Timeout of one command.
 const STEP_TIMEOUT: Millis = Millis(8_000);
-/// How long a read may take.
+/// Timeout of one query.
 pub(super) const READ_TIMEOUT: Millis = Millis(4_000);
-/// Most items in a job.
+/// Maximum number of items in a job.
 const MAX_JOB_ITEMS: usize = 250_000;
 
-/// A job that is being taken in.
+/// A job that is being uploaded.
 pub(super) struct JobUpload {
     job: JobId,
     specification: JobSpecification,
     items: Vec<NewItem>,
-    /// Accept the job once its items are in.
+    /// Whether to accept the job once all items are uploaded.
     accept: bool,
-    /// The last step was the acceptance, so that a lost answer may hide an accepted job.
+    /// Whether the accept command was sent. If its answer is lost, the job may have been accepted.
     accepting: bool,
 }
 
@@ -103,7 +104,7 @@
         self.command(group, command, Purpose::Upload(caller), STEP_TIMEOUT);
     }
 
-    /// Checks that the configuration names tenant, model and adapter; gives the service's token limit.
+    /// Checks that tenant, model and adapter are configured. Returns the service's token limit.
     pub(super) fn check_names(&self, tenant: &str, model: &str, adapter: Option<&Arc<str>>) -> Result<u32, Refusal> {
         let Some(fleet) = self.fleet() else {
             return Err(Refusal::new(ErrorKind::NotConfigured, "no configuration yet"));
--- a/crates/core/tests/marks_and_sessions.rs
+++ b/crates/core/tests/marks_and_sessions.rs
@@ -1,5 +1,5 @@
-//! Marks and session records against maps: several holders race for each key, settlements overtake
-//! marks, and moves of a session arrive late and twice.
+//! Compares marks and session records with a reference model. Guards against two attempts being
+//! granted the same key, and against session moves that are applied late or twice.
 
 mod support;
 
@@ -26,10 +26,10 @@
     Reload,
 }
 
-/// Who holds the right to send, and where sessions live.
+/// Reference model of marks and session records.
 #[derive(Clone, Debug, Default)]
 struct Model {
-    /// By key: digest, holder, settlement.
+    /// Digest, holder and settlement by key.
     marks: BTreeMap<u64, (u64, u128, Option<Settlement>)>,
     sessions: BTreeMap<u64, (u64, u8)>,
     granted: bool,
@@ -103,7 +103,7 @@
     EngineName::new(&format!("engine-{number}"))
 }
 
-/// The state, and who was ever told that it may send.
+/// The state under test, with the holders that were granted a mark and those that settled as not run.
 struct Marks {
     state: PartitionState,
     senders: BTreeMap<u64, BTreeSet<u128>>,
@@ -154,7 +154,7 @@
                 marks.state.apply(&Command::PlaceSession { session: session_key(session), record });
             }
             Step::Reload => {
-                marks.state = PartitionState::decode(&marks.state.encode()).expect("the state is read back");
+                marks.state = PartitionState::decode(&marks.state.encode()).expect("encoded state can be decoded");
             }
         }
         marks
@@ -163,11 +163,11 @@
     fn check_invariants(marks: &Marks, model: &Model) {
         for (key, senders) in &marks.senders {
             let settled_not_run = marks.not_run.get(key).cloned().unwrap_or_default();
-            // Of all who were told to send, at most one has not said that it did not.
-            assert!(senders.difference(&settled_not_run).count() <= 1, "two holders may both have sent key {key}");
+            // At most one granted holder has not reported that it did not run the request.
+            assert!(senders.difference(&settled_not_run).count() <= 1, "two holders may have sent request {key}");
         }
         for (session, (generation, engine_index)) in &model.sessions {
-            let record = marks.state.session(&session_key(*session)).expect("a placed session is kept");
+            let record = marks.state.session(&session_key(*session)).expect("placed session must be stored");
             assert_eq!((record.generation, &record.engine), (*generation, &engine(*engine_index)));
         }
     }
