--- a/crates/core/src/node/batch_flow.rs
+++ b/crates/core/src/node/batch_flow.rs
@@ -174,12 +174,10 @@
         let Some(fleet) = self.fleet() else { return false };
         let Some(service) = fleet.services.get(&job.service) else { return false };
         let hosted = self.groups.get(job.job.group);
-        let stored_job = hosted.and_then(|hosted| hosted.state.job(job.job));
-        let Some(stored_job) = stored_job else { return false };
-        let Some(prompt) = stored_job.items.get(item as usize).and_then(|item| item.prompt.clone()) else {
-            return false;
-        };
-        let specification = stored_job.specification.clone();
+        let stored = hosted.and_then(|hosted| hosted.state.job(job.job));
+        let Some(stored) = stored else { return false };
+        let Some(prompt) = stored.items.get(item as usize).and_then(|item| item.prompt.clone()) else { return false };
+        let specification = stored.specification.clone();
         let attempt = self.draw_attempt();
         let from_token = self.batch.dispatcher.started(attempt, job.job, item, job.tenant.clone(), engine.clone(), now);
         self.batch.dispatcher.pace(engine, service.batch_start_interval, now);
@@ -205,10 +203,10 @@
         let tracked_jobs = self.batch.dispatcher.known_jobs();
         for job in tracked_jobs {
             let is_running = self.groups.get(job.group).is_some_and(|hosted| {
-                let stored_job = hosted.state.job(job);
+                let stored = hosted.state.job(job);
                 hosted.replica.is_leader()
-                    && stored_job.is_some_and(|stored_job| {
-                        stored_job.phase == crate::node::partition::JobPhase::Accepted && !stored_job.has_ended()
+                    && stored.is_some_and(|stored| {
+                        stored.phase == crate::node::partition::JobPhase::Accepted && !stored.has_ended()
                     })
             });
             if is_running {
