--- a/crates/core/src/node/partition/mark.rs
+++ b/crates/core/src/node/partition/mark.rs
@@ -1,4 +1,4 @@
-//! Marks that ensure that non-repeatable requests run at most once.
+//! Marks, which limit each non-repeatable request to at most one run.
 
 use std::sync::Arc;
 
