--- a/crates/core/src/node/batch_flow.rs
+++ b/crates/core/src/node/batch_flow.rs
@@ -1,7 +1,7 @@
-//! Running batch items within the limits that stewards grant.
+//! Runs batch items within the limits granted by engine stewards.
 //!
-//! Owns the streams of batch items and the results on their way to the groups. Relies on `batch_demand`
-//! for the limits, and on the groups that this node leads for the jobs.
+//! Owns the streams of batch items and the results not yet recorded by their groups. The limits come
+//! from `batch_demand`, the jobs from the groups that this node leads.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,27 +15,27 @@
 use crate::node::scheduling::{BatchDispatcher, JobRank, StreamEnd};
 use crate::time::{Millis, Timestamp, UnixMillis};
 
-/// Time between two asks for room.
-const ASK_INTERVAL: Millis = Millis(400);
-/// A batch stream that brings nothing for this long counts as lost.
-const SILENCE_TIMEOUT: Millis = Millis(20_000);
-/// How long recording results is tried before the items are run again.
+/// Interval between capacity requests to the stewards.
+const CAPACITY_REQUEST_INTERVAL: Millis = Millis(400);
+/// Time without a piece after which a batch stream is considered failed.
+const STREAM_IDLE_TIMEOUT: Millis = Millis(20_000);
+/// Time allowed for recording results before the items become startable again.
 const RECORD_TIMEOUT: Millis = Millis(10_000);
-/// Time between two sweeps of state beyond its retention.
+/// Interval at which expired state is removed.
 const FORGET_INTERVAL: Millis = Millis(600_000);
 
-/// What a node keeps for batch.
+/// Batch scheduling state of a node.
 pub(super) struct BatchState {
     pub(super) dispatcher: BatchDispatcher,
-    /// Something changed that may let streams start or end.
+    /// Set when a change may allow streams to start or require them to end.
     pub(super) is_dirty: bool,
-    /// Engines whose steward is due a report of this node's online requests.
+    /// Engines whose steward must be sent this node's number of online requests.
     pub(super) notices_due: BTreeSet<EngineName>,
     pub(super) next_notice: Timestamp,
-    next_ask: Timestamp,
+    next_capacity_request: Timestamp,
     next_forget: Timestamp,
-    /// Engines whose steward knows a demand of this node.
-    pub(super) asked: BTreeSet<EngineName>,
+    /// Engines whose steward has a current capacity request from this node.
+    pub(super) requested: BTreeSet<EngineName>,
     results: BTreeMap<JobId, Vec<CompletedItem>>,
 }
 
@@ -46,15 +46,15 @@
             is_dirty: false,
             notices_due: BTreeSet::new(),
             next_notice: now,
-            next_ask: now,
+            next_capacity_request: now,
             next_forget: now + FORGET_INTERVAL,
-            asked: BTreeSet::new(),
+            requested: BTreeSet::new(),
             results: BTreeMap::new(),
         }
     }
 }
 
-/// A running job as scheduling sees it.
+/// The properties of a running job that scheduling needs.
 pub(super) struct RunnableJob {
     pub(super) job: JobId,
     pub(super) item_count: u32,
@@ -67,11 +67,11 @@
 impl Node {
     pub(super) fn tick_batch(&mut self) {
         let now = self.clock.now;
-        self.drop_silent_streams();
+        self.fail_idle_streams();
         self.schedule_batch();
-        if now >= self.batch.next_ask {
-            self.batch.next_ask = now + ASK_INTERVAL;
-            self.ask_for_room();
+        if now >= self.batch.next_capacity_request {
+            self.batch.next_capacity_request = now + CAPACITY_REQUEST_INTERVAL;
+            self.request_capacity();
         }
         if now >= self.batch.next_forget {
             self.batch.next_forget = now + FORGET_INTERVAL;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Ends streams that are not wanted, then starts what there is room for.
+    /// Stops streams of ended jobs, then starts items while engines have capacity.
     pub(super) fn schedule_batch(&mut self) {
         self.batch.is_dirty = false;
         let Some(fleet) = self.fleet() else { return };
@@ -91,9 +91,9 @@
         if jobs.is_empty() {
             return;
         }
-        if self.batch.asked.is_empty() {
-            // The first job need not wait for the next round of asking.
-            self.ask_for_room();
+        if self.batch.requested.is_empty() {
+            // Avoids delaying the first job until the next periodic capacity request.
+            self.request_capacity();
         }
         loop {
             let started = self.start_round(&jobs);
@@ -103,15 +103,16 @@
         }
     }
 
-    /// One stream for each engine that has room, so that streams spread over the engines.
+    /// Starts at most one stream per engine with free capacity, to spread streams evenly. Returns the
+    /// number of streams started.
     fn start_round(&mut self, jobs: &[RunnableJob]) -> usize {
         let now = self.clock.now;
         let mut started = 0;
         for engine in self.batch.dispatcher.engines_with_room(now) {
             let Some(state) = self.engines.get(&engine).filter(|state| state.is_usable(now)) else { continue };
             let service = state.configured.service.clone();
-            let Some(place) = self.best_job(jobs, &service) else { continue };
-            if self.start_next_item(&jobs[place], &engine) {
+            let Some(index) = self.best_job(jobs, &service) else { continue };
+            if self.start_next_item(&jobs[index], &engine) {
                 started += 1;
             }
         }
@@ -140,7 +141,7 @@
     fn best_job(&self, jobs: &[RunnableJob], service: &str) -> Option<usize> {
         let now = self.clock.now;
         let mut best: Option<(JobRank, usize)> = None;
-        for (place, job) in jobs.iter().enumerate() {
+        for (index, job) in jobs.iter().enumerate() {
             let startable =
                 &*job.service == service && self.batch.dispatcher.has_startable(job.job, job.item_count, now);
             if !startable {
@@ -149,13 +150,13 @@
             let usage = &self.batch.dispatcher.usage;
             let rank = usage.rank(&job.tenant, job.weight, job.deadline, self.clock.civil);
             if best.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
-                best = Some((rank, place));
+                best = Some((rank, index));
             }
         }
-        best.map(|(_, place)| place)
+        best.map(|(_, index)| index)
     }
 
-    /// Starts the next item of a job that has no result yet.
+    /// Starts the job's next startable item. Returns whether an item was started.
     fn start_next_item(&mut self, job: &RunnableJob, engine: &EngineName) -> bool {
         let now = self.clock.now;
         while let Some(item) = self.batch.dispatcher.next_item(job.job, job.item_count, now) {
@@ -173,10 +174,10 @@
         let Some(fleet) = self.fleet() else { return false };
         let Some(service) = fleet.services.get(&job.service) else { return false };
         let hosted = self.groups.get(job.job.group);
-        let held = hosted.and_then(|hosted| hosted.state.job(job.job));
-        let Some(held) = held else { return false };
-        let Some(prompt) = held.items.get(item as usize).and_then(|item| item.prompt.clone()) else { return false };
-        let specification = held.specification.clone();
+        let stored = hosted.and_then(|hosted| hosted.state.job(job.job));
+        let Some(stored) = stored else { return false };
+        let Some(prompt) = stored.items.get(item as usize).and_then(|item| item.prompt.clone()) else { return false };
+        let specification = stored.specification.clone();
         let attempt = self.draw_attempt();
         let from_token = self.batch.dispatcher.started(attempt, job.job, item, job.tenant.clone(), engine.clone(), now);
         self.batch.dispatcher.pace(engine, service.batch_start_interval, now);
@@ -197,15 +198,15 @@
         true
     }
 
-    /// Streams of jobs that ended, or of groups that this node leads no longer, are stopped.
+    /// Stops the streams of jobs that have ended or whose group this node no longer leads.
     fn abandon_ended_jobs(&mut self) {
-        let known = self.batch.dispatcher.known_jobs();
-        for job in known {
+        let tracked_jobs = self.batch.dispatcher.known_jobs();
+        for job in tracked_jobs {
             let is_running = self.groups.get(job.group).is_some_and(|hosted| {
-                let held = hosted.state.job(job);
+                let stored = hosted.state.job(job);
                 hosted.replica.is_leader()
-                    && held.is_some_and(|held| {
-                        held.phase == crate::node::partition::JobPhase::Accepted && !held.has_ended()
+                    && stored.is_some_and(|stored| {
+                        stored.phase == crate::node::partition::JobPhase::Accepted && !stored.has_ended()
                     })
             });
             if is_running {
@@ -223,25 +224,25 @@
         self.batch.dispatcher.ended(attempt, end, self.clock.now);
     }
 
-    /// Gives back everything in hand, for a planned stop.
+    /// Stops all batch streams and withdraws all capacity requests, for a graceful shutdown.
     pub(super) fn give_back_batch(&mut self) {
         let attempts: Vec<AttemptId> = self.batch.dispatcher.streams().map(|(attempt, _)| attempt).collect();
         for attempt in attempts {
             self.stop_stream(attempt, StreamEnd::Paused);
         }
-        self.release_asks();
+        self.cancel_capacity_requests();
     }
 
-    fn drop_silent_streams(&mut self) {
+    fn fail_idle_streams(&mut self) {
         let now = self.clock.now;
-        let silent: Vec<(AttemptId, EngineName)> = self
+        let idle: Vec<(AttemptId, EngineName)> = self
             .batch
             .dispatcher
             .streams()
-            .filter(|(_, stream)| now.since(stream.last_piece) >= SILENCE_TIMEOUT)
+            .filter(|(_, stream)| now.since(stream.last_piece) >= STREAM_IDLE_TIMEOUT)
             .map(|(attempt, stream)| (attempt, stream.engine.clone()))
             .collect();
-        for (attempt, engine) in silent {
+        for (attempt, engine) in idle {
             self.stop_stream(attempt, StreamEnd::Failed);
             self.note_engine_failure(&engine);
         }
@@ -283,8 +284,8 @@
     }
 
     fn on_batch_end(&mut self, attempt: AttemptId, length: u32) {
-        let is_whole = self.batch.dispatcher.stream_mut(attempt).is_some_and(|stream| stream.tokens == length);
-        if is_whole {
+        let is_complete = self.batch.dispatcher.stream_mut(attempt).is_some_and(|stream| stream.tokens == length);
+        if is_complete {
             self.complete_item(attempt, ItemVerdict::Completed);
         } else {
             self.fail_batch_stream(attempt, false);
@@ -308,7 +309,7 @@
         self.batch.results.entry(stream.job).or_default().push(CompletedItem { item: stream.item, result });
     }
 
-    /// Proposes the results gathered during one event, one command a job.
+    /// Proposes the results collected during one event, with one command per job.
     pub(super) fn flush_results(&mut self) {
         let results = std::mem::take(&mut self.batch.results);
         for (job, results) in results {
--- a/crates/core/src/node/group_repair.rs
+++ b/crates/core/src/node/group_repair.rs
@@ -1,7 +1,6 @@
-//! Replacing lost members of the groups that this node leads, one step at a time.
+//! Replaces lost members of the groups that this node leads, one membership change at a time.
 //!
-//! Owns how a member's health is judged. Relies on `plan_repair` for the step and on the membership for
-//! who is present.
+//! Determines the health of each member; `plan_repair` selects the next change.
 
 use super::groups::HostedGroup;
 use super::machine::Node;
@@ -11,8 +10,8 @@
 use crate::replication::{MembershipChange, REPAIR_DELAY, RepairInput, ReplicaHealth, StoreCandidate, plan_repair};
 use crate::time::Timestamp;
 
-/// A learner is caught up when it misses at most this many entries.
-const CAUGHT_UP_ENTRIES: u64 = 16;
+/// Maximum number of missing log entries for a learner to count as caught up.
+const MAX_CAUGHT_UP_LAG: u64 = 16;
 
 impl Node {
     pub(super) fn repair_groups(&mut self) {
@@ -47,19 +46,20 @@
     fn replica_health(&self, hosted: &HostedGroup, node: NodeId) -> ReplicaHealth {
         let now = self.clock.now;
         let is_own = node == self.settings.id;
-        let gone_since = match self.membership.member(node) {
+        let absent_since = match self.membership.member(node) {
             Some(member) if member.is_present() => None,
             Some(_) => self.membership.changed_at(node),
             None => Some(Timestamp::default()),
         };
         let progress = hosted.replica.progress(node);
         let matched = progress.map_or(0, |progress| progress.matched.0);
-        let answers = progress.and_then(|progress| progress.last_answer).is_some_and(|at| now.since(at) < REPAIR_DELAY);
-        let is_gone = gone_since.is_some_and(|since| now.since(since) >= REPAIR_DELAY);
+        let is_responsive =
+            progress.and_then(|progress| progress.last_answer).is_some_and(|at| now.since(at) < REPAIR_DELAY);
+        let is_absent = absent_since.is_some_and(|since| now.since(since) >= REPAIR_DELAY);
         ReplicaHealth {
             node,
-            is_lost: !is_own && is_gone && !answers,
-            is_caught_up: matched + CAUGHT_UP_ENTRIES >= hosted.replica.commit().0 && answers,
+            is_lost: !is_own && is_absent && !is_responsive,
+            is_caught_up: matched + MAX_CAUGHT_UP_LAG >= hosted.replica.commit().0 && is_responsive,
         }
     }
 
--- a/crates/core/src/node/groups.rs
+++ b/crates/core/src/node/groups.rs
@@ -1,8 +1,8 @@
-//! The replicas that this node hosts: feeding them, carrying out what they want, and applying what they
-//! commit.
+//! The replicas that this node hosts: passes messages and ticks to them, executes their effects, and
+//! applies committed entries.
 //!
-//! Owns the replicas and their state machines. Relies on `group_requests` to answer those who asked, and
-//! on `group_repair` to replace lost members.
+//! Owns the replicas and their state machines. `group_requests` answers requests; `group_repair`
+//! replaces lost members.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 use super::effect::Effect;
-use super::group_requests::Waiting;
+use super::group_requests::PendingCommand;
 use super::machine::Node;
 use super::settings::NodeSettings;
 use super::status::GroupStatus;
@@ -25,15 +25,15 @@
 };
 use crate::time::{Millis, Timestamp};
 
-/// Time between two looks at the health of a group's members.
+/// Interval between health checks of group members.
 const REPAIR_INTERVAL: Millis = Millis(1_000);
-/// A log may grow to this many times its limit while a follower is behind.
-const COMPACT_SLACK: usize = 4;
-/// One hosted replica with its state machine.
+/// Factor by which a log may exceed its size limit while a follower lags behind.
+const MAX_LOG_GROWTH_FACTOR: usize = 4;
+/// A hosted replica with its state machine.
 pub(super) struct HostedGroup {
     pub(super) replica: Replica,
     pub(super) state: PartitionState,
-    pub(super) waiting: BTreeMap<LogIndex, Waiting>,
+    pub(super) pending: BTreeMap<LogIndex, PendingCommand>,
     was_leader: bool,
 }
 
@@ -66,12 +66,12 @@
         host
     }
 
-    /// Starts a replica. The store has verified the snapshot, so that it can be read.
+    /// Starts a replica. Decoding cannot fail here because the store has verified the snapshot.
     fn open(&mut self, group: GroupId, persisted: PersistedReplica, now: Timestamp) {
         let state = PartitionState::decode(&persisted.snapshot.state).unwrap_or_default();
         let seed = self.random.random();
         let replica = Replica::new(group, self.id, self.settings, persisted, now, seed);
-        let hosted = HostedGroup { replica, state, waiting: BTreeMap::new(), was_leader: false };
+        let hosted = HostedGroup { replica, state, pending: BTreeMap::new(), was_leader: false };
         self.hosted.insert(group, hosted);
     }
 
@@ -83,7 +83,7 @@
         self.hosted.keys().copied().collect()
     }
 
-    /// Groups that this node leads and knows all of.
+    /// Returns the groups of which this node is the established leader.
     pub(super) fn led(&self) -> impl Iterator<Item = (GroupId, &HostedGroup)> {
         self.hosted
             .iter()
@@ -142,7 +142,7 @@
         self.settle_group(group);
     }
 
-    /// Gives a hosted replica its first membership, from the founding record.
+    /// Bootstraps a hosted replica with the initial membership from the founding record.
     pub(super) fn found_group(&mut self, group: GroupId, membership: GroupMembership) {
         if self.groups.get(group).is_none() {
             self.groups.open(group, PersistedReplica::default(), self.clock.now);
@@ -154,7 +154,7 @@
         self.settle_group(group);
     }
 
-    /// Carries out what a replica wants, applies what it committed, and answers those who wait.
+    /// Executes a replica's effects, applies its committed entries, and answers pending commands.
     pub(super) fn settle_group(&mut self, group: GroupId) {
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let effects = hosted.replica.take_effects();
@@ -165,9 +165,9 @@
                 ReplicaEffect::Restore(snapshot) => self.restore_group(group, &snapshot),
             }
         }
-        self.note_leadership(group);
+        self.update_leadership(group);
         self.apply_committed(group);
-        self.answer_waiting(group);
+        self.answer_pending_commands(group);
     }
 
     fn restore_group(&mut self, group: GroupId, snapshot: &Snapshot) {
@@ -179,7 +179,7 @@
         self.log(LogEvent::SnapshotInstalled, format!("group {group} up to entry {}", snapshot.index.0));
     }
 
-    fn note_leadership(&mut self, group: GroupId) {
+    fn update_leadership(&mut self, group: GroupId) {
         let own = self.settings.id;
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let entry = DirectoryEntry {
@@ -202,7 +202,7 @@
             self.log(LogEvent::LeaderElected, format!("group {group} in term {}", entry.term.0));
         } else {
             self.log(LogEvent::LeaderStoodDown, format!("group {group} at {own}"));
-            self.drop_waiting(group);
+            self.reject_pending_commands(group);
         }
         self.batch.is_dirty = true;
     }
@@ -210,7 +210,7 @@
     fn apply_committed(&mut self, group: GroupId) {
         let now = self.clock.now;
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
-        let mut notices = Vec::new();
+        let mut log_events = Vec::new();
         let mut applied_any = false;
         while let Some(entry) = hosted.replica.next_committed() {
             applied_any = true;
@@ -218,26 +218,26 @@
             let Some(command) = Command::decode(bytes) else { continue };
             let outcome = hosted.state.apply(&command);
             if hosted.replica.is_leader() {
-                notices.extend(Self::notice_of(&command, &outcome, &hosted.state));
+                log_events.extend(Self::log_event_for(&command, &outcome, &hosted.state));
             }
-            if let Some(waiting) = hosted.waiting.get_mut(&entry.index) {
-                if waiting.term == entry.term {
-                    waiting.applied = Some((now, outcome));
+            if let Some(pending) = hosted.pending.get_mut(&entry.index) {
+                if pending.term == entry.term {
+                    pending.applied = Some((now, outcome));
                 } else {
-                    hosted.waiting.remove(&entry.index);
+                    hosted.pending.remove(&entry.index);
                 }
             }
         }
         if applied_any {
             self.batch.is_dirty = true;
         }
-        for (event, job) in notices {
+        for (event, job) in log_events {
             self.log(event, job.to_string());
         }
     }
 
-    /// What an applied command means for the log.
-    fn notice_of(command: &Command, outcome: &CommandOutcome, state: &PartitionState) -> Option<(LogEvent, JobId)> {
+    /// Returns the log event that an applied command causes, if any.
+    fn log_event_for(command: &Command, outcome: &CommandOutcome, state: &PartitionState) -> Option<(LogEvent, JobId)> {
         match (command, outcome) {
             (Command::AcceptJob { job }, CommandOutcome::JobOpen { phase: JobPhase::Accepted, .. }) => {
                 Some((LogEvent::JobAccepted, *job))
@@ -256,21 +256,22 @@
         }
     }
 
-    /// Bounds the log. While a follower is behind, the log is kept a while longer, so that it can
-    /// catch up without a snapshot.
+    /// Compacts the log if it exceeds its size limit. Compaction is deferred while a follower lags
+    /// behind, so that the follower can catch up without a snapshot.
     fn compact_group(&mut self, group: GroupId) {
         let limit = self.settings.compact_bytes;
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let bytes = hosted.replica.log().bytes();
         let due = bytes > limit && hosted.replica.all_members_caught_up();
-        if due || bytes > limit * COMPACT_SLACK {
+        if due || bytes > limit * MAX_LOG_GROWTH_FACTOR {
             let state = hosted.state.encode();
             hosted.replica.compact(state);
             self.settle_group(group);
         }
     }
 
-    /// Hands over every group that this node leads. Returns whether it leads none any more.
+    /// Transfers the leadership of every group that this node leads. Returns whether no transfer is
+    /// pending.
     pub(super) fn hand_over_leadership(&mut self) -> bool {
         let now = self.clock.now;
         let own = self.settings.id;
--- a/crates/core/src/node/upload.rs
+++ b/crates/core/src/node/upload.rs
@@ -1,4 +1,5 @@
-//! Taking in a batch job: open it, add its items in chunks, accept it.
+//! Batch job upload: opens the job, adds its items in chunks, and accepts it. Also handles the other
+//! batch calls.
 
 use std::sync::Arc;
 
@@ -13,25 +14,25 @@
 use crate::node::partition::{Command, CommandOutcome, JobPhase, JobSpecification, NewItem, Query, QueryAnswer};
 use crate::time::{Millis, UnixMillis};
 
-/// Most bytes of bodies in one command.
-const CHUNK_BYTES: usize = 256 << 10;
-/// Most items in one command.
-const CHUNK_ITEMS: usize = 2_048;
-/// How long one step may take.
+/// Maximum total size of labels and prompts in one command. A larger single item is sent alone.
+const MAX_CHUNK_BYTES: usize = 256 << 10;
+/// Maximum number of items in one command.
+const MAX_CHUNK_ITEMS: usize = 2_048;
+/// Timeout of one command.
 const STEP_TIMEOUT: Millis = Millis(8_000);
-/// How long a read may take.
+/// Timeout of one query.
 pub(super) const READ_TIMEOUT: Millis = Millis(4_000);
-/// Most items in a job.
-const MOST_ITEMS: usize = 250_000;
+/// Maximum number of items in a job.
+const MAX_JOB_ITEMS: usize = 250_000;
 
-/// A job that is being taken in.
+/// A job that is being uploaded.
 pub(super) struct JobUpload {
     job: JobId,
     specification: JobSpecification,
     items: Vec<NewItem>,
-    /// Accept the job once its items are in.
+    /// Whether to accept the job once all items are uploaded.
     accept: bool,
-    /// The last step was the acceptance, so that a lost answer may hide an accepted job.
+    /// Whether the accept command was sent. If its answer is lost, the job may have been accepted.
     accepting: bool,
 }
 
@@ -78,8 +79,8 @@
                 return;
             }
         };
-        if items.is_empty() || items.len() > MOST_ITEMS {
-            let detail = format!("a job has from 1 to {MOST_ITEMS} items, not {}", items.len());
+        if items.is_empty() || items.len() > MAX_JOB_ITEMS {
+            let detail = format!("a job has from 1 to {MAX_JOB_ITEMS} items, not {}", items.len());
             self.refuse(caller, ErrorKind::MalformedRequest, detail);
             return;
         }
@@ -103,7 +104,7 @@
         self.command(group, command, Purpose::Upload(caller), STEP_TIMEOUT);
     }
 
-    /// Checks that the configuration names tenant, model and adapter; gives the service's token limit.
+    /// Checks that tenant, model and adapter are configured. Returns the service's token limit.
     pub(super) fn check_names(&self, tenant: &str, model: &str, adapter: Option<&Arc<str>>) -> Result<u32, Refusal> {
         let Some(fleet) = self.fleet() else {
             return Err(Refusal::new(ErrorKind::NotConfigured, "no configuration yet"));
@@ -111,16 +112,16 @@
         if !fleet.tenants.contains_key(tenant) {
             return Err(Refusal::new(ErrorKind::UnknownTenant, format!("there is no tenant \"{tenant}\"")));
         }
-        let Some(known) = fleet.models.get(model) else {
+        let Some(configured_model) = fleet.models.get(model) else {
             return Err(Refusal::new(ErrorKind::UnknownModel, format!("there is no model \"{model}\"")));
         };
         if let Some(adapter) = adapter
-            && !known.adapters.contains(adapter)
+            && !configured_model.adapters.contains(adapter)
         {
             let detail = format!("model \"{model}\" has no adapter \"{adapter}\"");
             return Err(Refusal::new(ErrorKind::UnknownAdapter, detail));
         }
-        let service = fleet.services.get(&known.service);
+        let service = fleet.services.get(&configured_model.service);
         Ok(service.map_or(0, |service| service.max_tokens))
     }
 
@@ -130,24 +131,24 @@
             let ran = if upload.accepting { Ran::Unknown } else { Ran::NotRun };
             let detail =
                 format!("{}: the job's group did not answer in time; submit again with the same key", upload.job);
-            self.end_upload(caller, Refusal::new(ErrorKind::StateUnavailable, detail).with_ran(ran));
+            self.fail_upload(caller, Refusal::new(ErrorKind::StateUnavailable, detail).with_ran(ran));
             return;
         };
         match outcome {
-            CommandOutcome::JobOpen { phase: JobPhase::Accepted, .. } => self.uploaded(caller),
+            CommandOutcome::JobOpen { phase: JobPhase::Accepted, .. } => self.finish_upload(caller),
             CommandOutcome::JobOpen { phase: JobPhase::Cancelled, .. } | CommandOutcome::JobCancelled => {
                 let detail = format!("{} was cancelled", upload.job);
-                self.end_upload(caller, Refusal::new(ErrorKind::JobCancelled, detail));
+                self.fail_upload(caller, Refusal::new(ErrorKind::JobCancelled, detail));
             }
             CommandOutcome::JobOpen { phase: JobPhase::Uploading, received }
             | CommandOutcome::ItemsMissing { received } => self.continue_upload(caller, received),
             CommandOutcome::JobConflict => {
                 let detail = format!("key \"{}\" was used for another job", upload.specification.key);
-                self.end_upload(caller, Refusal::new(ErrorKind::KeyConflict, detail));
+                self.fail_upload(caller, Refusal::new(ErrorKind::KeyConflict, detail));
             }
             _ => {
                 let detail = format!("{}: unexpected outcome", upload.job);
-                self.end_upload(caller, Refusal::new(ErrorKind::Internal, detail));
+                self.fail_upload(caller, Refusal::new(ErrorKind::Internal, detail));
             }
         }
     }
@@ -157,7 +158,7 @@
         let job = upload.job;
         if received >= upload.specification.item_count {
             if !upload.accept {
-                self.uploaded(caller);
+                self.finish_upload(caller);
                 return;
             }
             upload.accepting = true;
@@ -169,13 +170,13 @@
         self.command(job.group, command, Purpose::Upload(caller), STEP_TIMEOUT);
     }
 
-    fn uploaded(&mut self, caller: CallerId) {
+    fn finish_upload(&mut self, caller: CallerId) {
         let Some(upload) = self.uploads.remove(&caller) else { return };
         let job = upload.job;
         self.query(job.group, Query::JobStatus { job }, Purpose::JobStatus(caller, job), READ_TIMEOUT);
     }
 
-    fn end_upload(&mut self, caller: CallerId, refusal: Refusal) {
+    fn fail_upload(&mut self, caller: CallerId, refusal: Refusal) {
         self.uploads.remove(&caller);
         self.answer(caller, CallerAnswer::Refused(refusal));
     }
@@ -261,9 +262,9 @@
 fn take_chunk(items: &[NewItem]) -> Vec<NewItem> {
     let mut chunk = Vec::new();
     let mut bytes = 0;
-    for item in items.iter().take(CHUNK_ITEMS) {
+    for item in items.iter().take(MAX_CHUNK_ITEMS) {
         bytes += item.label.len() + item.prompt.len();
-        if !chunk.is_empty() && bytes > CHUNK_BYTES {
+        if !chunk.is_empty() && bytes > MAX_CHUNK_BYTES {
             break;
         }
         chunk.push(item.clone());
--- a/crates/core/tests/marks_and_sessions.rs
+++ b/crates/core/tests/marks_and_sessions.rs
@@ -1,5 +1,5 @@
-//! Marks and session records against maps: several holders race for each key, settlements overtake
-//! marks, and moves of a session arrive late and twice.
+//! Compares marks and session records with a reference model. Guards against two attempts being
+//! granted the same key, and against session moves that are applied late or twice.
 
 mod support;
 
@@ -26,10 +26,10 @@
     Reload,
 }
 
-/// Who holds the right to send, and where sessions live.
+/// Reference model of marks and session records.
 #[derive(Clone, Debug, Default)]
 struct Model {
-    /// By key: digest, holder, settlement.
+    /// Digest, holder and settlement by key.
     marks: BTreeMap<u64, (u64, u128, Option<Settlement>)>,
     sessions: BTreeMap<u64, (u64, u8)>,
     granted: bool,
@@ -65,9 +65,9 @@
                     state.marks.insert(*key, (*digest, *holder, None));
                     state.granted = true;
                 }
-                Some((held, _, _)) if held != *digest => {}
-                Some((_, by, None)) => state.granted = by == *holder,
-                Some((_, by, Some(Settlement::NotRun))) if by != *holder => {
+                Some((recorded, _, _)) if recorded != *digest => {}
+                Some((_, owner, None)) => state.granted = owner == *holder,
+                Some((_, owner, Some(Settlement::NotRun))) if owner != *holder => {
                     state.marks.insert(*key, (*digest, *holder, None));
                     state.granted = true;
                 }
@@ -103,7 +103,7 @@
     EngineName::new(&format!("engine-{number}"))
 }
 
-/// The state, and who was ever told that it may send.
+/// The state under test, with the holders that were granted a mark and those that settled as not run.
 struct Marks {
     state: PartitionState,
     senders: BTreeMap<u64, BTreeSet<u128>>,
@@ -144,13 +144,17 @@
                     marks.not_run.entry(key).or_default().insert(holder);
                 }
             }
-            Step::Place { session, generation, engine: place } => {
-                let record =
-                    SessionRecord { model: Arc::from("model"), engine: engine(place), generation, placed_at: at };
+            Step::Place { session, generation, engine: engine_index } => {
+                let record = SessionRecord {
+                    model: Arc::from("model"),
+                    engine: engine(engine_index),
+                    generation,
+                    placed_at: at,
+                };
                 marks.state.apply(&Command::PlaceSession { session: session_key(session), record });
             }
             Step::Reload => {
-                marks.state = PartitionState::decode(&marks.state.encode()).expect("the state is read back");
+                marks.state = PartitionState::decode(&marks.state.encode()).expect("encoded state can be decoded");
             }
         }
         marks
@@ -158,13 +162,13 @@
 
     fn check_invariants(marks: &Marks, model: &Model) {
         for (key, senders) in &marks.senders {
-            let said_not_run = marks.not_run.get(key).cloned().unwrap_or_default();
-            // Of all who were told to send, at most one has not said that it did not.
-            assert!(senders.difference(&said_not_run).count() <= 1, "two holders may both have sent key {key}");
+            let settled_not_run = marks.not_run.get(key).cloned().unwrap_or_default();
+            // At most one granted holder has not reported that it did not run the request.
+            assert!(senders.difference(&settled_not_run).count() <= 1, "two holders may have sent request {key}");
         }
-        for (session, (generation, place)) in &model.sessions {
-            let record = marks.state.session(&session_key(*session)).expect("a placed session is kept");
-            assert_eq!((record.generation, &record.engine), (*generation, &engine(*place)));
+        for (session, (generation, engine_index)) in &model.sessions {
+            let record = marks.state.session(&session_key(*session)).expect("placed session must be stored");
+            assert_eq!((record.generation, &record.engine), (*generation, &engine(*engine_index)));
         }
     }
 }
@@ -173,5 +177,5 @@
     #![proptest_config(support::fuzz_config())]
 
     #[test]
-    fn marks_and_sessions_agree_with_maps(sequential 1..150 => MarksTest);
+    fn marks_and_sessions_match_the_reference_model(sequential 1..150 => MarksTest);
 }
