--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,26 +1,30 @@
 #!/usr/bin/env bash
-# Runs gateways and storing nodes as processes under faults drawn by seed, and checks at their callers and workers:
-# scripts/soak.sh [--seed S] [--seconds N] [--gateways N] [--storage N] [--workers N] [--keep FOLDER]. Without a seed a fresh
-# one is drawn; without seconds it runs for a minute. scripts/soak.sh --kept runs the seeds that ever failed
-# (scripts/soak-seeds.txt). SOAK_BUILD=debug runs what `cargo test` has built, and builds nothing.
+# Runs gateways and storage nodes as processes, injects faults chosen by a seeded generator, and checks the results seen
+# by callers and workers.
+#
+# Usage: scripts/soak.sh [--seed S] [--seconds N] [--gateways N] [--storage N] [--workers N] [--keep FOLDER]
+#        scripts/soak.sh --kept
+#
+# The seed defaults to a random one, the duration to one minute. --kept reruns the seeds that failed in the past
+# (scripts/soak-seeds.txt). SOAK_BUILD=debug uses the binaries built by `cargo test` instead of building release ones.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-build="${SOAK_BUILD:-release}"
-if [ "$build" = release ]; then
+profile="${SOAK_BUILD:-release}"
+if [ "$profile" = release ]; then
     cargo build --quiet --release -p stallmoor
     cargo build --quiet --release -p stallmoor-adapter --example soak
 fi
-binaries="${CARGO_TARGET_DIR:-target}/$build"
-soak() { "$binaries/examples/soak" --binary "$binaries/stallmoor" "$@"; }
+bin_dir="${CARGO_TARGET_DIR:-target}/$profile"
+run_soak() { "$bin_dir/examples/soak" --binary "$bin_dir/stallmoor" "$@"; }
 if [ "${1:-}" = "--kept" ]; then
     status=0
     while read -r seed seconds _; do
         case "$seed" in '' | '#'*) continue ;; esac
-        soak --seed "$seed" --seconds "$seconds" || status=1
+        run_soak --seed "$seed" --seconds "$seconds" || status=1
     done <scripts/soak-seeds.txt
     exit "$status"
 fi
 case " $* " in
-    *" --seed "*) soak "$@" ;;
-    *) soak --seed "$RANDOM$RANDOM" "$@" ;;
+    *" --seed "*) run_soak "$@" ;;
+    *) run_soak --seed "$RANDOM$RANDOM" "$@" ;;
 esac
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Formatting, lints, all tests and a short soak of real processes, with the same verdict on every run. Tests that
-# KNOWN-RED.txt lists may fail; they are printed.
+# Checks formatting and lints, runs all tests, and runs a short soak test of real processes with a fixed seed. Tests
+# listed in KNOWN-RED.txt may fail; they are printed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-# The soak in CI is short, and its seed is always the same; scripts/soak.sh runs longer ones.
+# Short soak with a fixed seed, for reproducible CI runs. For other seeds and durations use scripts/soak.sh.
 SOAK_SEED=29
 SOAK_SECONDS=45
 cargo fmt --all --check
