--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,7 +1,7 @@
-//! The engine: the emulator in real time behind HTTP, with its faults, its lagging load report, its
-//! late and gappy cache events, and fenced orders.
+//! Engine stand-in: runs the emulator in real time behind HTTP, with injected faults, delayed load reports,
+//! incomplete cache events and epoch-fenced orders.
 //!
-//! Owns the calls and what each is answered. Relies on `state` for what the engine does.
+//! This module handles the HTTP requests; `state` holds the engine state.
 
 mod state;
 
@@ -17,44 +17,44 @@
 
 pub use self::state::RunRecord;
 use self::state::{GenerateCall, OrderCall, State};
-use crate::http::{Answer, Call, json, whole};
+use crate::http::{Answer, Call, full, json};
 
-/// Faults, all off at first. Shares are from 0 to 1.
+/// Injected faults, all off by default. Fractions range from 0 to 1.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Share of answers that break off after some pieces.
+    /// Fraction of responses whose connection is closed after a few chunks.
     pub truncated: f64,
-    /// Share of pieces that are sent twice.
+    /// Fraction of chunks that are sent twice.
     pub doubled: f64,
-    /// Share of pieces that carry another attempt's name.
+    /// Fraction of chunks that are preceded by a copy labeled with the name of another attempt.
     pub crossed: f64,
-    /// Wait this long before each piece.
+    /// Delay added before each iteration.
     pub late_ms: u64,
-    /// Answer nothing at all.
+    /// Leaves every request without a response, except for `/fault` and `/runs`.
     pub frozen: bool,
-    /// Takes no new work.
+    /// Rejects new work.
     pub leaving: bool,
-    /// Share of cache events that are lost.
+    /// Fraction of cache events that are lost.
     pub cache_gaps: f64,
 }
 
-/// How the stand-in is set up.
+/// Options of the engine stand-in.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// How it computes.
+    /// Settings of the emulated engine.
     pub settings: EngineSettings,
-    /// Load reports are this old.
+    /// Age of load reports.
     pub report_lag: Duration,
-    /// Names this start of the engine.
+    /// Incarnation number sent in load reports.
     pub incarnation: u64,
-    /// Decides which pieces the faults hit.
+    /// Seed of the random generator that injects faults.
     pub seed: u64,
-    /// Where each run is written down as a line of JSON, so that the count outlives the engine.
+    /// File to which each run is appended as a JSON line, so that the record survives a restart.
     pub runs_file: Option<PathBuf>,
 }
 
-/// The engine.
+/// HTTP handler and real-time loop of an emulated engine.
 #[derive(Clone)]
 pub struct StandinEngine {
     state: Arc<Mutex<State>>,
@@ -62,18 +62,18 @@
 }
 
 impl StandinEngine {
-    /// An idle engine. [`run`](Self::run) makes it compute.
+    /// Creates an idle engine. It processes requests once [`run`](Self::run) is polled.
     pub fn new(options: EngineOptions) -> Self {
         Self { state: Arc::new(Mutex::new(State::new(options))), work: Arc::default() }
     }
 
-    /// Computes until the process ends.
+    /// Advances the emulator in real time, until the process exits.
     pub async fn run(self) {
         loop {
             let (next, late_ms) = {
                 let mut state = self.lock();
                 state.advance();
-                (state.wait(), state.faults.late_ms)
+                (state.time_to_next_event(), state.faults.late_ms)
             };
             let woken = self.work.notified();
             match next {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Serves one call.
+    /// Handles one request.
     pub async fn handle(self, call: Call) -> Answer {
         let path: Vec<&str> = call.path.iter().map(String::as_str).collect();
         let frozen = self.lock().faults.frozen;
@@ -94,7 +94,7 @@
             (&Method::POST, ["v1", "generate"]) => self.generate(&call),
             (&Method::GET, ["v1", "load"]) => self.load(&call),
             (&Method::POST, ["v1", "order"]) => self.order(&call),
-            _ => whole(StatusCode::NOT_FOUND, ""),
+            _ => full(StatusCode::NOT_FOUND, ""),
         }
     }
 
@@ -108,9 +108,9 @@
                 let mut state = self.lock();
                 state.emulator.set_leaving(faults.leaving);
                 state.faults = faults;
-                whole(StatusCode::OK, "")
+                full(StatusCode::OK, "")
             }
-            Err(error) => whole(StatusCode::BAD_REQUEST, error.to_string()),
+            Err(error) => full(StatusCode::BAD_REQUEST, error.to_string()),
         }
     }
 
@@ -123,17 +123,16 @@
         answer
     }
 
-    /// Reports the load as it was a while ago, and the cache events since the one asked for.
+    /// Returns the delayed load report and the cache events from `cache_from` on.
     fn load(&self, call: &Call) -> Answer {
         let cache_from = call.parameter("cache_from").and_then(|from| from.parse().ok());
         json(StatusCode::OK, &self.lock().report(cache_from))
     }
 
-    /// Carries out an order unless a later epoch was seen.
     fn order(&self, call: &Call) -> Answer {
         let Ok(order) = serde_json::from_slice::<OrderCall>(&call.body) else {
-            return whole(StatusCode::BAD_REQUEST, "epoch is needed");
+            return full(StatusCode::BAD_REQUEST, "epoch is needed");
         };
-        self.lock().obey(order)
+        self.lock().execute_order(order)
     }
 }
--- a/crates/standins/src/engine/state.rs
+++ b/crates/standins/src/engine/state.rs
@@ -1,6 +1,6 @@
-//! What the engine has in hand: the emulator, the streams it answers on, its reports and its cache events.
+//! State of the engine stand-in: the emulator, open response streams, load reports and cache events.
 //!
-//! Owns how faults change what is sent. Relies on the emulator for what is computed, and when.
+//! Faults are injected here, into the output of the emulator.
 
 use std::collections::{HashMap, VecDeque};
 use std::fs::{File, OpenOptions};
@@ -20,10 +20,10 @@
 use super::{EngineFaults, EngineOptions};
 use crate::http::{Answer, json};
 
-/// Cache events kept for pollers.
-const CACHE_HISTORY: usize = 4_096;
+/// Number of recent cache events retained for polling clients.
+const MAX_CACHE_EVENTS: usize = 4_096;
 
-/// One run, for the checkers' own count.
+/// Record of an accepted request, from which checkers count executions.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunRecord {
     attempt: String,
@@ -60,8 +60,8 @@
 
 struct Stream {
     name: String,
-    pieces: mpsc::UnboundedSender<Option<Bytes>>,
-    /// The connection breaks once this many pieces were sent.
+    chunks: mpsc::UnboundedSender<Option<Bytes>>,
+    /// Number of chunks after which the connection is closed.
     break_after: Option<u32>,
     sent: u32,
 }
@@ -107,8 +107,8 @@
         self.started.elapsed().as_micros() as u64
     }
 
-    /// How long until the iteration under way ends.
-    pub(super) fn wait(&self) -> Option<Duration> {
+    /// Returns the time until the current iteration ends, or `None` if the engine is idle.
+    pub(super) fn time_to_next_event(&self) -> Option<Duration> {
         let next = self.emulator.next_event_us()?;
         Some(Duration::from_micros(next.saturating_sub(self.now_us())))
     }
@@ -138,18 +138,19 @@
             Err(EngineRefusal::Full) => json(StatusCode::SERVICE_UNAVAILABLE, &json!({"refused": "full"})),
             Ok(()) => {
                 self.record_run(record);
-                let (pieces, receiver) = mpsc::unbounded_channel();
-                let is_hit = self.faults.truncated > 0.0 && self.random.random_bool(self.faults.truncated.min(1.0));
-                let break_after = is_hit.then(|| self.random.random_range(0..6));
-                let stream = Stream { name: request.attempt, pieces, break_after, sent: 0 };
+                let (chunks, receiver) = mpsc::unbounded_channel();
+                let is_truncated =
+                    self.faults.truncated > 0.0 && self.random.random_bool(self.faults.truncated.min(1.0));
+                let break_after = is_truncated.then(|| self.random.random_range(0..6));
+                let stream = Stream { name: request.attempt, chunks, break_after, sent: 0 };
                 self.streams.insert(stream_id, stream);
                 crate::http::stream(receiver)
             }
         }
     }
 
-    /// Carries out an order unless a later epoch was seen.
-    pub(super) fn obey(&mut self, order: OrderCall) -> Answer {
+    /// Executes an order unless an order with a later epoch was received.
+    pub(super) fn execute_order(&mut self, order: OrderCall) -> Answer {
         if order.epoch < self.fence {
             return json(StatusCode::PRECONDITION_FAILED, &json!({"epoch": self.fence}));
         }
@@ -169,7 +170,7 @@
         if let Some(file) = &mut self.runs_file
             && let Err(error) = writeln!(file, "{}", json!(record))
         {
-            eprintln!("a run could not be written down: {error}");
+            eprintln!("failed to write to the runs file: {error}");
         }
         self.runs.push(record);
     }
@@ -177,7 +178,7 @@
     pub(super) fn advance(&mut self) {
         let now = self.now_us();
         let gone: Vec<u128> =
-            self.streams.iter().filter(|(_, stream)| stream.pieces.is_closed()).map(|(id, _)| *id).collect();
+            self.streams.iter().filter(|(_, stream)| stream.chunks.is_closed()).map(|(id, _)| *id).collect();
         for id in gone {
             self.streams.remove(&id);
             self.emulator.cancel(id);
@@ -185,7 +186,7 @@
         for output in self.emulator.advance(now) {
             self.deliver(output);
         }
-        self.gather_cache_events();
+        self.collect_cache_events();
     }
 
     fn deliver(&mut self, output: EngineOutput) {
@@ -194,8 +195,8 @@
             EngineOutput::End { attempt, .. } => (*attempt, true),
         };
         let other = self.streams.iter().find(|(other, _)| **other != id).map(|(_, stream)| stream.name.clone());
-        let is_crossed = !is_end && self.hits(self.faults.crossed);
-        let is_doubled = !is_end && self.hits(self.faults.doubled);
+        let is_crossed = !is_end && self.draw_fault(self.faults.crossed);
+        let is_doubled = !is_end && self.draw_fault(self.faults.doubled);
         let Some(stream) = self.streams.get_mut(&id) else { return };
         let event = match output {
             EngineOutput::Token { place, text, .. } => {
@@ -204,8 +205,8 @@
             EngineOutput::End { length, .. } => json!({"attempt": stream.name, "length": length}),
         };
         if stream.break_after == Some(stream.sent) {
-            // The piece that breaks the connection.
-            let _ = stream.pieces.send(None);
+            // `None` closes the connection.
+            let _ = stream.chunks.send(None);
             self.streams.remove(&id);
             self.emulator.cancel(id);
             return;
@@ -213,7 +214,6 @@
         stream.sent += 1;
         let mut events = Vec::new();
         if let Some(other) = other.filter(|_| is_crossed) {
-            // The piece of somebody else comes along as well.
             let mut crossed = event.clone();
             crossed["attempt"] = json!(other);
             events.push(crossed);
@@ -223,19 +223,19 @@
         }
         events.push(event);
         for event in events {
-            // A caller that went away is noticed at the next step.
-            let _ = stream.pieces.send(Some(Bytes::from(format!("data: {event}\n\n"))));
+            // A closed receiver is detected by the next `advance`.
+            let _ = stream.chunks.send(Some(Bytes::from(format!("data: {event}\n\n"))));
         }
         if is_end {
             self.streams.remove(&id);
         }
     }
 
-    fn hits(&mut self, share: f64) -> bool {
+    fn draw_fault(&mut self, share: f64) -> bool {
         share > 0.0 && self.random.random_bool(share.min(1.0))
     }
 
-    /// The load as it was a while ago, and the cache events since the one asked for.
+    /// Returns the delayed load report and the cache events from `cache_from` on.
     pub(super) fn report(&mut self, cache_from: Option<u64>) -> Value {
         let lag = self.options.report_lag;
         let current = self.current_load();
@@ -262,22 +262,22 @@
         })
     }
 
-    fn gather_cache_events(&mut self) {
+    fn collect_cache_events(&mut self) {
         for change in self.emulator.cache.take_changes() {
             let number = self.next_cache_event;
             self.next_cache_event += 1;
-            if !self.hits(self.faults.cache_gaps) {
+            if !self.draw_fault(self.faults.cache_gaps) {
                 self.cache_events.push_back((number, change));
             }
         }
-        while self.cache_events.len() > CACHE_HISTORY {
+        while self.cache_events.len() > MAX_CACHE_EVENTS {
             self.cache_events.pop_front();
         }
     }
 
-    /// Events from a number on, up to the first gap; or the whole state where that isn't possible.
+    /// Returns the events from number `from` on, up to the first gap, or a snapshot if `from` is absent.
     fn cache_since(&self, from: Option<u64>) -> Value {
-        let Some(from) = from else { return self.whole_cache() };
+        let Some(from) = from else { return self.cache_snapshot() };
         let mut events = Vec::new();
         let mut first = None;
         for (number, change) in self.cache_events.iter().filter(|(number, _)| *number >= from) {
@@ -293,7 +293,7 @@
         json!({"first": first.unwrap_or(from), "snapshot": false, "events": events})
     }
 
-    fn whole_cache(&self) -> Value {
+    fn cache_snapshot(&self) -> Value {
         let events: Vec<Value> = self.emulator.cache.blocks().map(|block| json!({"stored": block})).collect();
         let first = self.next_cache_event.saturating_sub(events.len() as u64);
         json!({"first": first, "snapshot": true, "events": events})
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server around a handler.
+//! Minimal HTTP/1 server that calls a handler for each request.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -16,20 +16,20 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// A request, read whole.
+/// A request with its complete body.
 pub struct Call {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// The path, split at its slashes.
+    /// Path segments.
     pub path: Vec<String>,
-    /// The query.
+    /// Query string, empty if absent.
     pub query: String,
-    /// The body.
+    /// Request body, empty if it could not be read.
     pub body: Bytes,
 }
 
 impl Call {
-    /// A query parameter.
+    /// Returns the value of a query parameter, without percent-decoding.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         self.query
             .split('&')
@@ -39,64 +39,63 @@
     }
 }
 
-/// The body of an answer: pieces from a channel, of which a whole answer is one. A piece of `None`
-/// breaks the connection.
-pub struct PieceBody {
-    pieces: mpsc::UnboundedReceiver<Option<Bytes>>,
+/// Response body whose chunks are received from a channel. A chunk of `None` closes the connection.
+pub struct ChannelBody {
+    chunks: mpsc::UnboundedReceiver<Option<Bytes>>,
 }
 
-/// A connection that is broken on purpose.
+/// Error that closes a connection as an injected fault.
 #[derive(Debug)]
-pub struct BrokenOnPurpose;
+pub struct InjectedDisconnect;
 
-impl std::fmt::Display for BrokenOnPurpose {
+impl std::fmt::Display for InjectedDisconnect {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("broken on purpose")
+        formatter.write_str("connection closed by an injected fault")
     }
 }
 
-impl std::error::Error for BrokenOnPurpose {}
+impl std::error::Error for InjectedDisconnect {}
 
-impl Body for PieceBody {
+impl Body for ChannelBody {
     type Data = Bytes;
-    type Error = BrokenOnPurpose;
+    type Error = InjectedDisconnect;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOnPurpose>>> {
-        self.pieces.poll_recv(context).map(|piece| match piece {
+    ) -> Poll<Option<Result<Frame<Bytes>, InjectedDisconnect>>> {
+        self.chunks.poll_recv(context).map(|chunk| match chunk {
             Some(Some(bytes)) => Some(Ok(Frame::data(bytes))),
-            Some(None) => Some(Err(BrokenOnPurpose)),
+            Some(None) => Some(Err(InjectedDisconnect)),
             None => None,
         })
     }
 }
 
-/// An answer.
-pub type Answer = Response<PieceBody>;
+/// Response of a stand-in.
+pub type Answer = Response<ChannelBody>;
 
-/// An answer in one piece.
-pub fn whole(status: StatusCode, body: impl Into<Bytes>) -> Answer {
-    let (sender, pieces) = mpsc::unbounded_channel();
-    // The receiver is right here.
+/// Creates a response with a complete body.
+pub fn full(status: StatusCode, body: impl Into<Bytes>) -> Answer {
+    let (sender, chunks) = mpsc::unbounded_channel();
+    // Can't fail: the receiver is still in scope.
     let _ = sender.send(Some(body.into()));
-    let mut response = Response::new(PieceBody { pieces });
+    let mut response = Response::new(ChannelBody { chunks });
     *response.status_mut() = status;
     response
 }
 
-/// A JSON answer.
+/// Creates a response with a JSON body.
 pub fn json(status: StatusCode, value: &serde_json::Value) -> Answer {
-    whole(status, value.to_string())
+    full(status, value.to_string())
 }
 
-/// An answer whose pieces follow.
-pub fn stream(pieces: mpsc::UnboundedReceiver<Option<Bytes>>) -> Answer {
-    Response::new(PieceBody { pieces })
+/// Creates a streaming response whose chunks are received from `chunks`.
+pub fn stream(chunks: mpsc::UnboundedReceiver<Option<Bytes>>) -> Answer {
+    Response::new(ChannelBody { chunks })
 }
 
-/// Serves calls until the process ends.
+/// Accepts connections and serves requests until the process exits.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(Call) -> F + Send + Sync + 'static,
@@ -105,7 +104,7 @@
     let handler = Arc::new(handler);
     loop {
         let Ok((connection, _)) = listener.accept().await else { continue };
-        // Small pieces must not wait for one another.
+        // Small chunks must not be delayed by Nagle's algorithm.
         let _ = connection.set_nodelay(true);
         let handler = handler.clone();
         tokio::spawn(async move {
@@ -113,7 +112,7 @@
                 let handler = handler.clone();
                 async move { Ok::<_, Infallible>(handler(read(request).await).await) }
             });
-            // A broken connection is the other side's affair.
+            // Connection errors, including injected ones, are ignored.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(connection), service).await;
         });
     }
--- a/crates/standins/src/key_value.rs
+++ b/crates/standins/src/key_value.rs
@@ -1,5 +1,5 @@
-//! The key-value service: versions and compare-and-swap; with a rate limit, outages, slowness, answers
-//! lost after the effect, and stale reads.
+//! Key-value service stand-in with versioned values and compare-and-swap. Faults: rate limit, outage, latency,
+//! lost responses after a write took effect, and stale reads.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,24 +11,24 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::http::{Answer, Call, json, whole};
+use crate::http::{Answer, Call, full, json};
 
-/// Earlier values kept for stale reads.
-const HISTORY: usize = 4;
+/// Number of previous values retained per key for stale reads.
+const MAX_PREVIOUS_VALUES: usize = 4;
 
-/// Faults, all off at first.
+/// Injected faults, all off by default. Fractions range from 0 to 1.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct KeyValueFaults {
-    /// Answer nothing but 503.
+    /// Responds to every request with status 503.
     pub outage: bool,
-    /// Wait this long before each answer.
+    /// Delay added before each response.
     pub slow_ms: u64,
-    /// Share of writes that take effect and are answered 503.
+    /// Fraction of writes that take effect but get a response with status 503.
     pub lost_answers: f64,
-    /// Share of reads that give an earlier value.
+    /// Fraction of reads that return a previous value.
     pub stale_reads: f64,
-    /// Most calls a second; 0 for no limit.
+    /// Rate limit in requests per second; 0 disables it.
     pub calls_per_second: u32,
 }
 
@@ -46,14 +46,14 @@
     random: Xoshiro256PlusPlus,
 }
 
-/// The service.
+/// In-memory key-value service.
 #[derive(Clone)]
 pub struct KeyValue {
     state: Arc<Mutex<State>>,
 }
 
 impl KeyValue {
-    /// An empty service.
+    /// Creates an empty service. `seed` determines which requests are affected by faults.
     pub fn new(faults: KeyValueFaults, seed: u64) -> Self {
         let state = State {
             values: BTreeMap::new(),
@@ -65,19 +65,19 @@
         Self { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Serves one call.
+    /// Handles one request.
     pub async fn handle(self, call: Call) -> Answer {
         let path: Vec<&str> = call.path.iter().map(String::as_str).collect();
         if let (&Method::POST, ["fault"]) = (&call.method, path.as_slice()) {
             return self.set_faults(&call);
         }
-        if let Some(refusal) = self.refuse().await {
-            return refusal;
+        if let Some(rejected) = self.rejection().await {
+            return rejected;
         }
         match (&call.method, path.as_slice()) {
             (&Method::GET, ["v1", "keys", key @ ..]) => self.get(&key.join("/")),
             (&Method::PUT, ["v1", "keys", key @ ..]) => self.put(&key.join("/"), &call),
-            _ => whole(StatusCode::NOT_FOUND, ""),
+            _ => full(StatusCode::NOT_FOUND, ""),
         }
     }
 
@@ -89,13 +89,13 @@
         match serde_json::from_slice::<KeyValueFaults>(&call.body) {
             Ok(faults) => {
                 self.lock().faults = faults;
-                whole(StatusCode::OK, "")
+                full(StatusCode::OK, "")
             }
-            Err(error) => whole(StatusCode::BAD_REQUEST, error.to_string()),
+            Err(error) => full(StatusCode::BAD_REQUEST, error.to_string()),
         }
     }
 
-    async fn refuse(&self) -> Option<Answer> {
+    async fn rejection(&self) -> Option<Answer> {
         let (outage, slow_ms, limited) = {
             let mut state = self.lock();
             let limited = !state.take_token();
@@ -105,15 +105,15 @@
             tokio::time::sleep(Duration::from_millis(slow_ms)).await;
         }
         if outage {
-            return Some(whole(StatusCode::SERVICE_UNAVAILABLE, ""));
+            return Some(full(StatusCode::SERVICE_UNAVAILABLE, ""));
         }
-        limited.then(|| whole(StatusCode::TOO_MANY_REQUESTS, ""))
+        limited.then(|| full(StatusCode::TOO_MANY_REQUESTS, ""))
     }
 
     fn get(&self, key: &str) -> Answer {
         match self.read(key) {
             Some((version, value)) => json(StatusCode::OK, &json!({"version": version, "value": value})),
-            None => whole(StatusCode::NOT_FOUND, ""),
+            None => full(StatusCode::NOT_FOUND, ""),
         }
     }
 
@@ -141,12 +141,12 @@
         if let Some(previous) = state.values.remove(key) {
             earlier = previous.earlier;
             earlier.push_back((previous.version, previous.value));
-            earlier.truncate(HISTORY);
+            earlier.truncate(MAX_PREVIOUS_VALUES);
         }
         state.values.insert(key.to_owned(), Stored { version, value, earlier });
         let share = state.faults.lost_answers;
         if share > 0.0 && state.random.random_bool(share.min(1.0)) {
-            return whole(StatusCode::SERVICE_UNAVAILABLE, "");
+            return full(StatusCode::SERVICE_UNAVAILABLE, "");
         }
         json(StatusCode::OK, &json!({"version": version}))
     }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,8 +1,7 @@
-//! Stand-ins for what the platform gives, for tests and trials: an engine, the key-value service and
-//! the machine list.
+//! Stand-ins for the services of the platform, for tests: an engine, the key-value service and the machine list.
 //!
-//! Each speaks the published protocol over HTTP and has faults that are switched on while it runs, by
-//! `POST /fault` with a JSON object of the fields to change.
+//! Each implements the published protocol over HTTP. The engine and the key-value service inject faults, which
+//! are set at run time by `POST /fault` with a JSON object; absent fields are reset to their defaults.
 
 pub mod engine;
 pub mod http;
--- a/crates/standins/src/machines.rs
+++ b/crates/standins/src/machines.rs
@@ -1,4 +1,4 @@
-//! The machine list: machines report themselves, and readers see the list as it was a while ago.
+//! Machine list stand-in: machines report their state, and readers get the list with a fixed delay.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,32 +8,32 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::http::{Answer, Call, json, whole};
+use crate::http::{Answer, Call, full, json};
 
-/// How a machine is.
+/// State reported by a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
-    /// It takes work.
+    /// Accepts work.
     Live,
-    /// It is leaving.
+    /// Is about to leave the fleet.
     Leaving,
-    /// It is gone, and listed no longer.
+    /// Has left the fleet and is no longer listed.
     Gone,
 }
 
-/// A machine as it reports itself.
+/// Report of a machine about itself.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Machine {
-    /// Its name.
+    /// Name of the machine, unique in the fleet.
     pub name: String,
-    /// Raised with each start.
+    /// Incremented on each start of the machine.
     pub incarnation: u64,
-    /// How it is.
+    /// State at the time of the report.
     pub state: MachineState,
 }
 
-/// The list.
+/// Machine list with delayed reads.
 #[derive(Clone)]
 pub struct MachineDirectory {
     lag: Duration,
@@ -41,12 +41,12 @@
 }
 
 impl MachineDirectory {
-    /// An empty list whose readers see it as it was `lag` ago.
+    /// Creates an empty list whose reads return its state of `lag` ago.
     pub fn new(lag: Duration) -> Self {
         Self { lag, reports: Arc::default() }
     }
 
-    /// Serves one call.
+    /// Handles one request.
     pub async fn handle(self, call: Call) -> Answer {
         let path: Vec<&str> = call.path.iter().map(String::as_str).collect();
         match (&call.method, path.as_slice()) {
@@ -54,11 +54,11 @@
             (&Method::POST, ["v1", "machines"]) => match serde_json::from_slice::<Machine>(&call.body) {
                 Ok(machine) => {
                     self.lock().push((Instant::now(), machine));
-                    whole(StatusCode::OK, "")
+                    full(StatusCode::OK, "")
                 }
-                Err(error) => whole(StatusCode::BAD_REQUEST, error.to_string()),
+                Err(error) => full(StatusCode::BAD_REQUEST, error.to_string()),
             },
-            _ => whole(StatusCode::NOT_FOUND, ""),
+            _ => full(StatusCode::NOT_FOUND, ""),
         }
     }
 
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -1,4 +1,4 @@
-//! `stallmoor-standins`: each stand-in as a program of its own.
+//! The `stallmoor-standins` binary: runs one of the stand-ins as a separate process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,38 +17,38 @@
     let listen = Arg::new("listen")
         .long("listen")
         .value_name("ADDRESS")
-        .help("IP address and port to listen on; port 0 takes a free one, printed on standard output")
+        .help("IP address and port to listen on; port 0 selects a free port, which is printed to standard output")
         .value_parser(value_parser!(SocketAddr))
         .default_value("127.0.0.1:0");
     let number = |name: &'static str, help: &'static str, default: &'static str| {
         Arg::new(name).long(name).value_name("N").help(help).value_parser(value_parser!(u64)).default_value(default)
     };
     Command::new("stallmoor-standins")
-        .about("Stand-ins for the platform, for tests and trials. Faults are switched by POST /fault")
+        .about("Stand-ins for platform services, for tests. Faults are set by POST /fault")
         .subcommand_required(true)
         .subcommand(
             Command::new("engine")
                 .about("An engine emulator")
                 .arg(listen.clone())
-                .arg(number("slots", "Sequences decoded at once", "16"))
-                .arg(number("iteration-us", "The shortest iteration, in microseconds", "8000"))
+                .arg(number("slots", "Maximum number of sequences decoded concurrently", "16"))
+                .arg(number("iteration-us", "Minimum duration of an iteration, in microseconds", "8000"))
                 .arg(number("report-lag-ms", "Age of load reports, in milliseconds", "200"))
-                .arg(number("incarnation", "Names this start of the engine", "1"))
-                .arg(number("seed", "Decides which pieces faults hit", "1"))
+                .arg(number("incarnation", "Incarnation number sent in load reports", "1"))
+                .arg(number("seed", "Seed of the fault injection", "1"))
                 .arg(
                     Arg::new("runs-file")
                         .long("runs-file")
                         .value_name("PATH")
                         .value_parser(value_parser!(PathBuf))
-                        .help("Write each run down here, one JSON object a line"),
+                        .help("Append each run to this file, one JSON object per line"),
                 ),
         )
         .subcommand(
             Command::new("kv")
                 .about("The key-value service")
                 .arg(listen.clone())
-                .arg(number("calls-per-second", "Rate limit; 0 for none", "0"))
-                .arg(number("seed", "Decides which calls faults hit", "1")),
+                .arg(number("calls-per-second", "Rate limit in requests per second; 0 disables it", "0"))
+                .arg(number("seed", "Seed of the fault injection", "1")),
         )
         .subcommand(Command::new("machines").about("The machine list").arg(listen).arg(number(
             "lag-ms",
@@ -69,13 +69,13 @@
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
         Err(error) => {
-            eprintln!("can't listen on {address}: {error}");
+            eprintln!("failed to listen on {address}: {error}");
             return ExitCode::FAILURE;
         }
     };
     match listener.local_addr() {
         Ok(bound) => println!("listening on {bound}"),
-        Err(error) => eprintln!("the address is not known: {error}"),
+        Err(error) => eprintln!("failed to read the local address: {error}"),
     }
     run(name, arguments, listener).await;
     ExitCode::SUCCESS
