--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line definition and argument accessors.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,11 +6,11 @@
 use clap::builder::PossibleValuesParser;
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-/// The exit codes, for the help.
+/// Exit codes listed in the help text.
 const EXIT_CODES: &str = "Exit codes: 0 done; 1 refused, failed, or files differ; 2 wrong usage; \
     3 files have errors; 4 another revision was accepted meanwhile; 5 no node answered";
 
-/// The whole command line.
+/// Builds the `stallmoor` command with all subcommands.
 pub fn command() -> Command {
     Command::new("stallmoor")
         .about("Serves online and batch inference on one fleet")
@@ -217,18 +217,18 @@
     Arg::new(name).long(name).value_name("ADDRESS").value_parser(value_parser!(SocketAddr)).help(help)
 }
 
-/// Whether JSON is wanted.
+/// Returns whether `--output json` was given.
 pub fn wants_json(arguments: &ArgMatches) -> bool {
     text(arguments, "output") == Some("json")
 }
 
-/// A text argument.
+/// Returns the value of a string argument, if present.
 pub fn text<'a>(arguments: &'a ArgMatches, name: &str) -> Option<&'a str> {
     arguments.get_one::<String>(name).map(String::as_str)
 }
 
-/// The node to talk to.
-pub fn node_of(arguments: &ArgMatches) -> SocketAddr {
-    let usual = SocketAddr::from(([127, 0, 0, 1], 7200));
-    arguments.get_one::<SocketAddr>("node").copied().unwrap_or(usual)
+/// Returns the address given by `--node`, or the default.
+pub fn selected_node(arguments: &ArgMatches) -> SocketAddr {
+    let default = SocketAddr::from(([127, 0, 0, 1], 7200));
+    arguments.get_one::<SocketAddr>("node").copied().unwrap_or(default)
 }
--- a/crates/cli/src/batch_commands.rs
+++ b/crates/cli/src/batch_commands.rs
@@ -1,4 +1,4 @@
-//! `stallmoor batch submit`, `status`, `results` and `cancel`.
+//! Implements `stallmoor batch submit`, `status`, `results` and `cancel`.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use serde_json::Value;
 use snafu::ResultExt;
 
-use crate::arguments::{node_of, text, wants_json};
+use crate::arguments::{selected_node, text, wants_json};
 use crate::client::{Header, NodeClient};
 use crate::outcome::{CommandError, FileSnafu};
 use crate::output::CommandOutput;
 
-/// How often `--wait` looks.
+/// Polling interval of `--wait`.
 const WAIT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Runs a batch command.
+/// Runs the selected `batch` subcommand.
 pub async fn run(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     match arguments.subcommand() {
         Some(("submit", arguments)) => submit(arguments, output).await,
@@ -31,7 +31,7 @@
 async fn submit(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let path = arguments.get_one::<PathBuf>("file").cloned().unwrap_or_default();
     let content = std::fs::read(&path).context(FileSnafu { path })?;
-    let client = NodeClient::new(node_of(arguments));
+    let client = NodeClient::new(selected_node(arguments));
     let mut headers: Vec<Header<'_>> = vec![("content-type", "application/jsonl")];
     headers.extend(text(arguments, "tenant").map(|tenant| ("stallmoor-tenant", tenant)));
     headers.extend(text(arguments, "key").map(|key| ("idempotency-key", key)));
@@ -48,7 +48,7 @@
 }
 
 async fn wait(client: &NodeClient, job: &Value) -> Result<Value, CommandError> {
-    let id = id_of(job).to_owned();
+    let id = job_id(job).to_owned();
     let progress = ProgressBar::new(job["request_counts"]["total"].as_u64().unwrap_or(0));
     loop {
         let job = client.get(&format!("/v1/batches/{id}")).await?;
@@ -65,27 +65,27 @@
 
 async fn status(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let id = text(arguments, "job").unwrap_or_default();
-    let job = NodeClient::new(node_of(arguments)).get(&format!("/v1/batches/{id}")).await?;
+    let job = NodeClient::new(selected_node(arguments)).get(&format!("/v1/batches/{id}")).await?;
     print_job(arguments, &job, output)
 }
 
 async fn cancel(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let id = text(arguments, "job").unwrap_or_default();
-    let client = NodeClient::new(node_of(arguments));
+    let client = NodeClient::new(selected_node(arguments));
     let job = client.post(&format!("/v1/batches/{id}/cancel"), &[], Bytes::new()).await?;
     print_job(arguments, &job, output)
 }
 
 async fn results(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let id = text(arguments, "job").unwrap_or_default();
-    let client = NodeClient::new(node_of(arguments));
+    let client = NodeClient::new(selected_node(arguments));
     match arguments.get_one::<PathBuf>("to") {
         Some(path) => write_results(&client, id, &mut CommandOutput::file(path)?).await,
         None => write_results(&client, id, output).await,
     }
 }
 
-/// Writes the results page by page, as long as somebody reads them.
+/// Writes the results page by page and stops fetching once the output is closed.
 async fn write_results(client: &NodeClient, id: &str, output: &mut CommandOutput) -> Result<(), CommandError> {
     let mut first = Some(0);
     while let Some(from) = first.filter(|_| output.has_reader()) {
@@ -105,7 +105,7 @@
     let counts = &job["request_counts"];
     output.line(format_args!(
         "{} {}: {} of {} items completed, {} failed",
-        id_of(job),
+        job_id(job),
         job["status"].as_str().unwrap_or_default(),
         counts["completed"],
         counts["total"],
@@ -113,6 +113,6 @@
     ))
 }
 
-fn id_of(job: &Value) -> &str {
+fn job_id(job: &Value) -> &str {
     job["id"].as_str().unwrap_or_default()
 }
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP to a node.
+//! HTTP client for a node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,38 +12,38 @@
 
 use crate::outcome::CommandError;
 
-/// How long one call may take.
+/// Timeout of one request, including its response body.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A client of one node.
+/// Sends requests to one node.
 pub struct NodeClient {
     node: SocketAddr,
     caller: HttpCaller,
 }
 
-/// One header of a call.
+/// Name and value of a request header.
 pub type Header<'a> = (&'a str, &'a str);
 
 impl NodeClient {
-    /// A client of the node at `node`.
+    /// Creates a client for the node at `node`.
     pub fn new(node: SocketAddr) -> Self {
         Self { node, caller: HttpCaller::default() }
     }
 
-    /// Reads a path.
+    /// Sends a GET request and returns the JSON response.
     ///
     /// # Errors
     ///
-    /// The node refused or didn't answer.
+    /// Fails if the node rejects the request or does not respond.
     pub async fn get(&self, path: &str) -> Result<Value, CommandError> {
         self.call(Method::GET, path, &[], Bytes::new()).await
     }
 
-    /// Sends a body to a path.
+    /// Sends a POST request and returns the JSON response.
     ///
     /// # Errors
     ///
-    /// The node refused or didn't answer.
+    /// Fails if the node rejects the request or does not respond.
     pub async fn post(&self, path: &str, headers: &[Header<'_>], body: Bytes) -> Result<Value, CommandError> {
         self.call(Method::POST, path, headers, body).await
     }
@@ -61,24 +61,24 @@
             request = request.header(*name, *value);
         }
         let request = request.body(Full::new(body)).map_err(|error| unreachable(error.to_string()))?;
-        let whole = async {
+        let exchange = async {
             let response = self.caller.send(request).await.map_err(|error| unreachable(error.to_string()))?;
             let status = response.status();
             let collected = response.into_body().collect().await;
             let body = collected.map_err(|error| unreachable(error.to_string()))?.to_bytes();
             Ok((status, body))
         };
-        let (status, body) = match tokio::time::timeout(CALL_TIMEOUT, whole).await {
+        let (status, body) = match tokio::time::timeout(CALL_TIMEOUT, exchange).await {
             Ok(result) => result?,
-            Err(_) => return Err(unreachable(format!("nothing within {} s", CALL_TIMEOUT.as_secs()))),
+            Err(_) => return Err(unreachable(format!("no response within {} s", CALL_TIMEOUT.as_secs()))),
         };
         let value: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
-        if status == StatusCode::OK { Ok(value) } else { Err(error_of(status, &value)) }
+        if status == StatusCode::OK { Ok(value) } else { Err(error_from_response(status, &value)) }
     }
 }
 
-/// The error that a node's refusal means.
-fn error_of(status: StatusCode, value: &Value) -> CommandError {
+/// Converts an error response of a node into a `CommandError`.
+fn error_from_response(status: StatusCode, value: &Value) -> CommandError {
     let error = &value["error"];
     let text = |field: &str| error[field].as_str().unwrap_or_default().to_owned();
     if let Ok(errors) = serde_json::from_value::<Vec<ConfigurationError>>(value["errors"].clone()) {
--- a/crates/cli/src/configuration_commands.rs
+++ b/crates/cli/src/configuration_commands.rs
@@ -1,4 +1,4 @@
-//! `stallmoor check`, `apply` and `diff`.
+//! Implements `stallmoor check`, `apply` and `diff`.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -13,17 +13,17 @@
 use snafu::ResultExt;
 use stallmoor_core::node::configuration::{FleetConfiguration, SourceFile, check_files};
 
-use crate::arguments::{node_of, wants_json};
+use crate::arguments::{selected_node, wants_json};
 use crate::client::NodeClient;
 use crate::outcome::{CommandError, FileSnafu};
 use crate::output::CommandOutput;
 
-/// How often `apply --wait` looks.
+/// Polling interval of `apply --wait`.
 const WAIT_INTERVAL: Duration = Duration::from_millis(200);
-/// How long `apply --wait` looks.
+/// Maximum time `apply --wait` waits for all nodes.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Checks a set of files.
+/// Runs `check`: validates a set of files locally.
 pub fn check(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let files = read_folder(arguments)?;
     let fleet = match check_files(&files) {
@@ -42,16 +42,16 @@
     }
 }
 
-/// Applies a set of files.
+/// Runs `apply`: validates a set of files and submits it to a node.
 pub async fn apply(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let files = read_folder(arguments)?;
     check_files(&files).map_err(|errors| CommandError::Invalid { errors })?;
-    let client = NodeClient::new(node_of(arguments));
+    let client = NodeClient::new(selected_node(arguments));
     let expected = match arguments.get_one::<u64>("expect") {
         Some(revision) => *revision,
         None => client.get("/operator/configuration").await?["revision"].as_u64().unwrap_or(0),
     };
-    // Numbers beyond 53 bits don't survive every JSON reader.
+    // Limited to 53 bits because some JSON parsers read numbers as doubles.
     let apply_id = Xoshiro256PlusPlus::from_os_rng().random::<u64>() >> 11;
     let contents: BTreeMap<&str, &str> = files.iter().map(|file| (file.name.as_str(), file.text.as_str())).collect();
     let body = json!({"apply_id": apply_id, "expected_revision": expected, "files": contents});
@@ -95,10 +95,10 @@
     }
 }
 
-/// Compares a set of files with those in force.
+/// Runs `diff`: compares a set of files with the revision in force.
 pub async fn diff(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let files = read_folder(arguments)?;
-    let answer = NodeClient::new(node_of(arguments)).get("/operator/configuration").await?;
+    let answer = NodeClient::new(selected_node(arguments)).get("/operator/configuration").await?;
     let revision = answer["revision"].as_u64().unwrap_or(0);
     let in_force = answer["files"].as_object().cloned().unwrap_or_default();
     let mut changes = Vec::new();
@@ -135,14 +135,14 @@
     Ok(())
 }
 
-/// Lines that are in one text and not in the other, in order, marked with `-` and `+`.
+/// Returns lines that occur in only one of the texts: removed lines marked `-`, then added lines marked `+`.
 fn changed_lines(before: &str, after: &str) -> Vec<String> {
     let mut remaining: Vec<&str> = after.lines().collect();
     let mut changed = Vec::new();
     for line in before.lines() {
         match remaining.iter().position(|other| *other == line) {
-            Some(place) => {
-                remaining.remove(place);
+            Some(index) => {
+                remaining.remove(index);
             }
             None => changed.push(format!("- {line}")),
         }
@@ -151,7 +151,7 @@
     changed
 }
 
-/// Reads the `*.toml` files of a folder, in order of name.
+/// Reads the `*.toml` files of a folder, sorted by name.
 fn read_folder(arguments: &ArgMatches) -> Result<Vec<SourceFile>, CommandError> {
     let folder = arguments.get_one::<PathBuf>("folder").cloned().unwrap_or_default();
     let entries = std::fs::read_dir(&folder).context(FileSnafu { path: folder.clone() })?;
--- a/crates/cli/src/fleet_commands.rs
+++ b/crates/cli/src/fleet_commands.rs
@@ -1,4 +1,4 @@
-//! `stallmoor status` and `explain`.
+//! Implements `stallmoor status` and `explain`.
 
 use std::path::PathBuf;
 
@@ -6,15 +6,15 @@
 use serde_json::Value;
 use stallmoor_core::node::{FleetStatus, NodeStatus};
 
-use crate::arguments::{node_of, text, wants_json};
+use crate::arguments::{selected_node, text, wants_json};
 use crate::client::NodeClient;
 use crate::log_story;
 use crate::outcome::CommandError;
 use crate::output::CommandOutput;
 
-/// Shows every node.
+/// Runs `status`: prints one line per node.
 pub async fn status(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
-    let value = NodeClient::new(node_of(arguments)).get("/operator/status").await?;
+    let value = NodeClient::new(selected_node(arguments)).get("/operator/status").await?;
     if wants_json(arguments) {
         return output.line(value);
     }
@@ -26,8 +26,8 @@
     for node in &status.nodes {
         print_node(node, output)?;
     }
-    for silent in &status.silent {
-        output.line(format_args!("{silent:<21} did not answer"))?;
+    for node in &status.silent {
+        output.line(format_args!("{node:<21} did not answer"))?;
     }
     Ok(())
 }
@@ -52,14 +52,14 @@
     ))
 }
 
-/// Shows the decisions for a request.
+/// Runs `explain`: prints the decisions for a request, queried from a node or read from logs.
 pub async fn explain(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let id = text(arguments, "id").unwrap_or_default();
     let logs: Vec<PathBuf> = arguments.get_many::<PathBuf>("log").into_iter().flatten().cloned().collect();
     if !logs.is_empty() {
         return log_story::print(id, &logs, output);
     }
-    let value = NodeClient::new(node_of(arguments)).get(&format!("/operator/explain/{id}")).await?;
+    let value = NodeClient::new(selected_node(arguments)).get(&format!("/operator/explain/{id}")).await?;
     if wants_json(arguments) {
         return output.line(value);
     }
--- a/crates/cli/src/log_story.rs
+++ b/crates/cli/src/log_story.rs
@@ -1,4 +1,5 @@
-//! `stallmoor explain --log`: the decisions for a request, job or worker, from the logs of any processes.
+//! Implements `stallmoor explain --log`: merges the log lines about a request, job, worker or machine
+//! from the logs of several processes.
 
 use std::path::{Path, PathBuf};
 
@@ -9,30 +10,30 @@
 use crate::outcome::{CommandError, FileSnafu};
 use crate::output::CommandOutput;
 
-/// Fields that the head of a line tells already.
-const HEAD_FIELDS: [&str; 4] = ["at", "level", "event", "name"];
+/// Fields that are not repeated among the details of a line.
+const HEADER_FIELDS: [&str; 4] = ["at", "level", "event", "name"];
 
-/// One structured line that concerns what is asked for.
+/// A parsed structured log line.
 #[derive(Clone, Debug, PartialEq)]
-struct StoryLine {
-    /// Milliseconds since the Unix epoch, by the writing machine's clock.
+struct LogLine {
+    /// Milliseconds since the Unix epoch, by the clock of the logging machine.
     at: u64,
-    /// Who wrote it: what stands before the line's object, else the file's name.
+    /// Origin of the line: the text before the JSON object, or the file name if there is none.
     source: String,
     fields: Map<String, Value>,
 }
 
-/// Prints the lines about `id` in the files, in the order of time.
+/// Prints the lines of the files that mention `id`, in time order.
 ///
 /// # Errors
 ///
-/// A file can't be read, no line is about `id`, or the lines can't be written.
+/// Fails if a file can't be read, no line mentions `id`, or the output can't be written.
 pub fn print(id: &str, files: &[PathBuf], output: &mut CommandOutput) -> Result<(), CommandError> {
     let mut lines = Vec::new();
     for file in files {
         let content = std::fs::read(file).context(FileSnafu { path: file.clone() })?;
         let content = String::from_utf8_lossy(&content);
-        lines.extend(content.lines().filter_map(|line| read_line(line, file)).filter(|line| concerns(line, id)));
+        lines.extend(content.lines().filter_map(|line| read_line(line, file)).filter(|line| mentions(line, id)));
     }
     if lines.is_empty() {
         return Err(CommandError::NotInLogs { id: id.to_owned() });
@@ -45,30 +46,30 @@
     Ok(())
 }
 
-/// Reads a line; what stands before its object is a prefix of whoever collected the logs.
-fn read_line(line: &str, file: &Path) -> Option<StoryLine> {
+/// Parses a line. Text before the JSON object is a prefix added by a log collector.
+fn read_line(line: &str, file: &Path) -> Option<LogLine> {
     let start = line.find('{')?;
     let Ok(Value::Object(fields)) = serde_json::from_str::<Value>(&line[start..]) else { return None };
     let at = fields.get("at")?.as_u64()?;
     let prefix = line[..start].trim();
     let source = if prefix.is_empty() { file.display().to_string() } else { prefix.to_owned() };
-    Some(StoryLine { at, source, fields })
+    Some(LogLine { at, source, fields })
 }
 
-fn concerns(line: &StoryLine, id: &str) -> bool {
+fn mentions(line: &LogLine, id: &str) -> bool {
     ["request", "job", "worker", "machine"]
         .iter()
         .any(|name| line.fields.get(*name).and_then(Value::as_str) == Some(id))
 }
 
-fn describe(line: &StoryLine, first: u64) -> String {
+fn describe(line: &LogLine, first: u64) -> String {
     let number = line.fields.get("event").and_then(Value::as_u64).unwrap_or(0);
     let event = LogEvent::ALL.iter().find(|event| u64::from(event.number()) == number);
-    let meaning = event.map_or("An event that this version does not know.", |event| event.meaning());
+    let meaning = event.map_or("Event unknown to this version.", |event| event.meaning());
     let details: Vec<String> = line
         .fields
         .iter()
-        .filter(|(name, _)| !HEAD_FIELDS.contains(&name.as_str()))
+        .filter(|(name, _)| !HEADER_FIELDS.contains(&name.as_str()))
         .map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             other => format!("{name}={other}"),
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -1,15 +1,15 @@
-//! Where log lines go: one line an event, with time, level and number.
+//! Logger setup of the node process: one line per event, with timestamp, level and event number.
 
 use std::path::Path;
 use std::time::SystemTime;
 
 use log::LevelFilter;
 
-/// Sets up logging for the process.
+/// Installs the process-wide logger, which writes to `file` or, if absent, to standard error.
 ///
 /// # Errors
 ///
-/// The log file can't be opened, or logging was set up before.
+/// Fails if the log file can't be opened or a logger is already installed.
 pub fn set_up(level: LevelFilter, file: Option<&Path>) -> Result<(), std::io::Error> {
     let dispatch = fern::Dispatch::new()
         .format(|out, message, record| {
@@ -24,7 +24,7 @@
     dispatch.apply().map_err(std::io::Error::other)
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns the current time in milliseconds since the Unix epoch.
 fn timestamp() -> u128 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |since| since.as_millis())
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,16 +1,16 @@
-//! `stallmoor`: the node and the operators' commands in one program.
+//! The `stallmoor` binary: server processes and operator commands.
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! |---|---|
-//! | `arguments` | the command line |
+//! | `arguments` | command-line definition |
 //! | `node_command` | `stallmoor node` |
 //! | `serving_commands` | `stallmoor gateway`, `stallmoor storage` |
 //! | `configuration_commands` | `check`, `apply`, `diff` |
 //! | `fleet_commands`, `log_story` | `status`, `explain` |
 //! | `batch_commands` | `batch submit`, `status`, `results`, `cancel` |
-//! | `client` | HTTP to a node |
-//! | `output`, `outcome` | what a command prints, its exit code |
-//! | `logging` | where log lines go |
+//! | `client` | HTTP client for a node |
+//! | `output`, `outcome` | command output, errors and exit codes |
+//! | `logging` | logger setup of `stallmoor node` |
 
 mod arguments;
 mod batch_commands;
@@ -33,7 +33,7 @@
 
 fn main() -> ExitCode {
     let matches = arguments::command().get_matches();
-    // A process on the users' platform has one core; a second thread would only cost switches.
+    // Processes on the users' platform have one core, where more threads only add context switches.
     let mut builder = match matches.subcommand_name() {
         Some("gateway" | "storage") => tokio::runtime::Builder::new_current_thread(),
         _ => tokio::runtime::Builder::new_multi_thread(),
@@ -41,14 +41,14 @@
     let runtime = match builder.enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            output::complain(format_args!("can't start: {error}"));
+            output::print_error(format_args!("failed to start the async runtime: {error}"));
             return ExitCode::FAILURE;
         }
     };
     match runtime.block_on(run(&matches)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            output::complain(&error);
+            output::print_error(&error);
             ExitCode::from(error.exit_code())
         }
     }
--- a/crates/cli/src/node_command.rs
+++ b/crates/cli/src/node_command.rs
@@ -1,4 +1,4 @@
-//! `stallmoor node`.
+//! Implements `stallmoor node`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,7 +14,7 @@
 use crate::outcome::{CommandError, FileSnafu, StartSnafu};
 use crate::output::CommandOutput;
 
-/// Runs a node until it is told to stop.
+/// Runs a node until it receives SIGTERM or SIGINT, or stops by itself.
 pub async fn run(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let settings = read_settings(arguments)?;
     let log_path = settings.log_file.clone().unwrap_or_default();
@@ -34,7 +34,7 @@
     Ok(())
 }
 
-/// The settings file, with what the flags override.
+/// Reads the settings file and applies the overrides given on the command line.
 fn read_settings(arguments: &ArgMatches) -> Result<NodeFileSettings, CommandError> {
     let path = arguments.get_one::<PathBuf>("settings").cloned().unwrap_or_default();
     let content = std::fs::read_to_string(&path).context(FileSnafu { path: path.clone() })?;
--- a/crates/cli/src/outcome.rs
+++ b/crates/cli/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a command ends: its exit code and what it says.
+//! Errors of commands, with their messages and exit codes.
 
 use std::path::PathBuf;
 
@@ -8,75 +8,75 @@
 use stallmoor_gateway::process::settings::SettingsError;
 use stallmoor_node::NodeError;
 
-/// Why a command failed. The exit codes are documented in the help of the program.
+/// Error of a command. The exit codes are documented in the help text.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CommandError {
-    /// The node refused.
-    #[snafu(display("refused ({code}, {ran}): {message}{}", retry(*retry_after_ms)))]
+    /// The node rejected the request.
+    #[snafu(display("refused ({code}, {ran}): {message}{}", retry_hint(*retry_after_ms)))]
     Refused {
-        /// The code of the refusal.
+        /// Error code from the response, or the HTTP status if the response has none.
         code: String,
-        /// Whether the request ran.
+        /// Whether the request was executed, as reported by the node.
         ran: String,
-        /// What happened.
+        /// Error message from the response.
         message: String,
-        /// When to come back.
+        /// Suggested delay before a retry.
         retry_after_ms: Option<u64>,
     },
-    /// Files have errors.
-    #[snafu(display("{} errors; nothing was applied{}", errors.len(), list(errors)))]
+    /// The configuration or settings files have errors.
+    #[snafu(display("{} errors; nothing was applied{}", errors.len(), format_errors(errors)))]
     Invalid {
-        /// The errors.
+        /// All errors found.
         errors: Vec<ConfigurationError>,
     },
-    /// Another revision was accepted meanwhile.
+    /// Another revision was accepted in the meantime.
     #[snafu(display("conflict: {message}"))]
     Conflict {
-        /// What happened.
+        /// Error message from the response.
         message: String,
     },
-    /// No node answered.
+    /// The node did not respond.
     #[snafu(display("no answer from {node}: {detail}"))]
     Unreachable {
-        /// The node.
+        /// Address of the node.
         node: String,
-        /// What happened.
+        /// Cause of the failure.
         detail: String,
     },
-    /// A file can't be read or written.
+    /// A file or stream can't be read or written.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// The file.
+        /// Path of the file, or a description of the stream.
         path: PathBuf,
-        /// What the system said.
+        /// Underlying I/O error.
         source: std::io::Error,
     },
-    /// The node can't start.
+    /// The node failed to start.
     #[snafu(display("{source}"))]
     Start {
-        /// Why.
+        /// Underlying error.
         source: NodeError,
     },
-    /// The settings of a gateway or storing node can't be used.
+    /// The settings of a gateway or storage node are invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// Why.
+        /// Underlying error.
         source: SettingsError,
     },
-    /// A gateway or storing node can't start or go on.
+    /// A gateway or storage node failed to start or to continue running.
     #[snafu(display("{source}"))]
     Serving {
-        /// Why.
+        /// Underlying error.
         source: ProcessError,
     },
-    /// No line of the logs is about what was asked for.
-    #[snafu(display("no line of these logs is about {id}"))]
+    /// No log line mentions the requested id.
+    #[snafu(display("no log line mentions {id}"))]
     NotInLogs {
-        /// What was asked for.
+        /// The requested id.
         id: String,
     },
-    /// No settings file is named.
+    /// No settings file is given, on the command line or by the platform.
     #[snafu(display("no settings file: give --settings"))]
     NoSettings,
     /// The files differ from those in force.
@@ -88,7 +88,7 @@
 }
 
 impl CommandError {
-    /// The exit code.
+    /// Returns the exit code of the process for this error.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Refused { .. } | Self::File { .. } | Self::Start { .. } | Self::Differs { .. } => 1,
@@ -101,10 +101,10 @@
     }
 }
 
-fn retry(millis: Option<u64>) -> String {
+fn retry_hint(millis: Option<u64>) -> String {
     millis.map_or_else(String::new, |millis| format!("; come back in {millis} ms"))
 }
 
-fn list(errors: &[ConfigurationError]) -> String {
+fn format_errors(errors: &[ConfigurationError]) -> String {
     errors.iter().map(|error| format!("\n  {error}")).collect()
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,11 +1,9 @@
-//! What the commands print: the one writer for it, and what happens when nobody reads any more.
+//! Output of commands, and handling of closed pipes.
 //!
-//! A reader that goes away (`stallmoor explain ID | head`) is no failure of the command. The lines left over
-//! are dropped, nothing is said about it, and the exit code is that of the outcome: 0 where all went well,
-//! 1 where `diff` found a difference. Programs that die of SIGPIPE end with the shell's 141 instead. Rust
-//! programs start with that signal ignored; setting it back takes `unsafe`, would end a node that only lost the
-//! reader of its first line, and under the shell's `pipefail` would fail a script by chance, as `head` may
-//! go before or after the last line.
+//! A closed pipe (`stallmoor explain ID | head`) is not an error: remaining lines are dropped silently and the
+//! exit code is that of the command. SIGPIPE stays ignored, as is the default for Rust programs. Restoring its
+//! default action would require `unsafe`, terminate a node whose standard output is closed, and make scripts
+//! under `pipefail` fail depending on timing.
 
 use std::fmt::Display;
 use std::io::{self, ErrorKind, Write};
@@ -15,57 +13,57 @@
 
 use crate::outcome::{CommandError, FileSnafu};
 
-/// Takes a command's lines: standard output, or a file in its stead.
+/// Line writer for standard output or a file.
 pub struct CommandOutput {
     target: Box<dyn Write>,
-    /// What an error names.
+    /// Name of the target in error messages.
     name: PathBuf,
-    reader_gone: bool,
+    reader_closed: bool,
 }
 
 impl CommandOutput {
-    /// Standard output.
+    /// Creates a writer to standard output.
     pub fn standard() -> Self {
-        Self { target: Box::new(io::stdout()), name: PathBuf::from("standard output"), reader_gone: false }
+        Self { target: Box::new(io::stdout()), name: PathBuf::from("standard output"), reader_closed: false }
     }
 
-    /// A new file, or an old one that is emptied.
+    /// Creates a writer to a file, truncating it if it exists.
     ///
     /// # Errors
     ///
-    /// The file can't be created.
+    /// Fails if the file can't be created.
     pub fn file(path: &Path) -> Result<Self, CommandError> {
         let file = std::fs::File::create(path).context(FileSnafu { path })?;
-        Ok(Self { target: Box::new(file), name: path.to_owned(), reader_gone: false })
+        Ok(Self { target: Box::new(file), name: path.to_owned(), reader_closed: false })
     }
 
-    /// Writes a line, or drops it if nobody reads any more.
+    /// Writes a line, or drops it if the reader has closed the pipe.
     ///
     /// # Errors
     ///
-    /// The line can't be written for another reason, as on a full disk.
+    /// Fails on any other write error, such as a full disk.
     pub fn line(&mut self, line: impl Display) -> Result<(), CommandError> {
-        if self.reader_gone {
+        if self.reader_closed {
             return Ok(());
         }
-        // In one piece: a file has no buffer, and a line's parts would each be a write.
+        // A single write: files are unbuffered, so `writeln!` could issue several system calls per line.
         match self.target.write_all(format!("{line}\n").as_bytes()) {
             Err(error) if error.kind() == ErrorKind::BrokenPipe => {
-                self.reader_gone = true;
+                self.reader_closed = true;
                 Ok(())
             }
             written => written.context(FileSnafu { path: &self.name }),
         }
     }
 
-    /// Whether somebody may still read: a command that has more to fetch can stop if not.
+    /// Returns whether the output is still open. If not, a command can stop fetching data.
     pub fn has_reader(&self) -> bool {
-        !self.reader_gone
+        !self.reader_closed
     }
 }
 
-/// Says on standard error why the program fails.
-pub fn complain(complaint: impl Display) {
-    // If nobody reads this either, the exit code still tells.
-    let _ = writeln!(io::stderr(), "stallmoor: {complaint}");
+/// Prints an error message to standard error.
+pub fn print_error(message: impl Display) {
+    // A write error is ignored: the exit code still reports the failure.
+    let _ = writeln!(io::stderr(), "stallmoor: {message}");
 }
--- a/crates/cli/src/serving_commands.rs
+++ b/crates/cli/src/serving_commands.rs
@@ -1,4 +1,4 @@
-//! `stallmoor gateway` and `stallmoor storage`: the processes on the users' platform.
+//! Implements `stallmoor gateway` and `stallmoor storage`, the processes that run on the users' platform.
 
 use std::path::PathBuf;
 
@@ -12,7 +12,7 @@
 
 use crate::outcome::{CommandError, FileSnafu, ServingSnafu, SettingsSnafu};
 
-/// Runs a gateway until it is told to stop.
+/// Runs a gateway until it is signaled to stop.
 pub async fn gateway(arguments: &ArgMatches) -> Result<(), CommandError> {
     let signals = install_signals()?;
     let (path, settings) = prepare(arguments)?;
@@ -20,7 +20,7 @@
     process::run_gateway(&settings, &path, &platform, signals).await.context(ServingSnafu)
 }
 
-/// Runs a storing node until it is told to stop.
+/// Runs a storage node until it is signaled to stop.
 pub async fn storage(arguments: &ArgMatches) -> Result<(), CommandError> {
     let signals = install_signals()?;
     let (path, settings) = prepare(arguments)?;
@@ -32,7 +32,7 @@
     ProcessSignals::install().context(FileSnafu { path: PathBuf::new() })
 }
 
-/// Reads the settings and sets up the log.
+/// Reads the settings and installs the logger.
 fn prepare(arguments: &ArgMatches) -> Result<(PathBuf, ServingSettings), CommandError> {
     let named = arguments.get_one::<PathBuf>("settings").cloned();
     let path = named.or_else(stallmoor_adapter::settings_path).ok_or(CommandError::NoSettings)?;
--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -1,5 +1,4 @@
-//! The program itself: example sets pass, broken copies are refused with file, line and field, and exit
-//! codes are as documented.
+//! Tests of the binary: validation of configuration and settings files, exit codes, and `explain --log`.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -21,7 +20,7 @@
 }
 
 #[test]
-fn the_example_sets_pass() {
+fn example_configurations_are_valid() {
     let tubigwatch = check(&example("tubigwatch"));
     assert_eq!(tubigwatch.status.code(), Some(0), "{}", text(&tubigwatch.stderr));
     assert!(text(&tubigwatch.stdout).contains("12 machines"));
@@ -30,8 +29,8 @@
     assert!(text(&vidyapath.stdout).contains("18 machines"));
 }
 
-/// One way to break an example set, and the error it must give.
-struct Breakage {
+/// An edit that makes an example configuration invalid, and the expected error.
+struct InvalidEdit {
     set: &'static str,
     file: &'static str,
     from: &'static str,
@@ -39,92 +38,92 @@
     error: &'static str,
 }
 
-const BREAKAGES: [Breakage; 13] = [
-    Breakage {
+const INVALID_EDITS: [InvalidEdit; 13] = [
+    InvalidEdit {
         set: "tubigwatch",
         file: "services.toml",
         from: "tail_harm_limit = 1.15",
         to: "tail_harm_limt = 1.15",
         error: "services.toml:3: service.tail_harm_limt: unknown field",
     },
-    Breakage {
+    InvalidEdit {
         set: "tubigwatch",
         file: "services.toml",
         from: "tail_harm_limit = 1.15",
         to: "tail_harm_limit = 10.5",
         error: "services.toml:3: service.tail_harm_limit: must be a number from 1 to 10",
     },
-    Breakage {
+    InvalidEdit {
         set: "tubigwatch",
         file: "services.toml",
         from: "online_headroom = 0.1",
         to: "online_headroom = 1.5",
         error: "services.toml:4: service.online_headroom: must be a number from 0 to 0.9",
     },
-    Breakage {
+    InvalidEdit {
         set: "tubigwatch",
         file: "services.toml",
         from: "service = \"logger-lm\"",
         to: "service = \"logger-ml\"",
         error: "services.toml:13: model.service: there is no service \"logger-ml\"",
     },
-    Breakage {
+    InvalidEdit {
         set: "tubigwatch",
         file: "machines.toml",
         from: "zone = \"mandaue-b\"",
         to: "zone = \"mandaue\"",
         error: "machines.toml:13: machine.zone: there is no zone \"mandaue\"",
     },
-    Breakage {
+    InvalidEdit {
         set: "tubigwatch",
         file: "machines.toml",
         from: "name = \"logger-02\"",
         to: "name = \"logger-01\"",
         error: "machines.toml:11: machine.name: duplicate: machine \"logger-01\" is also at machines.toml:4",
     },
-    Breakage {
+    InvalidEdit {
         set: "tubigwatch",
         file: "machines.toml",
         from: "127.0.0.1:17302",
         to: "logger-two.local:17302",
         error: "machines.toml:12: machine.address: \"logger-two.local:17302\" is not an IP address with port",
     },
-    Breakage {
+    InvalidEdit {
         set: "tubigwatch",
         file: "fleet.toml",
         from: "name = \"tubigwatch\"",
         to: "",
         error: "fleet.toml:4: fleet.name: missing",
     },
-    Breakage {
+    InvalidEdit {
         set: "vidyapath",
         file: "fleet.toml",
         from: "replica_groups = 8",
         to: "replica_groups = 0",
         error: "fleet.toml:6: fleet.replica_groups: must be a whole number from 1 to 4096",
     },
-    Breakage {
+    InvalidEdit {
         set: "vidyapath",
         file: "tenants.toml",
         from: "batch_weight = 2",
         to: "batch_weight = \"two\"",
         error: "tenants.toml:9: tenant.batch_weight: must be a whole number from 1 to 1000",
     },
-    Breakage {
+    InvalidEdit {
         set: "vidyapath",
         file: "tenants.toml",
         from: "name = \"head-office\"",
         to: "name = \"counsellors\"",
         error: "tenants.toml:7: tenant.name: duplicate: tenant \"counsellors\" is also at tenants.toml:2",
     },
-    Breakage {
+    InvalidEdit {
         set: "vidyapath",
         file: "services.toml",
         from: "batch_priority = 10",
         to: "batch_priority = 0",
         error: "services.toml:7: service.batch_priority: must be greater than online_priority",
     },
-    Breakage {
+    InvalidEdit {
         set: "vidyapath",
         file: "services.toml",
         from: "name = \"admit-13b\"",
@@ -133,14 +132,14 @@
     },
 ];
 
-fn broken_copy(breakage: &Breakage) -> tempfile::TempDir {
+fn edited_copy(edit: &InvalidEdit) -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
-    for entry in std::fs::read_dir(example(breakage.set)).expect("the example").flatten() {
+    for entry in std::fs::read_dir(example(edit.set)).expect("the example").flatten() {
         let content = std::fs::read_to_string(entry.path()).expect("a file");
         let name = entry.file_name();
-        let content = if name == breakage.file {
-            assert!(content.contains(breakage.from), "{}: {}", breakage.file, breakage.from);
-            content.replacen(breakage.from, breakage.to, 1)
+        let content = if name == edit.file {
+            assert!(content.contains(edit.from), "{}: {}", edit.file, edit.from);
+            content.replacen(edit.from, edit.to, 1)
         } else {
             content
         };
@@ -150,13 +149,13 @@
 }
 
 #[test]
-fn broken_copies_are_refused_with_file_line_and_field() {
-    for breakage in &BREAKAGES {
-        let folder = broken_copy(breakage);
+fn invalid_configurations_are_rejected_with_file_line_and_field() {
+    for edit in &INVALID_EDITS {
+        let folder = edited_copy(edit);
         let refused = check(folder.path());
-        assert_eq!(refused.status.code(), Some(3), "{}", breakage.error);
+        assert_eq!(refused.status.code(), Some(3), "{}", edit.error);
         let errors = text(&refused.stderr);
-        assert!(errors.contains(breakage.error), "expected {:?} in:\n{errors}", breakage.error);
+        assert!(errors.contains(edit.error), "expected {:?} in:\n{errors}", edit.error);
     }
 }
 
@@ -181,7 +180,7 @@
 }
 
 #[test]
-fn a_bad_settings_file_is_refused_with_file_line_and_field() {
+fn invalid_settings_are_rejected_with_file_line_and_field() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("node.toml");
     let content = "[node]\nzone = \"a\"\npeer_address = \"here\"\ncaller_address = \"127.0.0.1:0\"\n\n\
@@ -198,7 +197,7 @@
 }
 
 #[test]
-fn logs_of_several_processes_are_put_in_order() {
+fn explain_merges_logs_in_time_order() {
     let folder = tempfile::TempDir::new().expect("a folder");
     let gateway = folder.path().join("gateway.log");
     let storage = folder.path().join("storage.log");
@@ -210,18 +209,21 @@
     let logs = [gateway.display().to_string(), storage.display().to_string()];
     let shown = stallmoor(&["explain", "abc", "--log", &logs[0], "--log", &logs[1]]);
     assert_eq!(shown.status.code(), Some(0), "{}", text(&shown.stderr));
-    let story = text(&shown.stdout);
-    let first = story.find("A request moved to another engine").expect("the move is told");
-    let last = story.find("A request that passes through has ended").expect("the end is told");
-    assert!(first < last, "{story}");
-    assert!(story.contains("600 ms") && story.contains("edge-1") && !story.contains("xyz-9"), "{story}");
+    let explanation = text(&shown.stdout);
+    let first = explanation.find("A request moved to another engine").expect("the move is listed");
+    let last = explanation.find("A request that passes through has ended").expect("the end is listed");
+    assert!(first < last, "{explanation}");
+    assert!(
+        explanation.contains("600 ms") && explanation.contains("edge-1") && !explanation.contains("xyz-9"),
+        "{explanation}"
+    );
     let unknown = stallmoor(&["explain", "nobody", "--log", &logs[0]]);
     assert_eq!(unknown.status.code(), Some(1));
     assert!(text(&unknown.stderr).contains("nobody"));
 }
 
 #[test]
-fn a_gateway_without_sound_settings_says_what_is_wrong() {
+fn serving_commands_report_unusable_settings() {
     let folder = tempfile::TempDir::new().expect("a folder");
     let file = folder.path().join("node.toml");
     std::fs::write(&file, "[node]\nname = 3\n").expect("it can be written");
--- a/crates/cli/tests/decisions.rs
+++ b/crates/cli/tests/decisions.rs
@@ -1,14 +1,14 @@
-//! docs/DECISIONS.md against the code: each row of a constant gives its value and file, and each constant of the
-//! decisions has a row.
+//! Checks docs/DECISIONS.md against the code: each row states the constant's value, unit and file, and each constant
+//! of the serving decisions has a row.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Where every constant is a decision and must stand in the page.
+/// Folder whose numeric constants must all be listed in the page.
 const DECISION_FOLDER: &str = "crates/core/src/serving";
 
-/// A row of a constant, as the page has it.
+/// Row of a constant in the page.
 #[derive(Debug)]
 struct Row {
     name: String,
@@ -16,7 +16,7 @@
     file: String,
 }
 
-/// A constant, as the code has it.
+/// Definition of a constant in the code.
 #[derive(Debug)]
 struct Constant {
     name: String,
@@ -27,7 +27,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The text between the backquotes of a cell that holds nothing else.
+/// Returns the content of a table cell that consists of one code span.
 fn quoted(cell: &str) -> Option<&str> {
     cell.trim().strip_prefix('`')?.strip_suffix('`')
 }
@@ -48,7 +48,7 @@
     page.lines().filter_map(row).collect()
 }
 
-/// The constants with a figure that a file defines: those of text and of identities are none.
+/// Returns the constants defined in a file, except for strings and identifiers.
 fn constants(file: &Path) -> Vec<Constant> {
     let text = fs::read_to_string(file).unwrap_or_else(|error| panic!("{}: {error}", file.display()));
     let mut found = Vec::new();
@@ -67,24 +67,24 @@
     found
 }
 
-/// The figures of a text, in order, without the underscores that group digits. Digits within a word are none.
-fn figures(text: &str) -> Vec<String> {
+/// Returns the numbers in a text, in order, without digit separators. Digits within a word are skipped.
+fn numbers(text: &str) -> Vec<String> {
     let mut found = Vec::new();
-    let mut figure = String::new();
+    let mut number = String::new();
     let mut before = ' ';
     for symbol in text.chars().chain([' ']) {
-        let goes_on = symbol.is_ascii_digit() || (!figure.is_empty() && matches!(symbol, '.' | '_'));
-        if goes_on && (!figure.is_empty() || !(before.is_alphanumeric() || before == '_')) {
-            figure.push(symbol);
-        } else if !figure.is_empty() {
-            found.push(std::mem::take(&mut figure).replace('_', "").trim_end_matches('.').to_owned());
+        let is_part = symbol.is_ascii_digit() || (!number.is_empty() && matches!(symbol, '.' | '_'));
+        if is_part && (!number.is_empty() || !(before.is_alphanumeric() || before == '_')) {
+            number.push(symbol);
+        } else if !number.is_empty() {
+            found.push(std::mem::take(&mut number).replace('_', "").trim_end_matches('.').to_owned());
         }
         before = symbol;
     }
     found
 }
 
-/// The unit that the type of an expression states; `None` if it states none.
+/// Returns the unit implied by the constructor in an expression, if any.
 fn unit(expression: &str) -> Option<&'static str> {
     if expression.contains("Millis(") || expression.contains("from_millis(") {
         Some("ms")
@@ -102,33 +102,36 @@
 }
 
 #[test]
-fn each_row_gives_the_constants_file_value_and_unit() {
+fn rows_match_file_value_and_unit_of_constants() {
     let rows = rows();
-    assert!(rows.len() > 100, "only {} rows were understood", rows.len());
+    assert!(rows.len() > 100, "only {} rows were parsed", rows.len());
     let mut wrong = Vec::new();
     for row in &rows {
         let file = root().join(&row.file);
         if !file.is_file() {
-            wrong.push(format!("{}: there is no {}", row.name, row.file));
+            wrong.push(format!("{}: file {} does not exist", row.name, row.file));
             continue;
         }
         let Some(constant) = constants(&file).into_iter().find(|constant| constant.name == row.name) else {
             wrong.push(format!("{} is not defined in {}", row.name, row.file));
             continue;
         };
-        if figures(&row.value) != figures(&constant.expression) {
-            wrong.push(format!("{}: {} in the page, {} in {}", row.name, row.value, constant.expression, row.file));
+        if numbers(&row.value) != numbers(&constant.expression) {
+            wrong.push(format!(
+                "{}: the page says {}, the code says {} in {}",
+                row.name, row.value, constant.expression, row.file
+            ));
         }
         let names_unit = |unit: &str| row.value.split(|part: char| !part.is_alphanumeric()).any(|word| word == unit);
         if unit(&constant.expression).is_some_and(|unit| !names_unit(unit)) {
             wrong.push(format!("{}: {} lacks the unit of {}", row.name, row.value, constant.expression));
         }
     }
-    assert!(wrong.is_empty(), "docs/DECISIONS.md is not what the code has:\n{}", wrong.join("\n"));
+    assert!(wrong.is_empty(), "docs/DECISIONS.md differs from the code:\n{}", wrong.join("\n"));
 }
 
 #[test]
-fn each_constant_of_the_decisions_has_a_row() {
+fn every_decision_constant_has_a_row() {
     let listed: BTreeSet<(String, String)> = rows().into_iter().map(|row| (row.file, row.name)).collect();
     let root = root();
     let mut missing = Vec::new();
@@ -140,5 +143,5 @@
             }
         }
     }
-    assert!(missing.is_empty(), "docs/DECISIONS.md lacks:\n{}", missing.join("\n"));
+    assert!(missing.is_empty(), "constants missing from docs/DECISIONS.md:\n{}", missing.join("\n"));
 }
--- a/crates/cli/tests/documents.rs
+++ b/crates/cli/tests/documents.rs
@@ -1,4 +1,4 @@
-//! The catalogues in `docs/` say what the code says. `STALLMOOR_WRITE_DOCUMENTS=1` writes them anew.
+//! Checks the generated tables in `docs/` against the code. `STALLMOOR_WRITE_DOCUMENTS=1` regenerates them.
 
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -32,9 +32,9 @@
 
 fn check_document(name: &str, table: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../docs").join(name);
-    let text = std::fs::read_to_string(&path).expect("the document is there");
-    let begin = text.find(BEGIN).expect("the table's begin") + BEGIN.len();
-    let end = text.find(END).expect("the table's end");
+    let text = std::fs::read_to_string(&path).expect("the document exists");
+    let begin = text.find(BEGIN).expect("the begin marker") + BEGIN.len();
+    let end = text.find(END).expect("the end marker");
     let expected = format!("\n\n{table}\n");
     if std::env::var_os("STALLMOOR_WRITE_DOCUMENTS").is_some() {
         let written = format!("{}{expected}{}", &text[..begin], &text[end..]);
@@ -45,17 +45,17 @@
 }
 
 #[test]
-fn the_catalogue_of_errors_is_the_table_in_the_code() {
+fn error_catalog_matches_code() {
     check_document("ERRORS.md", &error_table());
 }
 
 #[test]
-fn the_catalogue_of_events_is_the_list_in_the_code() {
+fn event_catalog_matches_code() {
     check_document("EVENTS.md", &event_table());
 }
 
 #[test]
-fn event_numbers_are_not_used_twice() {
+fn event_numbers_are_unique() {
     let mut numbers: Vec<u16> = LogEvent::ALL.iter().map(|event| event.number()).collect();
     let count = numbers.len();
     numbers.sort_unstable();
--- a/crates/cli/tests/early_signals.rs
+++ b/crates/cli/tests/early_signals.rs
@@ -1,4 +1,4 @@
-//! Signals that come while a process is still starting.
+//! Guards against a process being killed by a SIGHUP that arrives while it starts.
 
 use std::io::Write;
 use std::net::TcpListener;
@@ -6,8 +6,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// How long a process may take to do what is waited for.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum time to wait for a process to reach the expected state.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn run(program: &str, arguments: &[&str]) {
     let status = Command::new(program).args(arguments).status().expect("the program runs");
@@ -18,7 +18,7 @@
     run("kill", &[flag, &child.id().to_string()]);
 }
 
-/// Starts a storing node that reads its settings from a pipe: it waits until they are written there.
+/// Starts a storage node whose settings file is a named pipe, so that startup blocks until they are written.
 fn start(pipe: &Path, log: &Path) -> Child {
     run("mkfifo", &[&pipe.display().to_string()]);
     Command::new(env!("CARGO_BIN_EXE_stallmoor"))
@@ -39,23 +39,23 @@
 }
 
 #[test]
-fn a_signal_to_reload_that_comes_while_a_process_starts_does_not_end_it() {
+fn sighup_during_startup_does_not_end_the_process() {
     let folder = tempfile::tempdir().expect("a folder");
     let (pipe, log) = (folder.path().join("settings.toml"), folder.path().join("log"));
     let mut child = start(&pipe, &log);
-    // This waits until the process opens the pipe, so it is in the midst of its start.
+    // Opening the pipe blocks until the process opens it too, so the process is starting at this point.
     let mut writer = std::fs::File::options().write(true).open(&pipe).expect("the process reads its settings");
     signal(&child, "-HUP");
     writer.write_all(settings(folder.path()).as_bytes()).expect("the process still reads");
     drop(writer);
-    let begun = Instant::now();
+    let started = Instant::now();
     while !std::fs::read_to_string(&log).unwrap_or_default().contains("NodeStarted") {
-        let ended = child.try_wait().expect("it can be asked");
+        let ended = child.try_wait().expect("the status can be queried");
         assert!(ended.is_none(), "the process ended: {ended:?}");
-        assert!(begun.elapsed() < PATIENCE, "the process does not start");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "the process did not start in time");
         std::thread::sleep(Duration::from_millis(10));
     }
-    // The settings can't be read a second time from a pipe that nobody writes to.
+    // Killed because a reload would block on the pipe, which has no writer any more.
     signal(&child, "-KILL");
     child.wait().expect("it ends");
 }
--- a/crates/cli/tests/golden_command_line.rs
+++ b/crates/cli/tests/golden_command_line.rs
@@ -1,4 +1,4 @@
-//! What a caller of the program sees today: help, errors, exit codes, and the first line of a log.
+//! Golden tests of the command line: help, errors, exit codes, and the first log line.
 
 #[path = "../../core/tests/support/golden.rs"]
 mod golden;
@@ -17,30 +17,30 @@
     command
 }
 
-fn describe(told: &mut String, case: &str, output: &Output) {
+fn describe(report: &mut String, case: &str, output: &Output) {
     let (out, error) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
-    writeln!(told, "# {case}\nexit code {:?}", output.status.code()).expect("written to a string");
+    writeln!(report, "# {case}\nexit code {:?}", output.status.code()).expect("written to a string");
     for (name, text) in [("stdout", out), ("stderr", error)] {
         if !text.is_empty() {
-            writeln!(told, "--- {name}\n{}", text.trim_end()).expect("written to a string");
+            writeln!(report, "--- {name}\n{}", text.trim_end()).expect("written to a string");
         }
     }
-    told.push('\n');
+    report.push('\n');
 }
 
 #[test]
-fn the_help_reads_as_ever() {
+fn help_matches_golden_file() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut told = String::new();
+    let mut report = String::new();
     let commands = ["node", "gateway", "storage", "check", "apply", "diff", "status", "explain", "batch"];
     let batch = ["submit", "status", "results", "cancel"].map(|name| vec!["batch", name]);
     let all = std::iter::once(vec![]).chain(commands.map(|name| vec![name])).chain(batch);
     for mut arguments in all {
         arguments.push("--help");
         let output = program(folder.path()).args(&arguments).output().expect("the program runs");
-        describe(&mut told, &arguments.join(" "), &output);
+        describe(&mut report, &arguments.join(" "), &output);
     }
-    golden::check_text("help.txt", &told);
+    golden::check_text("help.txt", &report);
 }
 
 const SERVING: &str = "[node]\nname = \"a\"\nzone = \"z\"\naddress = \"127.0.0.1\"\n\
@@ -49,35 +49,35 @@
     [platform]\nkey_value = \"127.0.0.1:1\"\nmachine_list = \"127.0.0.1:1\"\n";
 
 #[test]
-fn errors_of_settings_end_the_program_as_ever() {
+fn settings_errors_match_golden_file() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut told = String::new();
+    let mut report = String::new();
     let cases = [
         ("unknown field", "[node]\n", "[node]\nextra = 1\n"),
         ("missing field", "zone = \"z\"\n", ""),
         ("wrong type", "zone = \"z\"", "zone = 7"),
     ];
-    for (command, sound) in [("gateway", SERVING), ("storage", SERVING), ("node", NODE)] {
+    for (command, valid) in [("gateway", SERVING), ("storage", SERVING), ("node", NODE)] {
         for (case, from, to) in cases {
-            std::fs::write(folder.path().join("node.toml"), sound.replacen(from, to, 1)).expect("written");
+            std::fs::write(folder.path().join("node.toml"), valid.replacen(from, to, 1)).expect("written");
             let output = program(folder.path()).args([command, "--settings", "node.toml"]).output();
-            describe(&mut told, &format!("{command}, {case}"), &output.expect("the program runs"));
+            describe(&mut report, &format!("{command}, {case}"), &output.expect("the program runs"));
         }
         let output = program(folder.path()).args([command, "--settings", "none.toml"]).output();
-        describe(&mut told, &format!("{command}, no such file"), &output.expect("the program runs"));
+        describe(&mut report, &format!("{command}, no such file"), &output.expect("the program runs"));
         let output = program(folder.path()).arg(command).output().expect("the program runs");
-        describe(&mut told, &format!("{command}, no settings named"), &output);
+        describe(&mut report, &format!("{command}, no settings named"), &output);
     }
-    // Sound settings that lack what the role needs.
+    // Valid settings that lack a value required by the role.
     std::fs::write(folder.path().join("node.toml"), SERVING).expect("written");
     for command in ["gateway", "storage"] {
         let output = program(folder.path()).env(SETTINGS_VARIABLE, "node.toml").arg(command).output();
-        describe(&mut told, &format!("{command}, not enough"), &output.expect("the program runs"));
+        describe(&mut report, &format!("{command}, not enough"), &output.expect("the program runs"));
     }
-    golden::check_text("settings.txt", &told);
+    golden::check_text("settings.txt", &report);
 }
 
-/// Answers one call with a status and a body.
+/// Starts a server that sends one response, and returns its address.
 fn answer_once(status: &'static str, body: &'static str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn answers_of_a_node_end_the_program_as_ever() {
+fn node_responses_match_golden_file() {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::create_dir(folder.path().join("files")).expect("a folder");
     std::fs::write(folder.path().join("files/fleet.toml"), "[fleet]\nname = \"f\"\n").expect("written");
@@ -112,16 +112,16 @@
         ("differs", &["diff", "files"], "200 OK", other),
         ("the same", &["diff", "files"], "200 OK", same),
     ];
-    let mut told = String::new();
+    let mut report = String::new();
     for (case, arguments, status, body) in cases {
         let address = answer_once(status, body);
         let output = program(folder.path()).args(arguments).args(["--node", &address]).output();
-        describe(&mut told, case, &output.expect("the program runs"));
+        describe(&mut report, case, &output.expect("the program runs"));
     }
-    golden::check_text("outcomes.txt", &told);
+    golden::check_text("outcomes.txt", &report);
 }
 
-/// The first line of a process's log, with its time and all that is drawn or bound at random replaced.
+/// Returns the first line that a process prints, with times, ports, identities and the version masked.
 fn first_line(command: &str, settings: &str, from_stdout: bool) -> String {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("node.toml"), settings).expect("written");
@@ -136,23 +136,23 @@
     BufReader::new(stream).read_line(&mut line).expect("a line");
     child.kill().expect("it can be ended");
     child.wait().expect("it ends");
-    without_digits(line.trim_end()).replace(env!("CARGO_PKG_VERSION"), "VERSION")
+    mask_variable_parts(line.trim_end()).replace(env!("CARGO_PKG_VERSION"), "VERSION")
 }
 
-/// Each run of five hexadecimal digits or more becomes `N`: times, ports and identities, but no event's number.
-fn without_digits(line: &str) -> String {
+/// Replaces words of at least five hexadecimal digits (times, ports, identities, but not event numbers) by `N`.
+fn mask_variable_parts(line: &str) -> String {
     let mut text = String::new();
     for word in line.split_inclusive(|letter: char| !letter.is_ascii_hexdigit()) {
         let digits = word.trim_end_matches(|letter: char| !letter.is_ascii_hexdigit());
-        let is_drawn = digits.len() >= 5 && digits.contains(|letter: char| letter.is_ascii_digit());
-        text.push_str(if is_drawn { "N" } else { digits });
+        let is_variable = digits.len() >= 5 && digits.contains(|letter: char| letter.is_ascii_digit());
+        text.push_str(if is_variable { "N" } else { digits });
         text.push_str(&word[digits.len()..]);
     }
     text
 }
 
 #[test]
-fn a_log_begins_as_ever() {
+fn first_log_lines_match_golden_file() {
     let free = || TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port");
     let (callers, readiness, peers) = (free(), free(), free().port());
     let gateway = SERVING.replace(
