--- a/crates/standins/src/engine/state.rs
+++ b/crates/standins/src/engine/state.rs
@@ -231,8 +231,8 @@
         }
     }
 
-    fn draw_fault(&mut self, share: f64) -> bool {
-        share > 0.0 && self.random.random_bool(share.min(1.0))
+    fn draw_fault(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.random.random_bool(probability.min(1.0))
     }
 
     /// Returns the delayed load report and the cache events from `cache_from` on.
--- a/crates/standins/src/key_value.rs
+++ b/crates/standins/src/key_value.rs
@@ -119,8 +119,8 @@
 
     fn read(&self, key: &str) -> Option<(u64, String)> {
         let mut state = self.lock();
-        let share = state.faults.stale_reads;
-        let is_stale = share > 0.0 && state.random.random_bool(share.min(1.0));
+        let probability = state.faults.stale_reads;
+        let is_stale = probability > 0.0 && state.random.random_bool(probability.min(1.0));
         let stored = state.values.get(key)?;
         if is_stale && let Some(earlier) = stored.earlier.front() {
             return Some(earlier.clone());
@@ -144,8 +144,8 @@
             earlier.truncate(MAX_PREVIOUS_VALUES);
         }
         state.values.insert(key.to_owned(), Stored { version, value, earlier });
-        let share = state.faults.lost_answers;
-        if share > 0.0 && state.random.random_bool(share.min(1.0)) {
+        let probability = state.faults.lost_answers;
+        if probability > 0.0 && state.random.random_bool(probability.min(1.0)) {
             return full(StatusCode::SERVICE_UNAVAILABLE, "");
         }
         json(StatusCode::OK, &json!({"version": version}))
