--- a/crates/bench/src/simulation/callers.rs
+++ b/crates/bench/src/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! Online callers, and what they were answered.
+//! Online callers and the answers they received.
 
 use std::sync::Arc;
 
@@ -15,22 +15,22 @@
 use super::oracle;
 use super::world::World;
 
-/// The model that everybody asks.
+/// Model that all requests name.
 pub const MODEL: &str = "model";
-/// The tenant that everybody is.
+/// Tenant of all callers.
 pub const TENANT: &str = "tenant";
-/// Most tokens of an answer.
+/// Maximum number of tokens in an answer.
 const MAX_TOKENS: u32 = 64;
-/// The mean time between two requests, in milliseconds.
-const MEAN_GAP_MS: u64 = 450;
-/// Requests in a storm.
+/// Mean interval between two requests.
+const MEAN_INTERVAL_MS: u64 = 450;
+/// Number of requests in a storm.
 const STORM_REQUESTS: usize = 120;
-/// How long a caller waits.
+/// Deadline of a request.
 const DEADLINE_MS: u64 = 12_000;
-/// Most times that a caller sends one request.
-const MOST_SENDS: u32 = 6;
+/// Maximum number of times that a caller sends one request.
+const MAX_SENDS: u32 = 6;
 
-/// One online request as its caller sees it.
+/// One online request as observed by its caller.
 pub struct OnlineProbe {
     prompt: String,
     key: Option<String>,
@@ -42,23 +42,23 @@
     runs_before: u64,
 }
 
-/// Online callers.
+/// State of the online callers.
 #[derive(Default)]
 pub struct CallerModel {
     probes: Vec<OnlineProbe>,
 }
 
 impl World {
-    /// New requests arrive.
+    /// Sends a new request and schedules the next one.
     pub fn step_callers(&mut self) {
-        let gap = self.random.random_range(1..=2 * MEAN_GAP_MS);
+        let gap = self.random.random_range(1..=2 * MEAN_INTERVAL_MS);
         if self.now_ms + DEADLINE_MS * 2 < self.end_ms() {
             self.new_request();
             self.schedule(gap, SimEvent::CallerStep);
         }
     }
 
-    /// Many requests arrive at once, and all who are refused come back.
+    /// Sends many requests at once; callers retry the ones that are refused.
     pub fn storm(&mut self) {
         for _ in 0..STORM_REQUESTS {
             self.new_request();
@@ -83,7 +83,7 @@
         self.send_online(number);
     }
 
-    /// Sends a request, for the first time or again.
+    /// Sends a request, either for the first time or as a retry.
     pub fn send_online(&mut self, request: usize) {
         self.count("online_sent");
         let runs_before = self.runs_of(&self.callers.probes[request].prompt);
@@ -107,7 +107,7 @@
             from_token: 0,
         };
         let caller = self.call(slot, CallPurpose::Online(request), CallerCall::Online(call));
-        // Now and then a caller hangs up early.
+        // Occasionally a caller disconnects early.
         if self.random.random_bool(0.02) {
             self.hang_up(caller);
             self.callers.probes[request].done = true;
@@ -118,11 +118,11 @@
         self.random.random()
     }
 
-    /// An answer, or the loss of the connection.
+    /// Handles an answer, or the loss of the connection if there is none.
     pub fn on_online_answer(&mut self, request: usize, _caller: CallerId, answer: Option<CallerAnswer>) {
         match answer {
             Some(CallerAnswer::Piece { text, .. }) => self.callers.probes[request].text.push_str(&text),
-            Some(CallerAnswer::End { .. }) => self.on_whole(request),
+            Some(CallerAnswer::End { .. }) => self.on_complete_answer(request),
             Some(CallerAnswer::Refused(refusal)) => {
                 self.check_refusal(request, refusal.kind, refusal.ran);
                 let after = refusal.retry_after_ms;
@@ -136,30 +136,31 @@
         }
     }
 
-    fn on_whole(&mut self, request: usize) {
+    fn on_complete_answer(&mut self, request: usize) {
         self.count("online_answered");
         let now_ms = self.now_ms;
         let probe = &mut self.callers.probes[request];
         probe.done = true;
         let expected = answer_text(MODEL, &probe.prompt, MAX_TOKENS);
-        let is_whole = probe.text == expected;
+        let is_complete = probe.text == expected;
         let prompt = probe.prompt.clone();
-        self.oracle
-            .check(oracle::WHOLE_ANSWERS, is_whole, now_ms, || format!("{prompt}: the answer is not the whole one"));
+        self.oracle.check(oracle::COMPLETE_ANSWERS, is_complete, now_ms, || {
+            format!("{prompt}: the answer is incomplete or wrong")
+        });
     }
 
-    /// What is said about running is held against the engines' own count.
+    /// Checks a refusal's claim about execution against the engines' execution counts.
     fn check_refusal(&mut self, request: usize, kind: ErrorKind, ran: Ran) {
         self.count("online_refused");
         let now_ms = self.now_ms;
         let probe = &self.callers.probes[request];
         let runs = self.runs_of(&probe.prompt);
-        // A repeatable request may have run at an earlier sending; the word is about this one.
+        // A repeatable request may have run on an earlier send; the refusal covers only the latest one.
         let counted = if probe.repeatable { runs - probe.runs_before } else { runs };
         let prompt = probe.prompt.clone();
         if ran == Ran::NotRun {
-            self.oracle.check(oracle::NOT_RUN_IS_TRUE, counted == 0, now_ms, || {
-                format!("{prompt}: {} says not run, but it ran {counted} times", kind.code())
+            self.oracle.check(oracle::NOT_RUN_IS_ACCURATE, counted == 0, now_ms, || {
+                format!("{prompt}: {} reported not run, but it ran {counted} times", kind.code())
             });
         }
     }
@@ -167,7 +168,7 @@
     fn maybe_retry(&mut self, request: usize, kind: ErrorKind, after_ms: Option<u64>) {
         let probe = &self.callers.probes[request];
         let final_kinds = [ErrorKind::AlreadyRan, ErrorKind::OutcomeUnknown, ErrorKind::MalformedRequest];
-        let is_final = probe.done || probe.sends >= MOST_SENDS || final_kinds.contains(&kind);
+        let is_final = probe.done || probe.sends >= MAX_SENDS || final_kinds.contains(&kind);
         if is_final || self.now_ms + DEADLINE_MS * 2 > self.end_ms() {
             return;
         }
@@ -175,7 +176,7 @@
         self.schedule(wait, SimEvent::CallerRetry { request });
     }
 
-    /// At the end: not-repeatable requests ran at most once.
+    /// Checks at the end of the run that non-repeatable requests ran at most once.
     pub fn check_callers_at_end(&mut self) {
         let now_ms = self.now_ms;
         let counts: Vec<(String, u64)> = self
--- a/crates/bench/src/simulation/calls.rs
+++ b/crates/bench/src/simulation/calls.rs
@@ -1,6 +1,6 @@
-//! Calls at nodes: who waits where, and which model gets the answer.
+//! Pending calls at nodes, and dispatch of their answers to the caller models.
 //!
-//! Owns the kinds of calls. Relies on `callers`, `jobs` and `operators`, which make the calls and judge the
+//! Owns the kinds of calls. Relies on `callers`, `jobs` and `operators`, which make the calls and check the
 //! answers.
 
 use stallmoor_core::identity::CallerId;
@@ -10,38 +10,38 @@
 use super::oracle;
 use super::world::World;
 
-/// Who made a call, and where.
+/// Origin of a call and the node that received it.
 #[derive(Clone, Copy, Debug)]
 pub struct CallOwner {
-    /// The node.
+    /// Slot of the node that received the call.
     pub slot: usize,
-    /// What the call is for.
+    /// Purpose of the call.
     pub purpose: CallPurpose,
 }
 
-/// What a call is for.
+/// Purpose of a call. Each variant holds the index of the request, job or change.
 #[derive(Clone, Copy, Debug)]
 pub enum CallPurpose {
     /// An online request.
     Online(usize),
-    /// A job's submission.
+    /// Submission of a job.
     Submit(usize),
-    /// A submission of other content under a job's key.
+    /// Submission of different content under a job's key.
     Conflicting(usize),
-    /// A job's status.
+    /// Query for a job's status.
     Status(usize),
-    /// A page of a job's results.
+    /// Query for a page of a job's results.
     Results(usize),
-    /// Some of a job's results, out of order.
+    /// Out-of-order query for some of a job's results.
     Peek(usize),
-    /// A job's cancellation.
+    /// Cancellation of a job.
     Cancel(usize),
-    /// An operator's change.
+    /// Application of an operator's change.
     Apply(usize),
 }
 
 impl World {
-    /// Makes a call at a node.
+    /// Sends a call to a node.
     pub fn call(&mut self, slot: usize, purpose: CallPurpose, call: CallerCall) -> CallerId {
         let caller = CallerId(self.next_caller);
         self.next_caller += 1;
@@ -57,7 +57,7 @@
         caller
     }
 
-    /// A caller hangs up.
+    /// Disconnects a caller.
     pub fn hang_up(&mut self, caller: CallerId) {
         if let Some(owner) = self.calls.remove(&caller) {
             let event = Box::new(Event::CallerGone(caller));
@@ -74,7 +74,7 @@
             let table = refusal.kind.answer();
             let says_when = table.retry_after_ms.is_none() || refusal.retry_after_ms.is_some();
             let now_ms = self.now_ms;
-            self.oracle.check(oracle::REFUSAL_SAYS_WHEN, says_when, now_ms, || refusal.kind.code().to_owned());
+            self.oracle.check(oracle::REFUSAL_HAS_RETRY_DELAY, says_when, now_ms, || refusal.kind.code().to_owned());
         }
         match owner.purpose {
             CallPurpose::Online(request) => self.on_online_answer(request, caller, answer),
@@ -82,13 +82,13 @@
             CallPurpose::Conflicting(job) => self.on_conflicting(job, answer),
             CallPurpose::Status(job) => self.on_job_status(job, answer),
             CallPurpose::Results(job) => self.on_job_results(job, answer),
-            CallPurpose::Peek(job) => self.on_peeked(job, answer),
+            CallPurpose::Peek(job) => self.on_peek(job, answer),
             CallPurpose::Cancel(job) => self.on_cancelled(job, answer),
             CallPurpose::Apply(change) => self.on_applied(change, answer),
         }
     }
 
-    pub(super) fn has_answer_on_its_way(&self, caller: CallerId) -> bool {
+    pub(super) fn has_answer_in_flight(&self, caller: CallerId) -> bool {
         self.queue.events().any(|event| match event {
             SimEvent::Answer { caller: to, answer: Some(answer) } => *to == caller && answer.is_final(),
             SimEvent::Node { event, .. } => matches!(&**event, Event::Call { caller: by, .. } if *by == caller),
--- a/crates/bench/src/simulation/effects.rs
+++ b/crates/bench/src/simulation/effects.rs
@@ -1,7 +1,7 @@
-//! Carries out what a node's decision code wants: writes to its disk, messages, calls, streams and answers.
+//! Executes the effects that a node's decision code emits: disk writes, messages, calls, streams and answers.
 //!
-//! Owns no state. Relies on the order that a real node keeps: what is to be persisted is on disk before
-//! anything is said, and a crash may fall on either side of the write.
+//! Owns no state. Keeps the order of a real node: state is persisted before any message is sent, and a crash may
+//! occur on either side of the write.
 
 use std::net::SocketAddr;
 
@@ -70,14 +70,14 @@
                 self.schedule(2, SimEvent::Answer { caller, answer: Some(Box::new(answer)) });
             }
             Effect::Log { event, detail } => {
-                self.note(|| format!("node {slot} E{:03} {event:?}: {detail}", event.number()));
+                self.trace_event(|| format!("node {slot} E{:03} {event:?}: {detail}", event.number()));
             }
             Effect::Exit => self.exit_node(slot),
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: PeerMessage) {
-        let Some(target) = self.by_address.get(&to).copied() else { return };
+        let Some(target) = self.slots_by_address.get(&to).copied() else { return };
         let ends = ((from, self.slots[from].zone), (target, self.slots[target].zone));
         let deliveries = self.network.route(ends.0, ends.1, &mut self.random);
         for delay in deliveries {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A piece of a stream arrives at the node that asked for it.
+    /// Delivers a stream event to the node that requested the stream.
     pub fn stream_event(&mut self, after_ms: u64, slot: usize, process: u64, attempt: AttemptId, event: StreamEvent) {
         let event = Box::new(Event::Stream { attempt, event });
         self.schedule(after_ms, SimEvent::Node { slot, process: Some(process), event });
@@ -99,10 +99,10 @@
         let highest = target.highest_revision;
         if revision != highest {
             target.highest_revision = highest.max(revision);
-            self.oracle.check(oracle::CONFIGURATION_NEVER_REVERTS, revision > highest, now_ms, || {
+            self.oracle.check(oracle::REVISION_NEVER_DECREASES, revision > highest, now_ms, || {
                 format!("node {slot} went from revision {highest} to {revision}")
             });
-            self.note_revision(slot, revision);
+            self.record_revision(slot, revision);
         }
     }
 }
--- a/crates/bench/src/simulation/engines.rs
+++ b/crates/bench/src/simulation/engines.rs
@@ -1,4 +1,4 @@
-//! Engines with their faults, and their own count of runs.
+//! Engines with their faults, and their execution counts.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -11,31 +11,31 @@
 use stallmoor_emulator::{answer_length, answer_token};
 
 use super::events::SimEvent;
-use super::nodes::ZONES;
+use super::nodes::ZONE_COUNT;
 use super::oracle;
 use super::world::World;
 
-/// Engines.
-pub const ENGINES: usize = 6;
-/// Sequences that an engine takes at once.
-const SLOTS: usize = 12;
-/// Tokens in one piece.
-const PIECE_TOKENS: u32 = 12;
-/// A leaving engine may be offered work for this long beyond the machine list's lag.
+/// Number of engines.
+pub const ENGINE_COUNT: usize = 6;
+/// Number of sequences that an engine runs concurrently.
+const ENGINE_SLOTS: usize = 12;
+/// Maximum number of tokens in one piece.
+const MAX_PIECE_TOKENS: u32 = 12;
+/// Time beyond the machine list's delay during which a leaving engine may still be offered work.
 const LEAVING_GRACE_MS: u64 = 3_000;
 
-/// What ails an engine now. Shares are from 0 to 1.
+/// Active impairments of an engine. Fractions are from 0 to 1.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct EngineAilments {
-    /// Share of steps at which a stream breaks off.
+pub struct EngineImpairments {
+    /// Fraction of steps at which a stream breaks.
     pub truncated: f64,
-    /// Share of pieces sent twice.
+    /// Fraction of pieces sent twice.
     pub doubled: f64,
-    /// Share of steps at which another stream's piece comes along.
+    /// Fraction of steps at which a piece of another stream is also sent.
     pub crossed: f64,
-    /// Share of pieces left out.
+    /// Fraction of pieces omitted.
     pub gaps: f64,
-    /// Most milliseconds of extra delay of a piece.
+    /// Maximum extra delay of a piece, in milliseconds.
     pub late_ms: u64,
 }
 
@@ -46,44 +46,44 @@
     process: u64,
     next_token: u32,
     length: u32,
-    /// Pieces arrive in order: none earlier than this.
+    /// Earliest arrival time of the next piece, which keeps pieces in order.
     earliest_ms: u64,
 }
 
-/// An engine.
+/// State of one engine.
 pub struct EngineModel {
-    /// Its name.
+    /// Engine name.
     pub name: EngineName,
-    /// Its address.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// Raised with each start.
+    /// Incarnation number, incremented at each start.
     pub incarnation: u64,
-    /// Whether it runs.
+    /// Whether the engine is running.
     pub is_up: bool,
-    /// Since when it is leaving.
+    /// Time at which the engine began to leave, if it is leaving.
     pub leaving_since_ms: Option<u64>,
-    /// Until when it does nothing.
+    /// Time until which the engine is frozen.
     pub frozen_until_ms: u64,
-    /// The latest epoch that it accepts orders of.
+    /// Latest epoch seen; orders from older epochs are rejected.
     pub fence: u64,
-    /// The latest epoch of an order that it carried out.
+    /// Epoch of the last order executed.
     pub executed_epoch: u64,
-    /// Model versions it has loaded.
+    /// Model versions that are loaded.
     pub loaded: Vec<String>,
-    /// What ails it.
-    pub ailments: EngineAilments,
+    /// Active impairments.
+    pub impairments: EngineImpairments,
     streams: BTreeMap<AttemptId, EngineStream>,
-    /// Runs by prompt, over all incarnations.
+    /// Number of runs by prompt, over all incarnations.
     pub runs: BTreeMap<String, u64>,
 }
 
 impl World {
-    /// Adds the engines.
+    /// Adds all engines.
     pub fn add_engines(&mut self) {
-        for place in 0..ENGINES {
-            let ip = IpAddr::V4(Ipv4Addr::new(10, 9, 0, place as u8 + 1));
+        for index in 0..ENGINE_COUNT {
+            let ip = IpAddr::V4(Ipv4Addr::new(10, 9, 0, index as u8 + 1));
             self.engines.push(EngineModel {
-                name: EngineName::new(&format!("engine-{place}")),
+                name: EngineName::new(&format!("engine-{index}")),
                 address: SocketAddr::new(ip, 8_000),
                 incarnation: 1,
                 is_up: true,
@@ -92,29 +92,29 @@
                 fence: 0,
                 executed_epoch: 0,
                 loaded: Vec::new(),
-                ailments: EngineAilments::default(),
+                impairments: EngineImpairments::default(),
                 streams: BTreeMap::new(),
                 runs: BTreeMap::new(),
             });
-            self.report_machine(place, false);
+            self.report_machine(index, false);
         }
     }
 
-    /// The configuration file that lists the engines.
+    /// Returns the configuration file that lists the engines.
     pub fn machines_file(&self) -> String {
         let mut text = String::new();
-        for (place, engine) in self.engines.iter().enumerate() {
+        for (index, engine) in self.engines.iter().enumerate() {
             text.push_str(&format!(
-                "[[machine]]\nname = \"{}\"\naddress = \"{}\"\nzone = \"zone-{}\"\nservice = \"service\"\nslots = {SLOTS}\n\n",
+                "[[machine]]\nname = \"{}\"\naddress = \"{}\"\nzone = \"zone-{}\"\nservice = \"service\"\nslots = {ENGINE_SLOTS}\n\n",
                 engine.name,
                 engine.address,
-                place % ZONES
+                index % ZONE_COUNT
             ));
         }
         text
     }
 
-    /// How often a prompt ran, over all engines.
+    /// Returns the number of runs of a prompt over all engines.
     pub fn runs_of(&self, prompt: &str) -> u64 {
         self.engines.iter().filter_map(|engine| engine.runs.get(prompt)).sum()
     }
@@ -126,7 +126,7 @@
         self.machines.report(now_ms, report);
     }
 
-    /// A node asks an engine for its load.
+    /// Handles a node's request for an engine's load.
     pub fn poll_engine(&mut self, slot: usize, process: u64, engine: &EngineName, address: SocketAddr) {
         let found = self.engines.iter().find(|model| model.address == address);
         let report = found.filter(|model| model.is_up && self.now_ms >= model.frozen_until_ms).map(load_of);
@@ -135,18 +135,18 @@
         self.schedule(delay, SimEvent::Node { slot, process: Some(process), event });
     }
 
-    /// A node gives an order. It may arrive late.
+    /// Sends a node's order to an engine, possibly delayed.
     pub fn order_engine(&mut self, slot: usize, process: u64, order: EngineOrder) {
         let now_ms = self.now_ms;
         let other = self.other_control_holder(slot);
         self.oracle.check(oracle::ONE_CONTROL_HOLDER, other.is_none(), now_ms, || {
-            format!("node {slot} gives orders while node {other:?} holds the lease too")
+            format!("node {slot} sends orders while node {other:?} also holds the lease")
         });
         let delay = self.random.random_range(1..=30) * self.random.random_range(1..=30);
         self.schedule(delay, SimEvent::EngineOrder { order: Box::new(order), slot, process });
     }
 
-    /// An order arrives at an engine.
+    /// Handles an order that arrived at an engine.
     pub fn carry_out_order(&mut self, order: &EngineOrder, slot: usize, process: u64) {
         let now_ms = self.now_ms;
         let found = self.engines.iter_mut().find(|engine| engine.address == order.address && engine.is_up);
@@ -164,7 +164,7 @@
                 let loaded = engine.loaded.clone();
                 let epoch = order.epoch;
                 self.oracle.check(oracle::ORDERS_ARE_FENCED, epoch >= before, now_ms, || {
-                    format!("an order of epoch {epoch} was carried out after one of {before}")
+                    format!("an order of epoch {epoch} was executed after one of epoch {before}")
                 });
                 OrderOutcome::Done { loaded }
             }
@@ -174,22 +174,22 @@
         self.schedule(2, SimEvent::Node { slot, process: Some(process), event });
     }
 
-    /// A request arrives at an engine.
+    /// Handles a request that arrived at an engine.
     pub fn offer_to_engine(&mut self, request: EngineRequest, slot: usize, process: u64) {
         let attempt = request.attempt;
         let found = self.engines.iter().position(|engine| engine.address == request.address && engine.is_up);
-        let Some(place) = found else {
+        let Some(index) = found else {
             self.stream_event(1, slot, process, attempt, StreamEvent::NotSent);
             return;
         };
-        self.check_leaving(place, slot);
-        let frozen_for = self.engines[place].frozen_until_ms.saturating_sub(self.now_ms);
-        let engine = &mut self.engines[place];
+        self.check_leaving(index, slot);
+        let frozen_for = self.engines[index].frozen_until_ms.saturating_sub(self.now_ms);
+        let engine = &mut self.engines[index];
         if engine.leaving_since_ms.is_some() {
             self.stream_event(1, slot, process, attempt, StreamEvent::Refused { leaving: true });
             return;
         }
-        if engine.streams.len() >= SLOTS * 2 {
+        if engine.streams.len() >= ENGINE_SLOTS * 2 {
             self.stream_event(1, slot, process, attempt, StreamEvent::Refused { leaving: false });
             return;
         }
@@ -198,7 +198,7 @@
         let next_token = request.from_token;
         let stream = EngineStream { request, slot, process, next_token, length, earliest_ms: 0 };
         engine.streams.insert(attempt, stream);
-        self.schedule(frozen_for + 20, SimEvent::EngineStep { engine: place, attempt });
+        self.schedule(frozen_for + 20, SimEvent::EngineStep { engine: index, attempt });
     }
 
     fn check_leaving(&mut self, engine: usize, slot: usize) {
@@ -206,31 +206,31 @@
         let now_ms = self.now_ms;
         let bound = self.machines.lag_ms + LEAVING_GRACE_MS;
         let disturbed = self.slots[slot].disturbed_ms.max(self.faults.disturbed_ms);
-        // A node that was paused or cut off can't have heard.
+        // A node that was paused or partitioned may not have received the change.
         if now_ms < disturbed + bound || self.network.has_cuts() {
             return;
         }
         let name = self.engines[engine].name.clone();
-        self.oracle.check(oracle::LEAVING_GETS_NOTHING, now_ms <= since + bound, now_ms, || {
-            format!("{name} is leaving since {since} ms and was offered work by node {slot}")
+        self.oracle.check(oracle::NO_WORK_FOR_LEAVING, now_ms <= since + bound, now_ms, || {
+            format!("{name} has been leaving since {since} ms and was offered work by node {slot}")
         });
     }
 
-    /// A cancellation arrives.
+    /// Handles a cancellation that arrived.
     pub fn cancel_at_engine(&mut self, attempt: AttemptId) {
         for engine in &mut self.engines {
             engine.streams.remove(&attempt);
         }
     }
 
-    /// A node's connections broke: its streams end.
+    /// Ends the streams of a node whose connections broke.
     pub fn drop_streams_of(&mut self, slot: usize, process: u64) {
         for engine in &mut self.engines {
             engine.streams.retain(|_, stream| stream.slot != slot || stream.process != process);
         }
     }
 
-    /// A stream makes a step: a piece, and at last the end.
+    /// Advances a stream by one piece, or ends it after the last one.
     pub fn step_engine(&mut self, engine: usize, attempt: AttemptId) {
         let model = &self.engines[engine];
         if !model.is_up || !model.streams.contains_key(&attempt) {
@@ -241,25 +241,25 @@
             self.schedule(frozen_for, SimEvent::EngineStep { engine, attempt });
             return;
         }
-        let ailments = model.ailments;
+        let impairments = model.impairments;
         let load = model.streams.len() as u64;
-        if hits(&mut self.random, ailments.truncated) {
+        if draw_bool(&mut self.random, impairments.truncated) {
             self.break_stream(engine, attempt);
             return;
         }
-        self.send_piece(engine, attempt, ailments);
-        if hits(&mut self.random, ailments.crossed) {
+        self.send_piece(engine, attempt, impairments);
+        if draw_bool(&mut self.random, impairments.crossed) {
             self.cross_streams(engine, attempt);
         }
         self.schedule(60 + load * 4, SimEvent::EngineStep { engine, attempt });
     }
 
-    fn send_piece(&mut self, engine: usize, attempt: AttemptId, ailments: EngineAilments) {
-        let delay = 1 + self.random.random_range(0..=ailments.late_ms);
+    fn send_piece(&mut self, engine: usize, attempt: AttemptId, impairments: EngineImpairments) {
+        let delay = 1 + self.random.random_range(0..=impairments.late_ms);
         let now_ms = self.now_ms;
         let Some(stream) = self.engines[engine].streams.get_mut(&attempt) else { return };
         let (slot, process) = (stream.slot, stream.process);
-        // One connection keeps its order.
+        // Pieces on one connection arrive in order.
         stream.earliest_ms = stream.earliest_ms.max(now_ms + delay);
         let after = stream.earliest_ms - now_ms;
         if stream.next_token >= stream.length {
@@ -269,19 +269,19 @@
             return;
         }
         let first = stream.next_token;
-        let tokens = PIECE_TOKENS.min(stream.length - first);
+        let tokens = MAX_PIECE_TOKENS.min(stream.length - first);
         stream.next_token += tokens;
         let event = piece_of(attempt, &stream.request, first, tokens);
-        if hits(&mut self.random, ailments.gaps) {
+        if draw_bool(&mut self.random, impairments.gaps) {
             return;
         }
-        if hits(&mut self.random, ailments.doubled) {
+        if draw_bool(&mut self.random, impairments.doubled) {
             self.stream_event(after, slot, process, attempt, event.clone());
         }
         self.stream_event(after, slot, process, attempt, event);
     }
 
-    /// A piece of another stream comes along on this one.
+    /// Sends a piece of another stream on this one.
     fn cross_streams(&mut self, engine: usize, attempt: AttemptId) {
         let streams = &self.engines[engine].streams;
         let Some(stream) = streams.get(&attempt) else { return };
@@ -299,7 +299,7 @@
         }
     }
 
-    /// An engine dies with its streams in flight.
+    /// Kills an engine together with its active streams.
     pub fn kill_engine(&mut self, engine: usize) {
         self.engines[engine].is_up = false;
         let attempts: Vec<AttemptId> = self.engines[engine].streams.keys().copied().collect();
@@ -308,7 +308,7 @@
         }
     }
 
-    /// An engine comes back as a new incarnation.
+    /// Starts an engine as a new incarnation.
     pub fn start_engine(&mut self, engine: usize) {
         let model = &mut self.engines[engine];
         if model.is_up && model.leaving_since_ms.is_none() {
@@ -322,13 +322,13 @@
         self.report_machine(engine, false);
     }
 
-    /// An engine takes no new work from now on.
+    /// Marks an engine as leaving, after which it must not be offered new work.
     pub fn begin_leaving(&mut self, engine: usize) {
         self.engines[engine].leaving_since_ms = Some(self.now_ms);
         self.report_machine(engine, true);
     }
 
-    /// A frozen engine goes on. Its streams have their own timers.
+    /// Resumes a frozen engine. Its streams have their own timers.
     pub fn thaw_engine(&mut self, engine: usize) {
         self.engines[engine].frozen_until_ms = 0;
     }
@@ -339,7 +339,7 @@
     let batch = engine.streams.len() as u32 - online;
     LoadReport {
         incarnation: engine.incarnation,
-        slots: SLOTS as u32,
+        slots: ENGINE_SLOTS as u32,
         running_online: online,
         running_batch: batch,
         queued_online: 0,
@@ -350,10 +350,10 @@
 }
 
 fn piece_of(attempt: AttemptId, request: &EngineRequest, first: u32, tokens: u32) -> StreamEvent {
-    let text = (first..first + tokens).map(|place| answer_token(&request.model, &request.prompt, place)).collect();
+    let text = (first..first + tokens).map(|index| answer_token(&request.model, &request.prompt, index)).collect();
     StreamEvent::Piece { attempt, first, tokens, text }
 }
 
-fn hits(random: &mut rand_xoshiro::Xoshiro256PlusPlus, share: f64) -> bool {
-    share > 0.0 && random.random_bool(share)
+fn draw_bool(random: &mut rand_xoshiro::Xoshiro256PlusPlus, probability: f64) -> bool {
+    probability > 0.0 && random.random_bool(probability)
 }
--- a/crates/bench/src/simulation/events.rs
+++ b/crates/bench/src/simulation/events.rs
@@ -1,7 +1,7 @@
-//! What can happen in the simulation: the entries of the world's queue.
+//! Event types of the simulation: the entries of the world's event queue.
 //!
-//! Owns no state. An event that is meant for one start of a node names its process, so that it is lost when
-//! that process dies, as an open connection would be.
+//! Owns no state. An event addressed to one incarnation of a node carries its process number, so that it is
+//! dropped when that process crashes, as an open connection would be.
 
 use std::net::SocketAddr;
 
@@ -11,107 +11,107 @@
 
 use super::faults::Fault;
 
-/// Something that happens at a time.
+/// An event on the virtual clock.
 #[derive(Debug)]
 pub enum SimEvent {
-    /// A node's clock ticks.
+    /// The timer of a node fires.
     Tick {
-        /// The node.
+        /// Slot of the node.
         slot: usize,
-        /// The start of the node that this is for.
+        /// Process number that the event is addressed to.
         process: u64,
     },
-    /// An event arrives at a node.
+    /// An event is delivered to a node.
     Node {
-        /// The node.
+        /// Slot of the node.
         slot: usize,
-        /// The start of the node that this is for; `None` for whoever is there.
+        /// Process number that the event is addressed to, or `None` for whichever process is running.
         process: Option<u64>,
-        /// The event.
+        /// The event to deliver.
         event: Box<Event>,
     },
-    /// A message arrives at an address.
+    /// A peer message is delivered to an address.
     Message {
-        /// The address.
+        /// Destination address.
         to: SocketAddr,
-        /// The message.
+        /// The message to deliver.
         message: Box<PeerMessage>,
     },
     /// A node starts.
     Start {
-        /// The node.
+        /// Slot of the node.
         slot: usize,
     },
-    /// A paused node goes on.
+    /// A paused node resumes.
     Resume {
-        /// The node.
+        /// Slot of the node.
         slot: usize,
     },
-    /// An answer arrives at a caller; `None` means that the connection broke.
+    /// An answer is delivered to a caller; `None` means that the connection broke.
     Answer {
         /// The caller.
         caller: CallerId,
         /// The answer.
         answer: Option<Box<CallerAnswer>>,
     },
-    /// A stream at an engine makes a step.
+    /// A stream at an engine advances by one step.
     EngineStep {
-        /// The engine.
+        /// Index of the engine.
         engine: usize,
-        /// The stream.
+        /// Attempt that the stream belongs to.
         attempt: AttemptId,
     },
-    /// A request arrives at an engine.
+    /// A request is delivered to an engine.
     EngineRequest {
         /// The request.
         request: Box<EngineRequest>,
-        /// Who sent it.
+        /// Slot of the sending node.
         slot: usize,
-        /// The start of the sender.
+        /// Process number of the sending node.
         process: u64,
     },
-    /// An order arrives at an engine.
+    /// An order is delivered to an engine.
     EngineOrder {
         /// The order.
         order: Box<EngineOrder>,
-        /// Who gave it.
+        /// Slot of the sending node.
         slot: usize,
-        /// The start of the giver.
+        /// Process number of the sending node.
         process: u64,
     },
-    /// A cancellation arrives at an engine.
+    /// A cancellation is delivered to an engine.
     EngineCancel {
-        /// The stream.
+        /// Attempt to cancel.
         attempt: AttemptId,
     },
-    /// An engine comes back.
+    /// An engine restarts.
     EngineStart {
-        /// The engine.
+        /// Index of the engine.
         engine: usize,
     },
-    /// An engine thaws.
+    /// A frozen engine resumes.
     EngineThaw {
-        /// The engine.
+        /// Index of the engine.
         engine: usize,
     },
-    /// Callers do something.
+    /// Online callers send a new request.
     CallerStep,
-    /// A caller tries again.
+    /// An online caller retries a request.
     CallerRetry {
-        /// Which.
+        /// Index of the request.
         request: usize,
     },
-    /// A job's submitter does something.
+    /// A job's submitter performs its next step.
     JobStep {
-        /// Which.
+        /// Index of the job.
         job: usize,
     },
     /// A new job is submitted.
     NewJob,
-    /// An operator does something.
+    /// An operator applies a change.
     OperatorStep,
-    /// The next failure.
+    /// The next fault is injected.
     NextFault,
-    /// A failure ends.
+    /// A fault ends.
     EndFault(Fault),
 }
--- a/crates/bench/src/simulation/faults.rs
+++ b/crates/bench/src/simulation/faults.rs
@@ -1,67 +1,67 @@
-//! What breaks, when, and for how long.
+//! Fault injection: kinds of faults, when they occur and how long they last.
 
 use std::collections::BTreeMap;
 
 use rand::Rng;
 use stallmoor_core::identity::GroupId;
 
-use super::engines::{ENGINES, EngineAilments};
+use super::engines::{ENGINE_COUNT, EngineImpairments};
 use super::events::SimEvent;
 use super::network::Noise;
-use super::nodes::{CrashPoint, ZONES};
-use super::platform::{KeyValueAilments, USUAL_LAG_MS};
+use super::nodes::{CrashPoint, ZONE_COUNT};
+use super::platform::{DEFAULT_LAG_MS, KeyValueImpairments};
 use super::world::World;
 
-/// The mean time between two failures, in milliseconds.
-const MEAN_GAP_MS: u64 = 6_000;
-/// Time between two looks at the fleet's health once failures are over, in milliseconds.
-const HEALTH_MS: u64 = 500;
+/// Mean interval between two faults.
+const MEAN_INTERVAL_MS: u64 = 6_000;
+/// Interval between two checks of the fleet's health after the faults have ended.
+const HEALTH_CHECK_INTERVAL_MS: u64 = 500;
 
-/// What breaks.
+/// State of fault injection.
 #[derive(Default)]
 pub struct FaultPlan {
-    /// Failures injected, by kind.
+    /// Number of faults injected, by kind.
     pub counts: BTreeMap<&'static str, u64>,
-    /// When the network last was cut or noisy.
+    /// Last time at which a partition or network impairment began or ended.
     pub disturbed_ms: u64,
-    /// How long after the last failure all groups were whole, in milliseconds.
-    pub worst_healthy_ms: u64,
+    /// Time from the last fault until all groups were fully replicated.
+    pub recovery_ms: u64,
     is_healthy: bool,
 }
 
-/// A failure that ends by itself.
+/// A fault that ends after a scheduled duration.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// A cut of links, one way each.
+    /// A partition between two nodes, in one or both directions.
     Links {
-        /// One end.
+        /// Slot of one node.
         from: usize,
-        /// The other.
+        /// Slot of the other node.
         to: usize,
     },
-    /// A cut of a zone.
+    /// A zone is partitioned from the others.
     Zone(usize),
-    /// A noisy network.
+    /// The network loses, duplicates and delays messages.
     Noise,
-    /// Something ails the key-value service.
+    /// The key-value service is impaired.
     KeyValue,
-    /// Something ails an engine.
+    /// An engine is impaired.
     Engine(usize),
-    /// The machine list is late.
+    /// The machine list is delayed.
     MachineList,
 }
 
 impl World {
-    /// The next failure, or once they are over a look at the fleet's health.
+    /// Injects the next fault or, in the fault-free period, checks the fleet's health.
     pub fn next_fault(&mut self) {
-        if self.is_quiet() {
-            self.watch_health();
+        if self.is_fault_free() {
+            self.check_health();
             return;
         }
-        let gap = self.random.random_range(1..=2 * MEAN_GAP_MS);
+        let gap = self.random.random_range(1..=2 * MEAN_INTERVAL_MS);
         self.schedule(gap, SimEvent::NextFault);
         self.inject();
-        // At times two things break together.
+        // Sometimes injects two faults at the same time.
         if self.random.random_bool(0.25) {
             self.inject();
         }
@@ -74,16 +74,16 @@
             3 | 4 => self.pause(),
             5 => self.lose_disk(),
             6 => self.replace_node(),
-            7 | 8 => self.stop_by_plan(),
+            7 | 8 => self.stop_gracefully(),
             9 | 10 => self.cut_links(),
             11 => self.cut_zone(),
-            12 => self.make_noise(),
-            13..=15 => self.ail_key_value(),
-            16 => self.engine_dies(),
-            17 => self.engine_leaves(),
-            18 => self.engine_freezes(),
-            19 => self.ail_engine(),
-            20 => self.disturb_clock_or_list(),
+            12 => self.impair_network(),
+            13..=15 => self.impair_key_value(),
+            16 => self.crash_engine(),
+            17 => self.drain_engine(),
+            18 => self.freeze_engine(),
+            19 => self.impair_engine(),
+            20 => self.impair_clock_or_machine_list(),
             _ => {
                 self.tally("retry_storm");
                 self.storm();
@@ -93,12 +93,12 @@
 
     fn tally(&mut self, kind: &'static str) {
         *self.faults.counts.entry(kind).or_default() += 1;
-        self.note(|| format!("fault: {kind}"));
+        self.trace_event(|| format!("fault: {kind}"));
     }
 
-    /// How long something lasts; it ends before the quiet begins.
-    fn lasting(&mut self, shortest: u64, longest: u64) -> u64 {
-        let left = self.quiet_from_ms().saturating_sub(self.now_ms);
+    /// Draws a duration that ends before the fault-free period begins.
+    fn draw_duration(&mut self, shortest: u64, longest: u64) -> u64 {
+        let left = self.fault_free_from_ms().saturating_sub(self.now_ms);
         self.random.random_range(shortest..=longest).min(left.max(1))
     }
 
@@ -108,7 +108,7 @@
         let slot = self.random_node();
         self.tally("kill");
         self.kill_node(slot);
-        let back = self.lasting(500, 20_000);
+        let back = self.draw_duration(500, 20_000);
         self.schedule(back, SimEvent::Start { slot });
     }
 
@@ -124,7 +124,7 @@
         self.tally("pause");
         self.slots[slot].paused = true;
         self.slots[slot].disturbed_ms = self.now_ms;
-        let span = self.lasting(300, 15_000);
+        let span = self.draw_duration(300, 15_000);
         self.schedule(span, SimEvent::Resume { slot });
     }
 
@@ -139,13 +139,13 @@
     fn lose_disk_of(&mut self, slot: usize) {
         self.kill_node(slot);
         self.wipe_disk(slot);
-        let back = self.lasting(500, 10_000);
+        let back = self.draw_duration(500, 10_000);
         self.schedule(back, SimEvent::Start { slot });
     }
 
-    /// A write was acknowledged: at times its leader's disk is lost right after.
+    /// Sometimes wipes the leader's disk right after a write was acknowledged.
     pub fn on_acknowledged_write(&mut self, group: GroupId) {
-        if self.is_quiet() || !self.random.random_bool(0.06) || !self.may_lose_disk() {
+        if self.is_fault_free() || !self.random.random_bool(0.06) || !self.may_lose_disk() {
             return;
         }
         let leads = |world: &World, slot: usize| {
@@ -159,31 +159,31 @@
         }
     }
 
-    /// A change was accepted: at times the key-value service goes down right after, and the node that
-    /// accepted it dies.
+    /// Sometimes takes the key-value service down right after a change was accepted, and crashes the node that
+    /// accepted it.
     pub fn on_accepted_change(&mut self, slot: usize) {
-        if self.is_quiet() || !self.random.random_bool(0.15) {
+        if self.is_fault_free() || !self.random.random_bool(0.15) {
             return;
         }
         self.tally("key_value_down_after_apply");
-        self.key_value.ailments = KeyValueAilments { down: true, ..KeyValueAilments::default() };
-        let span = self.lasting(20_000, 90_000);
+        self.key_value.impairments = KeyValueImpairments { down: true, ..KeyValueImpairments::default() };
+        let span = self.draw_duration(20_000, 90_000);
         self.schedule(span, SimEvent::EndFault(Fault::KeyValue));
         if self.random.random_bool(0.5) {
             self.tally("accepting_node_dies");
             self.kill_node(slot);
-            let back = self.lasting(5_000, 60_000);
+            let back = self.draw_duration(5_000, 60_000);
             self.schedule(back, SimEvent::Start { slot });
         }
     }
 
-    /// Three copies bear the loss of one disk at a time: a second may go only once every group is whole.
+    /// Allows a disk loss only while every group is fully replicated, as three replicas tolerate one lost disk.
     fn may_lose_disk(&self) -> bool {
-        self.groups_are_whole()
+        self.groups_are_fully_replicated()
     }
 
-    fn groups_are_whole(&self) -> bool {
-        let mut whole: BTreeMap<u32, bool> = BTreeMap::new();
+    fn groups_are_fully_replicated(&self) -> bool {
+        let mut replicated: BTreeMap<u32, bool> = BTreeMap::new();
         let identities: Vec<String> = self
             .slots
             .iter()
@@ -193,30 +193,30 @@
         for status in self.slots.iter().filter_map(|slot| slot.node.as_ref()).map(|node| node.status()) {
             for group in status.groups {
                 let alive = group.voters.iter().all(|voter| identities.contains(voter));
-                let is_whole = group.leads && group.caught_up && group.voters.len() == 3 && alive;
-                *whole.entry(group.group).or_default() |= is_whole;
+                let is_complete = group.leads && group.caught_up && group.voters.len() == 3 && alive;
+                *replicated.entry(group.group).or_default() |= is_complete;
             }
         }
-        !whole.is_empty() && whole.values().all(|whole| *whole)
+        !replicated.is_empty() && replicated.values().all(|replicated| *replicated)
     }
 
-    /// A machine goes for good; another takes its place at another address.
+    /// Retires a node permanently and starts a replacement at a new address.
     fn replace_node(&mut self) {
         let slot = self.random_node();
-        let is_storing = self.slots[slot].stores;
-        if is_storing && !self.may_lose_disk() {
+        let is_storage_node = self.slots[slot].stores;
+        if is_storage_node && !self.may_lose_disk() {
             return;
         }
         self.tally("replace_node");
         self.kill_node(slot);
         self.slots[slot].retired = true;
         let zone = self.slots[slot].zone;
-        let successor = self.add_slot(zone, is_storing);
-        let after = self.lasting(500, 10_000);
+        let successor = self.add_slot(zone, is_storage_node);
+        let after = self.draw_duration(500, 10_000);
         self.schedule(after, SimEvent::Start { slot: successor });
     }
 
-    fn stop_by_plan(&mut self) {
+    fn stop_gracefully(&mut self) {
         let is_stopping = self.slots.iter().any(|slot| slot.node.is_some() && slot.stopping);
         let slot = self.random_node();
         if is_stopping || self.slots[slot].paused {
@@ -241,58 +241,58 @@
         } else {
             self.tally("cut_one_way");
         }
-        let span = self.lasting(1_000, 30_000);
+        let span = self.draw_duration(1_000, 30_000);
         self.schedule(span, SimEvent::EndFault(Fault::Links { from, to }));
     }
 
     fn cut_zone(&mut self) {
         self.tally("cut_zone");
         self.faults.disturbed_ms = self.now_ms;
-        let zone = self.random.random_range(0..ZONES);
+        let zone = self.random.random_range(0..ZONE_COUNT);
         self.network.cut_zones.insert(zone);
-        let span = self.lasting(1_000, 20_000);
+        let span = self.draw_duration(1_000, 20_000);
         self.schedule(span, SimEvent::EndFault(Fault::Zone(zone)));
     }
 
-    fn make_noise(&mut self) {
+    fn impair_network(&mut self) {
         self.tally("network_noise");
         self.faults.disturbed_ms = self.now_ms;
         let lost = self.random.random_range(0.0..0.2);
         let doubled = self.random.random_range(0.0..0.2);
         let delay_ms = self.random.random_range(0..400);
         self.network.noise = Noise { lost, doubled, delay_ms };
-        let span = self.lasting(3_000, 30_000);
+        let span = self.draw_duration(3_000, 30_000);
         self.schedule(span, SimEvent::EndFault(Fault::Noise));
     }
 
     // The platform.
 
-    fn ail_key_value(&mut self) {
-        let mut ailments = KeyValueAilments::default();
+    fn impair_key_value(&mut self) {
+        let mut impairments = KeyValueImpairments::default();
         match self.random.random_range(0..4) {
             0 => {
                 self.tally("key_value_down");
-                ailments.down = true;
+                impairments.down = true;
             }
             1 => {
                 self.tally("key_value_slow");
-                ailments.slow_ms = 4_000;
+                impairments.slow_ms = 4_000;
             }
             2 => {
                 self.tally("key_value_answers_lost");
-                ailments.lost_answers = 0.6;
+                impairments.lost_answers = 0.6;
             }
             _ => {
                 self.tally("key_value_stale");
-                ailments.stale = 0.5;
+                impairments.stale = 0.5;
             }
         }
-        self.key_value.ailments = ailments;
-        let span = self.lasting(5_000, 120_000);
+        self.key_value.impairments = impairments;
+        let span = self.draw_duration(5_000, 120_000);
         self.schedule(span, SimEvent::EndFault(Fault::KeyValue));
     }
 
-    fn disturb_clock_or_list(&mut self) {
+    fn impair_clock_or_machine_list(&mut self) {
         if self.random.random_bool(0.5) {
             self.tally("clock_jump");
             let slot = self.random_node();
@@ -301,58 +301,58 @@
         }
         self.tally("machine_list_late");
         self.machines.lag_ms = self.random.random_range(2_000..8_000);
-        let span = self.lasting(10_000, 40_000);
+        let span = self.draw_duration(10_000, 40_000);
         self.schedule(span, SimEvent::EndFault(Fault::MachineList));
     }
 
     // Engines.
 
     fn random_engine(&mut self) -> usize {
-        self.random.random_range(0..ENGINES)
+        self.random.random_range(0..ENGINE_COUNT)
     }
 
-    fn engine_dies(&mut self) {
+    fn crash_engine(&mut self) {
         self.tally("engine_dies");
         let engine = self.random_engine();
         self.kill_engine(engine);
-        let back = self.lasting(1_000, 20_000);
+        let back = self.draw_duration(1_000, 20_000);
         self.schedule(back, SimEvent::EngineStart { engine });
     }
 
-    fn engine_leaves(&mut self) {
+    fn drain_engine(&mut self) {
         let engine = self.random_engine();
         if !self.engines[engine].is_up {
             return;
         }
         self.tally("engine_leaves");
         self.begin_leaving(engine);
-        let back = self.lasting(12_000, 40_000);
+        let back = self.draw_duration(12_000, 40_000);
         self.schedule(back, SimEvent::EngineStart { engine });
     }
 
-    fn engine_freezes(&mut self) {
+    fn freeze_engine(&mut self) {
         self.tally("engine_freezes");
         let engine = self.random_engine();
-        let span = self.lasting(1_000, 25_000);
+        let span = self.draw_duration(1_000, 25_000);
         self.engines[engine].frozen_until_ms = self.now_ms + span;
         self.schedule(span, SimEvent::EngineThaw { engine });
     }
 
-    fn ail_engine(&mut self) {
+    fn impair_engine(&mut self) {
         self.tally("engine_answers_badly");
         let engine = self.random_engine();
-        self.engines[engine].ailments = EngineAilments {
+        self.engines[engine].impairments = EngineImpairments {
             truncated: self.random.random_range(0.0..0.2),
             doubled: self.random.random_range(0.0..0.3),
             crossed: self.random.random_range(0.0..0.3),
             gaps: self.random.random_range(0.0..0.1),
             late_ms: self.random.random_range(0..2_000),
         };
-        let span = self.lasting(5_000, 40_000);
+        let span = self.draw_duration(5_000, 40_000);
         self.schedule(span, SimEvent::EndFault(Fault::Engine(engine)));
     }
 
-    /// A failure ends.
+    /// Ends a fault and restores the affected model.
     pub fn end_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Links { from, to } => {
@@ -368,21 +368,21 @@
                 self.network.noise = Noise::default();
                 self.faults.disturbed_ms = self.now_ms;
             }
-            Fault::KeyValue => self.key_value.ailments = KeyValueAilments::default(),
-            Fault::Engine(engine) => self.engines[engine].ailments = EngineAilments::default(),
-            Fault::MachineList => self.machines.lag_ms = USUAL_LAG_MS,
+            Fault::KeyValue => self.key_value.impairments = KeyValueImpairments::default(),
+            Fault::Engine(engine) => self.engines[engine].impairments = EngineImpairments::default(),
+            Fault::MachineList => self.machines.lag_ms = DEFAULT_LAG_MS,
         }
     }
 
-    /// Notes how long the fleet takes to be whole again after the last failure.
-    fn watch_health(&mut self) {
+    /// Records the time until all groups are fully replicated after the last fault.
+    fn check_health(&mut self) {
         if self.faults.is_healthy {
             return;
         }
-        if self.groups_are_whole() {
+        if self.groups_are_fully_replicated() {
             self.faults.is_healthy = true;
-            self.faults.worst_healthy_ms = self.now_ms - self.quiet_from_ms();
+            self.faults.recovery_ms = self.now_ms - self.fault_free_from_ms();
         }
-        self.schedule(HEALTH_MS, SimEvent::NextFault);
+        self.schedule(HEALTH_CHECK_INTERVAL_MS, SimEvent::NextFault);
     }
 }
--- a/crates/bench/src/simulation/jobs.rs
+++ b/crates/bench/src/simulation/jobs.rs
@@ -1,4 +1,4 @@
-//! Batch submitters, and what became of their jobs.
+//! Batch submitters and the state of their jobs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,52 +18,52 @@
 use super::report::LivenessTally;
 use super::world::World;
 
-/// Most tokens of an item's answer.
+/// Maximum number of tokens in an item's answer.
 const MAX_TOKENS: u32 = 48;
-/// The mean time between two jobs, in milliseconds.
-const MEAN_GAP_MS: u64 = 8_000;
-/// Time between two looks at a job, in milliseconds.
-const LOOK_MS: u64 = 4_000;
-/// Submissions end this long before the run's end, in milliseconds.
-const LAST_SUBMISSION_MS: u64 = 170_000;
-/// A cancelled job is read this often again, to see that nothing is added.
-const REREADS: u32 = 4;
-/// A submitter that hears nothing for this long tries again, in milliseconds.
-const PATIENCE_MS: u64 = 15_000;
+/// Mean interval between two jobs.
+const MEAN_INTERVAL_MS: u64 = 8_000;
+/// Interval between two queries for a job's state.
+const JOB_POLL_INTERVAL_MS: u64 = 4_000;
+/// Submissions stop this long before the end of the run.
+const SUBMISSION_CUTOFF_MS: u64 = 170_000;
+/// Number of times a cancelled job is read again to verify that no results are added.
+const MAX_REREADS: u32 = 4;
+/// Time without an answer after which a submitter retries.
+const RETRY_TIMEOUT_MS: u64 = 15_000;
 
-/// A job as its submitter sees it.
+/// A job as observed by its submitter.
 pub struct JobProbe {
     key: String,
     prompts: Vec<String>,
-    /// The id, once the job was accepted.
+    /// Job id, once the job was accepted.
     accepted: Option<JobId>,
     wants_cancel: bool,
-    /// The count of results when the cancellation was acknowledged.
+    /// Number of results when the cancellation was acknowledged.
     cancelled_at: Option<u32>,
     ended: bool,
-    /// Every result seen, by item.
+    /// All results read so far, by item.
     seen: BTreeMap<u32, (AttemptId, String)>,
-    /// The next item whose result is read.
+    /// Index of the next item to read.
     next_read: u32,
     read_all: bool,
-    /// How often a cancelled job was read again.
+    /// Number of times the cancelled job was read again.
     rereads: u32,
     completed_ms: Option<u64>,
-    /// A call is under way since then.
+    /// Time at which the current call was sent, if one is pending.
     calling_since_ms: Option<u64>,
 }
 
-/// Batch submitters.
+/// State of the batch submitters.
 #[derive(Default)]
 pub struct JobModel {
     probes: Vec<JobProbe>,
 }
 
 impl World {
-    /// A new job comes up.
+    /// Submits a new job and schedules the next one.
     pub fn new_job(&mut self) {
-        let gap = self.random.random_range(1..=2 * MEAN_GAP_MS);
-        if self.now_ms + LAST_SUBMISSION_MS >= self.end_ms() {
+        let gap = self.random.random_range(1..=2 * MEAN_INTERVAL_MS);
+        if self.now_ms + SUBMISSION_CUTOFF_MS >= self.end_ms() {
             return;
         }
         self.schedule(gap, SimEvent::NewJob);
@@ -89,17 +89,17 @@
         self.step_job(number);
     }
 
-    /// A submitter does its next step.
+    /// Performs the next step of a submitter.
     pub fn step_job(&mut self, job: usize) {
         let now_ms = self.now_ms;
         let probe = &self.jobs.probes[job];
         if probe.read_all {
             return;
         }
-        let wait = LOOK_MS + self.random.random_range(0..=LOOK_MS);
+        let wait = JOB_POLL_INTERVAL_MS + self.random.random_range(0..=JOB_POLL_INTERVAL_MS);
         self.schedule(wait, SimEvent::JobStep { job });
         let probe = &self.jobs.probes[job];
-        if probe.calling_since_ms.is_some_and(|since| now_ms < since + PATIENCE_MS) {
+        if probe.calling_since_ms.is_some_and(|since| now_ms < since + RETRY_TIMEOUT_MS) {
             return;
         }
         match probe.accepted {
@@ -124,7 +124,7 @@
         self.call(slot, purpose, CallerCall::Batch(call));
     }
 
-    /// Results that are there already are read from somewhere else.
+    /// Queries the available results at another node.
     fn peek_results(&mut self, job: usize, id: JobId) {
         let items = self.jobs.probes[job].prompts.len() as u32;
         let first = self.random.random_range(0..items);
@@ -137,13 +137,13 @@
         self.count("jobs_sent");
         let submission = self.submission(job, "");
         self.job_call(job, CallPurpose::Submit(job), BatchCall::Submit(submission));
-        // Now and then the same job is sent twice at once.
+        // Sometimes sends the same job twice concurrently.
         if self.random.random_bool(0.25) {
             self.resend_job(job);
         }
     }
 
-    /// The same job again, at another node.
+    /// Submits the same job again at another node.
     fn resend_job(&mut self, job: usize) {
         self.count("jobs_resent");
         let submission = self.submission(job, "");
@@ -153,8 +153,8 @@
 
     fn submission(&self, job: usize, suffix: &str) -> JobSubmission {
         let probe = &self.jobs.probes[job];
-        let items = probe.prompts.iter().enumerate().map(|(place, prompt)| NewItem {
-            label: Arc::from(format!("label-{place}")),
+        let items = probe.prompts.iter().enumerate().map(|(index, prompt)| NewItem {
+            label: Arc::from(format!("label-{index}")),
             prompt: Arc::from(format!("{prompt}{suffix}")),
         });
         JobSubmission {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The answer to a submission.
+    /// Handles the answer to a submission.
     pub fn on_submitted(&mut self, job: usize, answer: Option<CallerAnswer>) {
         self.jobs.probes[job].calling_since_ms = None;
         let Some(CallerAnswer::Job { job: id, summary }) = answer else {
@@ -184,9 +184,9 @@
         }
         self.count("jobs_accepted");
         self.jobs.probes[job].accepted = Some(id);
-        self.note(|| format!("job {job} accepted as {id}"));
+        self.trace_event(|| format!("job {job} accepted as {id}"));
         if self.jobs.probes[job].wants_cancel {
-            // While its items run and complete.
+            // Cancel while items are running and completing.
             let soon = self.random.random_range(20..1_500);
             self.schedule(soon, SimEvent::JobStep { job });
         }
@@ -203,35 +203,35 @@
         }
     }
 
-    /// The job's own content is never in conflict with itself.
+    /// Checks that resubmitting identical content is not refused as a conflict.
     fn check_submission_refusal(&mut self, job: usize, kind: ErrorKind) {
         let now_ms = self.now_ms;
         self.oracle.check(oracle::EXACTLY_ONCE, kind != ErrorKind::KeyConflict, now_ms, || {
-            format!("job {job}: a resend of the same content was called a conflict")
+            format!("job {job}: a resend of the same content was refused as a conflict")
         });
     }
 
-    /// Other content under an accepted job's key must not be taken.
+    /// Checks that different content under an accepted job's key is refused.
     pub fn on_conflicting(&mut self, job: usize, answer: Option<CallerAnswer>) {
         self.count("jobs_conflicting");
         let now_ms = self.now_ms;
         let is_taken = matches!(answer, Some(CallerAnswer::Job { .. }));
         self.oracle.check(oracle::EXACTLY_ONCE, !is_taken, now_ms, || {
-            format!("job {job}: other content was taken under its key")
+            format!("job {job}: different content was accepted under its key")
         });
     }
 
-    /// A job's status.
+    /// Handles the answer to a status query.
     pub fn on_job_status(&mut self, job: usize, answer: Option<CallerAnswer>) {
         self.jobs.probes[job].calling_since_ms = None;
         match answer {
-            Some(CallerAnswer::Job { summary, .. }) => self.take_summary(job, &summary),
+            Some(CallerAnswer::Job { summary, .. }) => self.check_summary(job, &summary),
             Some(CallerAnswer::Refused(refusal)) => self.check_known(job, refusal.kind),
             _ => {}
         }
     }
 
-    fn take_summary(&mut self, job: usize, summary: &JobSummary) {
+    fn check_summary(&mut self, job: usize, summary: &JobSummary) {
         let now_ms = self.now_ms;
         let probe = &mut self.jobs.probes[job];
         let is_complete = summary.completed as usize == probe.prompts.len();
@@ -242,12 +242,12 @@
         if let Some(at_cancel) = probe.cancelled_at {
             let now_completed = summary.completed;
             self.oracle.check(oracle::CANCEL_STOPS, now_completed <= at_cancel, now_ms, || {
-                format!("job {job}: {now_completed} items are complete, {at_cancel} when it was cancelled")
+                format!("job {job}: {now_completed} items are complete, {at_cancel} at cancellation")
             });
         }
     }
 
-    /// An accepted job is never unknown.
+    /// Checks that an accepted job is never reported as unknown.
     fn check_known(&mut self, job: usize, kind: ErrorKind) {
         let now_ms = self.now_ms;
         self.oracle.check(oracle::RESULTS_READABLE, kind != ErrorKind::UnknownJob, now_ms, || {
@@ -255,8 +255,8 @@
         });
     }
 
-    /// Some results, out of order.
-    pub fn on_peeked(&mut self, job: usize, answer: Option<CallerAnswer>) {
+    /// Handles results that were read out of order.
+    pub fn on_peek(&mut self, job: usize, answer: Option<CallerAnswer>) {
         match answer {
             Some(CallerAnswer::Results { results, .. }) => {
                 for item in &results {
@@ -268,7 +268,7 @@
         }
     }
 
-    /// A page of results.
+    /// Handles a page of results.
     pub fn on_job_results(&mut self, job: usize, answer: Option<CallerAnswer>) {
         self.jobs.probes[job].calling_since_ms = None;
         match answer {
@@ -293,12 +293,12 @@
         let seen = probe.seen.len();
         let expected = probe.prompts.len();
         if let Some(at_cancel) = probe.cancelled_at {
-            // Read the whole job a few times more: nothing may be added.
+            // Reads the whole job again to verify that no results are added.
             probe.next_read = 0;
             probe.rereads += 1;
-            probe.read_all = probe.rereads > REREADS;
+            probe.read_all = probe.rereads > MAX_REREADS;
             self.oracle.check(oracle::CANCEL_STOPS, seen <= at_cancel as usize, now_ms, || {
-                format!("job {job}: {seen} results, {at_cancel} when it was cancelled")
+                format!("job {job}: {seen} results, {at_cancel} at cancellation")
             });
             return;
         }
@@ -310,22 +310,22 @@
 
     fn check_result(&mut self, job: usize, item: &FinishedItem) {
         let now_ms = self.now_ms;
-        let place = item.item;
+        let index = item.item;
         let probe = &mut self.jobs.probes[job];
         let text = item.result.text.to_string();
-        let expected = answer_text(MODEL, &probe.prompts[place as usize], MAX_TOKENS);
-        let is_own = text == expected && *item.label == format!("label-{place}");
-        let earlier = probe.seen.insert(place, (item.result.attempt, text.clone()));
+        let expected = answer_text(MODEL, &probe.prompts[index as usize], MAX_TOKENS);
+        let is_own = text == expected && *item.label == format!("label-{index}");
+        let earlier = probe.seen.insert(index, (item.result.attempt, text.clone()));
         let is_same = earlier.is_none_or(|earlier| earlier == (item.result.attempt, text));
-        self.oracle.check(oracle::WHOLE_ANSWERS, is_own, now_ms, || {
-            format!("job {job} item {place}: the result is not the whole answer to its prompt")
+        self.oracle.check(oracle::COMPLETE_ANSWERS, is_own, now_ms, || {
+            format!("job {job} item {index}: the result is not the complete answer to its prompt")
         });
         self.oracle.check(oracle::EXACTLY_ONCE, is_same, now_ms, || {
-            format!("job {job} item {place}: two different results were read")
+            format!("job {job} item {index}: two different results were read")
         });
     }
 
-    /// The answer to a cancellation.
+    /// Handles the answer to a cancellation.
     pub fn on_cancelled(&mut self, job: usize, answer: Option<CallerAnswer>) {
         self.jobs.probes[job].calling_since_ms = None;
         match answer {
@@ -336,17 +336,17 @@
                 let cancelled = summary.phase == JobPhase::Cancelled;
                 probe.wants_cancel = false;
                 if !cancelled {
-                    // It was complete before the cancellation came.
+                    // The job completed before the cancellation arrived.
                     probe.cancelled_at = None;
                 }
-                self.take_summary(job, &summary);
+                self.check_summary(job, &summary);
             }
             Some(CallerAnswer::Refused(refusal)) => self.check_known(job, refusal.kind),
             _ => {}
         }
     }
 
-    /// At the end: every accepted job that was not cancelled is complete, with one result an item.
+    /// Checks at the end of the run that each accepted job that was not cancelled has one result per item.
     pub fn check_jobs_at_end(&mut self) {
         let now_ms = self.now_ms;
         for job in 0..self.jobs.probes.len() {
@@ -363,20 +363,20 @@
         }
     }
 
-    /// Whether every accepted job came to its end in time.
+    /// Returns whether every accepted job completed in time.
     pub fn jobs_liveness(&self) -> (&'static str, LivenessTally, Vec<String>) {
-        let quiet_from = self.quiet_from_ms();
+        let fault_free_from = self.fault_free_from_ms();
         let mut tally = LivenessTally::default();
         let mut details = Vec::new();
         for (number, probe) in self.jobs.probes.iter().enumerate() {
             let Some(id) = probe.accepted else { continue };
             tally.checked += 1;
             if probe.ended {
-                let after = probe.completed_ms.map_or(0, |at| at.saturating_sub(quiet_from));
+                let after = probe.completed_ms.map_or(0, |at| at.saturating_sub(fault_free_from));
                 tally.worst_ms = tally.worst_ms.max(after);
             } else {
                 tally.violations += 1;
-                details.push(format!("job {number} ({id}) has not ended; {} results seen", probe.seen.len()));
+                details.push(format!("job {number} ({id}) has not completed; {} results read", probe.seen.len()));
             }
         }
         ("jobs_complete", tally, details)
--- a/crates/bench/src/simulation/liveness.rs
+++ b/crates/bench/src/simulation/liveness.rs
@@ -1,4 +1,4 @@
-//! What must have come about once the failures have ended.
+//! Conditions that must hold after the faults have ended.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use super::world::World;
 
 impl World {
-    /// What came about after the failures ended.
+    /// Evaluates all liveness conditions.
     pub(super) fn liveness(&self) -> Vec<(&'static str, LivenessTally, Vec<String>)> {
         vec![self.jobs_liveness(), self.groups_liveness(), self.configuration_liveness(), self.membership_liveness()]
     }
@@ -25,24 +25,24 @@
             .iter()
             .filter(|(_, is_led)| !**is_led)
             .map(|(group, _)| {
-                format!("group {group} has no leader with three whole replicas: {}", self.describe_group(*group))
+                format!("group {group} has no leader with three complete replicas: {}", self.describe_group(*group))
             })
             .collect();
         let tally = LivenessTally {
             checked: led.len() as u64,
             violations: details.len() as u64,
-            worst_ms: self.faults.worst_healthy_ms,
+            worst_ms: self.faults.recovery_ms,
         };
         ("groups_whole", tally, details)
     }
 
     fn describe_group(&self, group: u32) -> String {
         let mut text = String::new();
-        for (place, slot) in self.slots.iter().enumerate() {
+        for (index, slot) in self.slots.iter().enumerate() {
             let Some(node) = &slot.node else { continue };
             for status in node.status().groups.iter().filter(|status| status.group == group) {
                 text.push_str(&format!(
-                    "[slot {place} {} leads {} term {} commit {} whole {} voters {:?} learners {:?}] ",
+                    "[slot {index} {} leads {} term {} commit {} complete {} voters {:?} learners {:?}] ",
                     slot.identity,
                     status.leads,
                     status.term,
@@ -73,7 +73,7 @@
         let expected = running.len();
         let wrong = running.iter().filter(|node| node.status().members_present != expected).count();
         let details = if wrong > 0 {
-            vec![format!("{wrong} nodes don't see exactly {expected} nodes present")]
+            vec![format!("{wrong} nodes do not see exactly {expected} present nodes")]
         } else {
             Vec::new()
         };
--- a/crates/bench/src/simulation/mod.rs
+++ b/crates/bench/src/simulation/mod.rs
@@ -1,26 +1,26 @@
-//! Deterministic simulation: the nodes' real decision code on a virtual clock, under failure.
+//! Deterministic simulation: runs the nodes' production decision code on a virtual clock with injected faults.
 //!
-//! Everything around the nodes is a model here: the network, the disks, the key-value service, the
-//! machine list, the engines, callers and operators. A run is a function of its seed. What callers saw
-//! is held against what the engines did; a violation names the seed, and the same seed replays it.
+//! Everything around the nodes is modeled: the network, disks, key-value service, machine list, engines,
+//! callers and operators. A run is determined by its seed. What callers observed is checked against what the
+//! engines executed; each violation names its seed, and rerunning that seed reproduces it.
 //!
 //! | module | owns |
 //! |---|---|
-//! | `world` | the virtual clock, the queue of events, and one run from its start to its report |
-//! | `events` | what can happen |
-//! | `nodes` | where nodes run: their starts and ends, disks, pauses and clocks |
-//! | `effects` | carrying out what a node wants |
-//! | `calls` | who waits at which node, and who gets the answer |
-//! | `network` | delays, losses, doubles and cuts |
+//! | `world` | the virtual clock, the event queue, and one run from start to report |
+//! | `events` | event types |
+//! | `nodes` | node processes: starts and crashes, disks, pauses and clocks |
+//! | `effects` | execution of the effects that a node emits |
+//! | `calls` | pending calls, and dispatch of their answers |
+//! | `network` | delay, loss, duplication and partitions |
 //! | `platform` | the key-value service and the machine list |
-//! | `engines` | engines with their faults, and their own count of runs |
-//! | `callers` | online callers, and what they were answered |
-//! | `jobs` | batch submitters, and what became of their jobs |
-//! | `operators` | operators who apply files, at times at the same moment |
-//! | `faults` | what breaks, when, and for how long |
+//! | `engines` | engines with their faults, and their execution counts |
+//! | `callers` | online callers and the answers they received |
+//! | `jobs` | batch submitters and the state of their jobs |
+//! | `operators` | operators who apply configuration, sometimes concurrently |
+//! | `faults` | fault injection: kinds, times and durations |
 //! | `oracle` | the invariants and their tallies |
-//! | `liveness` | what must have come about after the failures |
-//! | `report` | what a run came to |
+//! | `liveness` | conditions that must hold after the faults end |
+//! | `report` | the results of a run |
 
 mod callers;
 mod calls;
--- a/crates/bench/src/simulation/network.rs
+++ b/crates/bench/src/simulation/network.rs
@@ -1,37 +1,37 @@
-//! The network between nodes: delays, losses, doubles and cuts.
+//! The network between nodes: delay, loss, duplication and partitions.
 
 use std::collections::BTreeSet;
 
 use rand::Rng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// A noisy spell.
+/// Temporary impairment of the network.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Noise {
-    /// Share of messages lost.
+    /// Fraction of messages lost.
     pub lost: f64,
-    /// Share of messages doubled.
+    /// Fraction of messages duplicated.
     pub doubled: f64,
-    /// Most milliseconds of extra delay, which also reorders.
+    /// Maximum extra delay in milliseconds, which also reorders messages.
     pub delay_ms: u64,
 }
 
-/// The network. Ends are numbers of node slots; zones are numbers too.
+/// Network state. Nodes are identified by slot and zones by index.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
-    /// Noise now.
+    /// Active impairment.
     pub noise: Noise,
-    /// Links cut, one way each.
+    /// Partitioned links, one direction each.
     pub cut_links: BTreeSet<(usize, usize)>,
-    /// Zones cut off from the others.
+    /// Zones partitioned from the others.
     pub cut_zones: BTreeSet<usize>,
 }
 
-/// Delays of the copies of one message that arrive; empty if it is lost.
+/// Delays in milliseconds of the delivered copies of one message; empty if it is lost.
 pub type Deliveries = Vec<u64>;
 
 impl Network {
-    /// Decides what becomes of a message.
+    /// Returns the delivery delays of a message.
     pub fn route(&self, from: (usize, usize), to: (usize, usize), random: &mut Xoshiro256PlusPlus) -> Deliveries {
         let (from_slot, from_zone) = from;
         let (to_slot, to_zone) = to;
@@ -47,7 +47,7 @@
         (0..copies).map(|_| random.random_range(1..=2) + random.random_range(0..=self.noise.delay_ms)).collect()
     }
 
-    /// Whether anything is cut.
+    /// Returns whether any partition is active.
     pub fn has_cuts(&self) -> bool {
         !self.cut_links.is_empty() || !self.cut_zones.is_empty()
     }
--- a/crates/bench/src/simulation/nodes.rs
+++ b/crates/bench/src/simulation/nodes.rs
@@ -1,7 +1,7 @@
-//! Places where nodes run: their starts and ends, disks, pauses and clocks.
+//! Node processes: starts and crashes, disks, pauses and clocks.
 //!
-//! Owns [`NodeSlot`]: a node's process, if it runs, and what outlives it. Relies on `effects` to carry out
-//! what a node wants.
+//! Owns [`NodeSlot`]: a node's process, if it is running, and the state that outlives it. Relies on `effects` to
+//! execute the effects that a node emits.
 
 use std::collections::VecDeque;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -13,69 +13,69 @@
 
 use super::events::SimEvent;
 use super::oracle;
-use super::world::{TICK_MS, World};
+use super::world::{TICK_INTERVAL_MS, World};
 
-/// The civil time at the start of a run.
-const CIVIL_START_MS: u64 = 1_700_000_000_000;
-/// A node's monotonic clock starts here at each start of the node.
+/// Wall-clock time at the start of a run.
+const WALL_CLOCK_START_MS: u64 = 1_700_000_000_000;
+/// Monotonic clock reading of a node at each of its starts.
 const MONOTONIC_START_MS: u64 = 3_600_000;
-/// Zones.
-pub const ZONES: usize = 3;
-/// Events that a paused node's buffers hold.
-const PAUSED_EVENTS: usize = 5_000;
+/// Number of zones.
+pub const ZONE_COUNT: usize = 3;
+/// Maximum number of events buffered for a paused node.
+const MAX_PAUSED_EVENTS: usize = 5_000;
 
-/// When a node is to crash in the middle of its next write.
+/// Point within the next write at which a node is to crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
     /// Before the write.
     BeforeWrite,
-    /// After the write, before anything is said.
+    /// After the write, before any message is sent.
     AfterWrite,
 }
 
-/// A place where a node runs, or did.
+/// A slot that holds at most one node process at a time.
 pub struct NodeSlot {
-    /// The node, if it runs.
+    /// The node, if it is running.
     pub node: Option<Node>,
-    /// Raised with each start.
+    /// Process number, incremented at each start.
     pub process: u64,
-    /// What its disk holds.
+    /// Contents of the node's disk.
     pub disk: PersistedNode,
-    /// Its identity on disk.
+    /// Node identity stored on the disk.
     pub identity: NodeId,
-    /// Whether it stores.
+    /// Whether this is a storage node.
     pub stores: bool,
-    /// Its zone.
+    /// Index of the node's zone.
     pub zone: usize,
-    /// Its address.
+    /// Address of the node.
     pub address: SocketAddr,
-    /// It never comes back.
+    /// Whether the node has been removed permanently.
     pub retired: bool,
-    /// It does nothing until it is resumed.
+    /// Whether the node is paused.
     pub paused: bool,
-    /// It was told to stop.
+    /// Whether a planned stop has been requested.
     pub stopping: bool,
-    /// It crashes in its next write.
+    /// Point at which the node crashes in its next write, if any.
     pub crash: Option<CrashPoint>,
-    /// When it was last paused, cut off or started.
+    /// Last time the node was paused, partitioned or started.
     pub disturbed_ms: u64,
-    held: VecDeque<Event>,
+    buffered: VecDeque<Event>,
     started_ms: u64,
-    /// How far its civil clock is off, in milliseconds.
+    /// Offset of the node's wall clock, in milliseconds.
     pub skew_ms: i64,
-    /// The highest revision seen in force, kept while the disk is.
+    /// Highest revision seen in force since the disk was last wiped.
     pub highest_revision: u64,
 }
 
 impl World {
-    /// Adds a place for a node, at a new address and with a blank disk.
+    /// Adds a slot with a new address and an empty disk.
     pub fn add_slot(&mut self, zone: usize, stores: bool) -> usize {
         let slot = self.slots.len();
         let number = self.next_address;
         self.next_address += 1;
         let ip = IpAddr::V4(Ipv4Addr::new(10, 0, (number >> 8) as u8, number as u8));
         let address = SocketAddr::new(ip, 7_100);
-        self.by_address.insert(address, slot);
+        self.slots_by_address.insert(address, slot);
         self.slots.push(NodeSlot {
             node: None,
             process: 0,
@@ -89,7 +89,7 @@
             stopping: false,
             crash: None,
             disturbed_ms: self.now_ms,
-            held: VecDeque::new(),
+            buffered: VecDeque::new(),
             started_ms: 0,
             skew_ms: 0,
             highest_revision: 0,
@@ -97,7 +97,7 @@
         slot
     }
 
-    /// A node that runs, at random.
+    /// Returns a running node selected at random.
     pub fn random_node(&mut self) -> usize {
         let up: Vec<usize> = (0..self.slots.len()).filter(|slot| self.slots[*slot].node.is_some()).collect();
         if up.is_empty() {
@@ -124,7 +124,7 @@
         target.paused = false;
         target.stopping = false;
         target.crash = None;
-        target.held.clear();
+        target.buffered.clear();
         let mut settings = NodeSettings::new(target.identity, &zone_name(target.zone), target.address, target.address);
         settings.seeds = seeds;
         settings.stores = target.stores;
@@ -135,17 +135,17 @@
         let node = Node::new(settings, target.disk.clone(), clock, seed);
         target.node = Some(node);
         let process = target.process;
-        self.note(|| format!("node {slot} starts, process {process}"));
+        self.trace_event(|| format!("node {slot} started, process {process}"));
         self.check_revision(slot);
-        self.schedule(self.queue.count() % TICK_MS, SimEvent::Tick { slot, process });
+        self.schedule(self.queue.count() % TICK_INTERVAL_MS, SimEvent::Tick { slot, process });
     }
 
-    /// Ends a node's process at once. Its disk stays as it is.
+    /// Kills a node's process immediately. Its disk is preserved.
     pub fn kill_node(&mut self, slot: usize) {
         if self.slots[slot].node.take().is_none() {
             return;
         }
-        self.note(|| format!("node {slot} dies"));
+        self.trace_event(|| format!("node {slot} killed"));
         self.slots[slot].paused = false;
         let process = self.slots[slot].process;
         self.drop_streams_of(slot, process);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Takes everything off a node's disk; the next start is a new identity.
+    /// Erases a node's disk; the node has a new identity at its next start.
     pub fn wipe_disk(&mut self, slot: usize) {
         let identity = NodeId(self.random.random::<u64>().max(1));
         let target = &mut self.slots[slot];
@@ -171,20 +171,20 @@
         }
         self.slots[slot].paused = false;
         self.slots[slot].disturbed_ms = self.now_ms;
-        self.note(|| format!("node {slot} wakes"));
-        let held = std::mem::take(&mut self.slots[slot].held);
-        for event in held {
-            self.feed(slot, event);
+        self.trace_event(|| format!("node {slot} resumed"));
+        let buffered = std::mem::take(&mut self.slots[slot].buffered);
+        for event in buffered {
+            self.deliver(slot, event);
         }
     }
 
-    /// Gives an event to a node and carries out what it wants.
-    pub fn feed(&mut self, slot: usize, event: Event) {
+    /// Delivers an event to a node and executes the resulting effects.
+    pub fn deliver(&mut self, slot: usize, event: Event) {
         let now_ms = self.now_ms;
         let target = &mut self.slots[slot];
         if target.paused {
-            if target.held.len() < PAUSED_EVENTS {
-                target.held.push_back(event);
+            if target.buffered.len() < MAX_PAUSED_EVENTS {
+                target.buffered.push_back(event);
             }
             return;
         }
@@ -194,14 +194,14 @@
         self.carry_out(slot, effects);
     }
 
-    /// Ends a node's process; it starts again a little later.
+    /// Kills a node's process and schedules a restart.
     pub(super) fn kill_and_restart(&mut self, slot: usize) {
         self.kill_node(slot);
         let back = self.random.random_range(500..=8_000);
         self.schedule(back, SimEvent::Start { slot });
     }
 
-    /// Whether any node but one believes to hold the control lease now.
+    /// Returns another running node that currently believes it holds the control lease.
     pub fn other_control_holder(&self, slot: usize) -> Option<usize> {
         (0..self.slots.len()).filter(|other| *other != slot && !self.slots[*other].paused).find(|other| {
             let other = &self.slots[*other];
@@ -210,27 +210,27 @@
         })
     }
 
-    /// A node has stopped by plan: nobody may be left waiting at it.
+    /// Handles the end of a planned stop and checks that no caller is left waiting.
     pub(super) fn exit_node(&mut self, slot: usize) {
-        let in_hand: Vec<CallerId> =
+        let pending: Vec<CallerId> =
             self.calls.iter().filter(|(_, owner)| owner.slot == slot).map(|(caller, _)| *caller).collect();
-        // Answers already on their way arrive; whoever has none on its way was cut.
-        let waiting = in_hand.iter().filter(|caller| !self.has_answer_on_its_way(**caller)).count();
+        // Answers in flight are still delivered; a caller with none in flight was interrupted.
+        let waiting = pending.iter().filter(|caller| !self.has_answer_in_flight(**caller)).count();
         let now_ms = self.now_ms;
-        self.oracle.check(oracle::PLANNED_STOP_CUTS_NOTHING, waiting == 0, now_ms, || {
-            format!("node {slot} stopped with {waiting} requests in hand")
+        self.oracle.check(oracle::PLANNED_STOP_INTERRUPTS_NOTHING, waiting == 0, now_ms, || {
+            format!("node {slot} stopped with {waiting} requests in progress")
         });
         self.kill_and_restart(slot);
     }
 }
 
-/// The name of a zone.
+/// Returns the name of a zone.
 pub fn zone_name(zone: usize) -> String {
     format!("zone-{zone}")
 }
 
 fn clock_of(slot: &NodeSlot, now_ms: u64) -> Clock {
     let monotonic = MONOTONIC_START_MS + now_ms - slot.started_ms;
-    let civil = (CIVIL_START_MS + now_ms).saturating_add_signed(slot.skew_ms);
+    let civil = (WALL_CLOCK_START_MS + now_ms).saturating_add_signed(slot.skew_ms);
     Clock { now: Timestamp::from_millis(monotonic), civil: UnixMillis(civil) }
 }
--- a/crates/bench/src/simulation/operators.rs
+++ b/crates/bench/src/simulation/operators.rs
@@ -1,4 +1,4 @@
-//! Operators who apply files, at times at the same moment.
+//! Operators who apply configuration files, sometimes concurrently.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,35 +11,35 @@
 use super::callers::{MODEL, TENANT};
 use super::calls::CallPurpose;
 use super::events::SimEvent;
-use super::nodes::{ZONES, zone_name};
+use super::nodes::{ZONE_COUNT, zone_name};
 use super::oracle;
 use super::world::World;
 
-/// The mean time between two changes, in milliseconds.
-const MEAN_GAP_MS: u64 = 15_000;
-/// Where the manifest is kept.
+/// Mean interval between two changes.
+const MEAN_INTERVAL_MS: u64 = 15_000;
+/// Key under which the manifest is stored.
 const MANIFEST_KEY: &str = "configuration/manifest";
 
-/// One change as its operator sees it.
+/// One change as observed by its operator.
 struct Change {
     id: ApplyId,
-    /// Refused as not applied.
+    /// Whether the change was refused as not applied.
     refused: bool,
-    /// The node that it was sent to.
+    /// Slot of the node that received the change.
     slot: usize,
 }
 
-/// Operators.
+/// State of the operators.
 #[derive(Default)]
 pub struct OperatorModel {
     changes: Vec<Change>,
-    /// Which change was accepted as which revision.
+    /// Index of the change that was accepted as each revision.
     accepted: BTreeMap<u64, usize>,
-    /// When a revision was accepted, and which nodes have it not yet.
+    /// Accepted revisions that some nodes have not applied yet.
     spreading: BTreeMap<u64, Spread>,
-    /// The newest revision accepted.
+    /// Newest accepted revision.
     pub newest_accepted: u64,
-    /// The longest that an accepted revision took to every node that was undisturbed, in milliseconds.
+    /// Longest time until an accepted revision reached all undisturbed nodes, in milliseconds.
     pub worst_spread_ms: u64,
 }
 
@@ -49,12 +49,12 @@
 }
 
 impl World {
-    /// An operator applies a change; at times two do so at once.
+    /// Applies a change; sometimes two operators do so concurrently.
     pub fn step_operators(&mut self) {
-        let gap = self.random.random_range(1..=2 * MEAN_GAP_MS);
+        let gap = self.random.random_range(1..=2 * MEAN_INTERVAL_MS);
         let is_first = self.operators.newest_accepted == 0;
         let wait = if is_first { 1_500 } else { gap };
-        if self.is_quiet() && !is_first {
+        if self.is_fault_free() && !is_first {
             return;
         }
         self.schedule(wait, SimEvent::OperatorStep);
@@ -74,7 +74,7 @@
         let bundle = self.bundle(number);
         let slot = self.random_node();
         self.operators.changes.push(Change { id, refused: false, slot });
-        // The operator saw what is in force at that node.
+        // The operator's base is the revision in force at that node.
         let expected_revision = self.slots[slot].node.as_ref().map(|node| node.configuration_revision());
         let call = CallerCall::Operator(OperatorCall::Apply { id, bundle, expected_revision });
         self.call(slot, CallPurpose::Apply(number), call);
@@ -82,7 +82,7 @@
 
     fn bundle(&self, number: usize) -> Bundle {
         let mut zones = String::new();
-        for zone in 0..ZONES {
+        for zone in 0..ZONE_COUNT {
             zones.push_str(&format!("[[zone]]\nname = \"{}\"\nregion = \"region\"\n\n", zone_name(zone)));
         }
         let fleet = format!("[fleet]\nname = \"simulated\"\nreplica_groups = 4\n\n{zones}");
@@ -100,7 +100,7 @@
         Bundle { files: files.into_iter().map(|(name, text)| (name.to_owned(), Arc::from(text))).collect() }
     }
 
-    /// The answer to a change.
+    /// Handles the answer to a change.
     pub fn on_applied(&mut self, change: usize, answer: Option<CallerAnswer>) {
         match answer {
             Some(CallerAnswer::Applied { revision, changed: true }) => self.accept_change(change, revision),
@@ -117,7 +117,7 @@
         self.count("changes_accepted");
         let now_ms = self.now_ms;
         let Change { id, slot, .. } = self.operators.changes[change];
-        // The answer gives the newest revision; the change's own is in the manifest.
+        // The answer holds the newest revision; the change's own revision is in the manifest.
         let own = self.stored_manifest().and_then(|manifest| manifest.revision_of(id)).unwrap_or(revision);
         let other = self.operators.accepted.insert(own, change);
         self.oracle.check(oracle::ONE_CHANGE_PER_REVISION, other.is_none(), now_ms, || {
@@ -126,21 +126,21 @@
         self.operators.newest_accepted = self.operators.newest_accepted.max(own);
         let waiting = (0..self.slots.len())
             .filter(|slot| self.slots[*slot].node.as_ref().is_some_and(|node| node.configuration_revision() < own))
-            // A node that has found nobody yet is no part of the fleet.
+            // A node that has discovered no other node is not part of the fleet.
             .filter(|slot| self.slots[*slot].node.as_ref().is_some_and(|node| node.status().members_present > 1));
         let spread = Spread { accepted_ms: now_ms, waiting: waiting.collect() };
         self.operators.spreading.insert(own, spread);
         self.on_accepted_change(slot);
     }
 
-    /// A node has a revision in force.
-    pub fn note_revision(&mut self, slot: usize, revision: u64) {
+    /// Records that a revision is in force at a node.
+    pub fn record_revision(&mut self, slot: usize, revision: u64) {
         let now_ms = self.now_ms;
         let disturbed = self.slots[slot].disturbed_ms.max(self.faults.disturbed_ms);
         let has_cuts = self.network.has_cuts();
         let mut worst = self.operators.worst_spread_ms;
         for (_, spread) in self.operators.spreading.range_mut(..=revision) {
-            // Only nodes that were neither paused, cut off nor started meanwhile count.
+            // Only nodes that were not paused, partitioned or started in the meantime count.
             if spread.waiting.remove(&slot) && disturbed < spread.accepted_ms && !has_cuts {
                 worst = worst.max(now_ms - spread.accepted_ms);
             }
@@ -152,7 +152,7 @@
         self.key_value.value(MANIFEST_KEY).and_then(|value| serde_json::from_str(value).ok())
     }
 
-    /// At the end: what was refused as not applied is in no manifest.
+    /// Checks at the end of the run that no change refused as not applied is in the manifest.
     pub fn check_operators_at_end(&mut self) {
         let now_ms = self.now_ms;
         let Some(manifest) = self.stored_manifest() else { return };
--- a/crates/bench/src/simulation/platform.rs
+++ b/crates/bench/src/simulation/platform.rs
@@ -1,4 +1,4 @@
-//! The key-value service and the machine list.
+//! Models of the key-value service and the machine list.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -8,21 +8,21 @@
 use stallmoor_core::identity::EngineName;
 use stallmoor_core::node::{KeyValueOperation, KeyValueOutcome, MachineReport};
 
-/// Earlier values kept for stale reads.
-const HISTORY: usize = 3;
-/// Calls a second that the service takes.
-const CALLS_PER_SECOND: f64 = 60.0;
+/// Number of previous values retained for stale reads.
+const MAX_PREVIOUS_VALUES: usize = 3;
+/// Rate limit of the service.
+const MAX_CALLS_PER_SECOND: f64 = 60.0;
 
-/// What ails the service now.
+/// Active impairments of the key-value service.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct KeyValueAilments {
-    /// It answers nothing.
+pub struct KeyValueImpairments {
+    /// Whether all calls go unanswered.
     pub down: bool,
-    /// Most milliseconds of extra delay.
+    /// Maximum extra delay of an answer, in milliseconds.
     pub slow_ms: u64,
-    /// Share of calls that take effect without an answer.
+    /// Fraction of calls that take effect but whose answer is lost.
     pub lost_answers: f64,
-    /// Share of reads that give an earlier value.
+    /// Fraction of reads that return a previous value.
     pub stale: f64,
 }
 
@@ -32,20 +32,20 @@
     earlier: VecDeque<(u64, Arc<str>)>,
 }
 
-/// The service.
+/// Model of a versioned key-value service with compare-and-swap.
 #[derive(Default)]
 pub struct KeyValueModel {
     values: BTreeMap<String, Stored>,
-    /// What ails it now.
-    pub ailments: KeyValueAilments,
+    /// Active impairments.
+    pub impairments: KeyValueImpairments,
     tokens: f64,
     tokens_at_ms: u64,
-    /// Calls refused by the rate limit.
+    /// Number of calls rejected by the rate limit.
     pub limited: u64,
 }
 
 impl KeyValueModel {
-    /// Carries out a call. Returns the outcome and after how many milliseconds it arrives.
+    /// Executes a call. Returns the outcome and its delay in milliseconds.
     pub fn call(
         &mut self,
         operation: &KeyValueOperation,
@@ -53,12 +53,12 @@
         random: &mut Xoshiro256PlusPlus,
     ) -> (KeyValueOutcome, u64) {
         const TIMEOUT_MS: u64 = 2_500;
-        if self.ailments.down {
+        if self.impairments.down {
             return (KeyValueOutcome::NoAnswer, random.random_range(5..=TIMEOUT_MS));
         }
-        let delay = random.random_range(2..=8) + random.random_range(0..=self.ailments.slow_ms);
-        let earned = (now_ms - self.tokens_at_ms) as f64 / 1_000.0 * CALLS_PER_SECOND;
-        self.tokens = (self.tokens + earned).min(CALLS_PER_SECOND);
+        let delay = random.random_range(2..=8) + random.random_range(0..=self.impairments.slow_ms);
+        let earned = (now_ms - self.tokens_at_ms) as f64 / 1_000.0 * MAX_CALLS_PER_SECOND;
+        self.tokens = (self.tokens + earned).min(MAX_CALLS_PER_SECOND);
         self.tokens_at_ms = now_ms;
         if self.tokens < 1.0 {
             self.limited += 1;
@@ -66,14 +66,14 @@
         }
         self.tokens -= 1.0;
         let outcome = self.carry_out(operation, random);
-        let is_lost = self.ailments.lost_answers > 0.0 && random.random_bool(self.ailments.lost_answers);
+        let is_lost = self.impairments.lost_answers > 0.0 && random.random_bool(self.impairments.lost_answers);
         if is_lost || delay > TIMEOUT_MS {
             return (KeyValueOutcome::NoAnswer, TIMEOUT_MS);
         }
         (outcome, delay)
     }
 
-    /// A value as it is, past all ailments.
+    /// Returns the current value, unaffected by impairments.
     pub fn value(&self, key: &str) -> Option<&Arc<str>> {
         self.values.get(key).map(|stored| &stored.value)
     }
@@ -87,7 +87,7 @@
 
     fn get(&self, key: &str, random: &mut Xoshiro256PlusPlus) -> KeyValueOutcome {
         let Some(stored) = self.values.get(key) else { return KeyValueOutcome::NotFound };
-        let is_stale = self.ailments.stale > 0.0 && random.random_bool(self.ailments.stale);
+        let is_stale = self.impairments.stale > 0.0 && random.random_bool(self.impairments.stale);
         if let Some((version, value)) = stored.earlier.front().filter(|_| is_stale) {
             return KeyValueOutcome::Value { version: *version, value: value.clone() };
         }
@@ -103,7 +103,7 @@
         if let Some(previous) = self.values.remove(key) {
             earlier = previous.earlier;
             earlier.push_back((previous.version, previous.value));
-            while earlier.len() > HISTORY {
+            while earlier.len() > MAX_PREVIOUS_VALUES {
                 earlier.pop_front();
             }
         }
@@ -113,28 +113,28 @@
     }
 }
 
-/// The machine list: readers see it as it was a while ago.
+/// Model of the machine list, which readers see with a delay.
 pub struct MachineModel {
     reports: Vec<(u64, MachineReport)>,
-    /// How old the list is that readers see.
+    /// Age of the list that readers see, in milliseconds.
     pub lag_ms: u64,
 }
 
-/// The machine list's usual lag, in milliseconds.
-pub const USUAL_LAG_MS: u64 = 1_500;
+/// Delay of the machine list when it is not impaired.
+pub const DEFAULT_LAG_MS: u64 = 1_500;
 
 impl MachineModel {
-    /// An empty list.
+    /// Creates an empty list that readers see `lag_ms` late.
     pub fn new(lag_ms: u64) -> Self {
         Self { reports: Vec::new(), lag_ms }
     }
 
-    /// A machine reports itself.
+    /// Records a report from a machine.
     pub fn report(&mut self, now_ms: u64, report: MachineReport) {
         self.reports.push((now_ms, report));
     }
 
-    /// The list as readers see it now.
+    /// Returns the list as readers currently see it.
     pub fn read(&self, now_ms: u64) -> Vec<MachineReport> {
         let mut latest: BTreeMap<EngineName, MachineReport> = BTreeMap::new();
         for (at, report) in &self.reports {
--- a/crates/bench/src/simulation/report.rs
+++ b/crates/bench/src/simulation/report.rs
@@ -1,4 +1,4 @@
-//! What a run, or many, came to.
+//! Results of one or more simulation runs.
 
 use std::collections::BTreeMap;
 
@@ -6,45 +6,45 @@
 
 use super::oracle::Tally;
 
-/// Whether something came about in time after the failures ended.
+/// Outcome of checks that a condition held within its time limit after the faults ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LivenessTally {
-    /// Times checked.
+    /// Number of checks.
     pub checked: u64,
-    /// Times it did not come about within its bound.
+    /// Number of checks in which the condition did not hold within its time limit.
     pub violations: u64,
-    /// The longest it took, in milliseconds.
+    /// Longest time until the condition held, in milliseconds.
     pub worst_ms: u64,
 }
 
-/// What a run, or many, came to.
+/// Results of one or more simulation runs.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SimulationReport {
-    /// Seeds run.
+    /// Number of seeds run.
     pub seeds: u64,
-    /// Minutes simulated.
+    /// Total simulated time, in minutes.
     pub simulated_minutes: f64,
-    /// Tallies by invariant.
+    /// Checks and violations by invariant.
     pub invariants: BTreeMap<String, Tally>,
-    /// Failures injected, by kind.
+    /// Number of faults injected, by kind.
     pub faults: BTreeMap<String, u64>,
-    /// What came about after the failures ended.
+    /// Outcomes of the liveness checks after the faults ended.
     pub liveness: BTreeMap<String, LivenessTally>,
-    /// What callers did, by kind.
+    /// Caller operations by kind.
     pub operations: BTreeMap<String, u64>,
-    /// How long the slowest spread of an accepted revision took in milliseconds, and its seed.
+    /// Longest time until an accepted revision reached all nodes, in milliseconds, and its seed.
     #[serde(skip)]
     pub slowest_spread: (u64, u64),
-    /// What was violated, by seed.
+    /// Violations with their seed.
     #[serde(skip)]
     pub violations: Vec<(u64, String)>,
-    /// The last events before the end, if a trace was asked for.
+    /// Last lines of the trace, if one was requested.
     #[serde(skip)]
     pub trace: Vec<String>,
 }
 
 impl SimulationReport {
-    /// Adds another report to this one.
+    /// Merges another report into this one.
     pub fn merge(&mut self, other: SimulationReport) {
         self.seeds += other.seeds;
         self.simulated_minutes += other.simulated_minutes;
@@ -70,7 +70,7 @@
         self.trace.extend(other.trace);
     }
 
-    /// Whether anything was violated.
+    /// Returns whether any check failed.
     pub fn has_violations(&self) -> bool {
         !self.violations.is_empty()
     }
--- a/crates/bench/src/simulation/world.rs
+++ b/crates/bench/src/simulation/world.rs
@@ -1,7 +1,7 @@
-//! The world: the virtual clock, the queue of events, and one run from its start to its report.
+//! The simulation world: the virtual clock, the event queue, and one run from start to report.
 //!
-//! Owns every model and the only source of randomness outside the nodes. Relies on the other modules to say
-//! what each event does; the same seed gives the same run.
+//! Owns every model and the only source of randomness outside the nodes. The other modules implement the
+//! handling of each event. The same seed produces the same run.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -18,73 +18,73 @@
 use super::faults::FaultPlan;
 use super::jobs::JobModel;
 use super::network::Network;
-use super::nodes::{NodeSlot, ZONES};
+use super::nodes::{NodeSlot, ZONE_COUNT};
 use super::operators::OperatorModel;
 use super::oracle::Oracle;
-use super::platform::{KeyValueModel, MachineModel, USUAL_LAG_MS};
+use super::platform::{DEFAULT_LAG_MS, KeyValueModel, MachineModel};
 use super::report::{LivenessTally, SimulationReport};
 use crate::event_queue::EventQueue;
 
-/// Time between two ticks of a node, in milliseconds.
-pub(super) const TICK_MS: u64 = 50;
-/// How long before its end a run is free of failures, in milliseconds.
-const QUIET_MS: u64 = 150_000;
-/// Trace lines kept.
-const TRACE_LINES: usize = 400_000;
+/// Interval between two ticks of a node.
+pub(super) const TICK_INTERVAL_MS: u64 = 50;
+/// Length of the fault-free period at the end of a run.
+const FAULT_FREE_MS: u64 = 150_000;
+/// Maximum number of trace lines retained.
+const MAX_TRACE_LINES: usize = 400_000;
 
-/// What to run.
+/// Options of a simulation run.
 #[derive(Clone, Copy, Debug)]
 pub struct SimulationOptions {
-    /// Decides everything.
+    /// Seed of the random generator, which determines the whole run.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Minutes to simulate.
+    /// Length of the run, in simulated minutes.
     pub minutes: u64,
-    /// Keep a trace.
+    /// Whether to record a trace.
     pub trace: bool,
 }
 
-/// The world.
+/// State of one run.
 pub struct World {
-    /// What is run.
+    /// Options of this run.
     pub options: SimulationOptions,
-    /// Now.
+    /// Current virtual time.
     pub now_ms: u64,
     pub(super) queue: EventQueue<SimEvent>,
-    /// Decides everything that is not a node's own.
+    /// Source of all randomness outside the nodes.
     pub random: Xoshiro256PlusPlus,
-    /// Nodes.
+    /// Node slots, indexed by slot number.
     pub slots: Vec<NodeSlot>,
-    pub(super) by_address: BTreeMap<SocketAddr, usize>,
-    /// The network.
+    pub(super) slots_by_address: BTreeMap<SocketAddr, usize>,
+    /// Network model.
     pub network: Network,
-    /// The key-value service.
+    /// Key-value service model.
     pub key_value: KeyValueModel,
-    /// The machine list.
+    /// Machine list model.
     pub machines: MachineModel,
-    /// Engines.
+    /// Engine models.
     pub engines: Vec<EngineModel>,
-    /// Online callers.
+    /// Online caller model.
     pub callers: CallerModel,
-    /// Batch submitters.
+    /// Batch submitter model.
     pub jobs: JobModel,
-    /// Operators.
+    /// Operator model.
     pub operators: OperatorModel,
-    /// What breaks.
+    /// Fault injection state.
     pub faults: FaultPlan,
-    /// The invariants.
+    /// Invariant checks and violations.
     pub oracle: Oracle,
-    /// Who waits at which node.
+    /// Pending calls by caller.
     pub calls: BTreeMap<CallerId, CallOwner>,
     pub(super) next_caller: u64,
     pub(super) next_address: u16,
-    /// What callers did, by kind.
+    /// Caller operations by kind.
     pub operations: BTreeMap<&'static str, u64>,
     trace: VecDeque<String>,
 }
 
-/// Runs one seed.
+/// Runs the simulation for one seed.
 pub fn simulate(options: SimulationOptions) -> SimulationReport {
     let mut world = World::new(options);
     world.run();
@@ -99,10 +99,10 @@
             queue: EventQueue::default(),
             random: Xoshiro256PlusPlus::seed_from_u64(options.seed),
             slots: Vec::new(),
-            by_address: BTreeMap::new(),
+            slots_by_address: BTreeMap::new(),
             network: Network::default(),
             key_value: KeyValueModel::default(),
-            machines: MachineModel::new(USUAL_LAG_MS),
+            machines: MachineModel::new(DEFAULT_LAG_MS),
             engines: Vec::new(),
             callers: CallerModel::default(),
             jobs: JobModel::default(),
@@ -115,10 +115,10 @@
             operations: BTreeMap::new(),
             trace: VecDeque::new(),
         };
-        const MOST_STORES: usize = 5;
-        let stores = options.nodes.saturating_sub(1).clamp(1, MOST_STORES);
-        for place in 0..options.nodes {
-            world.add_slot(place % ZONES, place < stores);
+        const MAX_STORAGE_NODES: usize = 5;
+        let stores = options.nodes.saturating_sub(1).clamp(1, MAX_STORAGE_NODES);
+        for index in 0..options.nodes {
+            world.add_slot(index % ZONE_COUNT, index < stores);
         }
         world.add_engines();
         for slot in 0..world.slots.len() {
@@ -131,30 +131,30 @@
         world
     }
 
-    /// The end of the run.
+    /// Virtual time at which the run ends.
     pub fn end_ms(&self) -> u64 {
         self.options.minutes * 60_000
     }
 
-    /// From here on nothing breaks any more.
-    pub fn quiet_from_ms(&self) -> u64 {
-        self.end_ms().saturating_sub(QUIET_MS)
+    /// Virtual time after which no faults are injected.
+    pub fn fault_free_from_ms(&self) -> u64 {
+        self.end_ms().saturating_sub(FAULT_FREE_MS)
     }
 
-    /// Whether failures are over.
-    pub fn is_quiet(&self) -> bool {
-        self.now_ms >= self.quiet_from_ms()
+    /// Whether the fault-free period has begun.
+    pub fn is_fault_free(&self) -> bool {
+        self.now_ms >= self.fault_free_from_ms()
     }
 
-    /// Schedules something `after_ms` from now.
+    /// Schedules an event `after_ms` from now.
     pub fn schedule(&mut self, after_ms: u64, event: SimEvent) {
         self.queue.push(self.now_ms + after_ms, event);
     }
 
-    /// Adds a line to the trace.
-    pub fn note(&mut self, line: impl FnOnce() -> String) {
+    /// Appends a line to the trace if tracing is enabled.
+    pub fn trace_event(&mut self, line: impl FnOnce() -> String) {
         if self.options.trace {
-            if self.trace.len() >= TRACE_LINES {
+            if self.trace.len() >= MAX_TRACE_LINES {
                 self.trace.pop_front();
             }
             let line = format!("{:>8} {}", self.now_ms, line());
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Counts something that a caller did.
+    /// Increments the count of a caller operation.
     pub fn count(&mut self, operation: &'static str) {
         *self.operations.entry(operation).or_default() += 1;
     }
@@ -174,30 +174,30 @@
                 break;
             }
             self.now_ms = at_ms;
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now_ms = end;
         self.check_at_end();
     }
 
-    fn happen(&mut self, event: SimEvent) {
+    fn handle_event(&mut self, event: SimEvent) {
         match event {
             SimEvent::Tick { slot, process } => {
                 if self.slots[slot].process == process && self.slots[slot].node.is_some() {
                     if !self.slots[slot].paused {
-                        self.feed(slot, Event::Tick);
+                        self.deliver(slot, Event::Tick);
                     }
-                    self.schedule(TICK_MS, SimEvent::Tick { slot, process });
+                    self.schedule(TICK_INTERVAL_MS, SimEvent::Tick { slot, process });
                 }
             }
             SimEvent::Node { slot, process, event } => {
                 if process.is_none_or(|process| process == self.slots[slot].process) {
-                    self.feed(slot, *event);
+                    self.deliver(slot, *event);
                 }
             }
             SimEvent::Message { to, message } => {
-                if let Some(slot) = self.by_address.get(&to).copied() {
-                    self.feed(slot, Event::Peer(*message));
+                if let Some(slot) = self.slots_by_address.get(&to).copied() {
+                    self.deliver(slot, Event::Peer(*message));
                 }
             }
             SimEvent::Start { slot } => self.start_node(slot),
--- a/crates/bench/tests/simulation.rs
+++ b/crates/bench/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! A short simulation of every kind of failure holds, and a run is a function of its seed.
+//! Short simulations with fault injection violate no invariant, and a run is determined by its seed.
 
 use stallmoor_bench::simulation::{SimulationOptions, SimulationReport, simulate};
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn nothing_is_violated_in_a_few_seeds() {
+fn short_runs_violate_no_invariant() {
     for seed in 1..=12 {
         let report = run(seed, 7, 6);
         assert!(!report.has_violations(), "seed {seed}: {:?}", report.violations);
@@ -15,9 +15,9 @@
     }
 }
 
-/// Seeds that once showed a fault, each by its own failure.
+/// Regression test for seeds that exposed faults in the past.
 #[test]
-fn seeds_that_showed_faults_stay_clean() {
+fn regression_seeds_violate_no_invariant() {
     for seed in [2, 11, 13, 23, 368, 388] {
         let report = run(seed, 7, 10);
         assert!(!report.has_violations(), "seed {seed}: {:?}", report.violations);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_run_is_a_function_of_its_seed() {
+fn run_is_determined_by_its_seed() {
     let (first, second) = (run(5, 7, 4), run(5, 7, 4));
     assert_eq!(first.invariants, second.invariants);
     assert_eq!(first.operations, second.operations);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn sixty_nodes_agree() {
+fn sixty_nodes_violate_no_invariant() {
     let report = run(1, 60, 4);
     assert!(!report.has_violations(), "{:?}", report.violations);
 }
