--- a/crates/bench/src/chaos/batch.rs
+++ b/crates/bench/src/chaos/batch.rs
@@ -10,7 +10,7 @@
 use stallmoor_emulator::answer_text;
 
 use super::{ChaosOptions, MAX_TOKENS};
-use crate::fleet_client::{FleetClient, RefusalSeen};
+use crate::fleet_client::{FleetClient, Refusal};
 
 /// The mean time between two jobs, in milliseconds.
 const MEAN_GAP_MS: u64 = 2_500;
@@ -70,11 +70,11 @@
         .map(|(place, prompt)| json!({"custom_id": place.to_string(), "prompt": prompt}).to_string() + "\n")
         .collect();
     for _ in 0..TRIES {
-        let node = client.draw_node(random);
+        let node = client.random_node(random);
         match client.submit(node, key, lines.clone()).await {
             Ok(id) => return Some(id),
             Err(refusal) => {
-                let wait = refusal.as_ref().and_then(|refusal: &RefusalSeen| refusal.retry_after_ms).unwrap_or(500);
+                let wait = refusal.as_ref().and_then(|refusal: &Refusal| refusal.retry_after_ms).unwrap_or(500);
                 tokio::time::sleep(Duration::from_millis(wait)).await;
             }
         }
--- a/crates/bench/src/chaos/online.rs
+++ b/crates/bench/src/chaos/online.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinSet;
 
 use super::{ChaosOptions, MAX_TOKENS};
-use crate::fleet_client::{FleetClient, Outcome, Question};
+use crate::fleet_client::{CompletionRequest, FleetClient, Outcome};
 
 /// The mean time between two questions.
 const MEAN_GAP_MS: u64 = 40;
@@ -53,14 +53,14 @@
         } else {
             format!("question {number} of {}, sending {send}", options.seed)
         };
-        let question = Question {
+        let question = CompletionRequest {
             prompt: prompt.clone(),
             session: session.clone(),
-            once_key: once.then(|| format!("key-{}-{number}", options.seed)),
+            idempotency_key: once.then(|| format!("key-{}-{number}", options.seed)),
             max_tokens: MAX_TOKENS,
         };
-        let node = client.draw_node(&mut random);
-        let outcome = client.ask(node, &question).await;
+        let node = client.random_node(&mut random);
+        let outcome = client.complete(node, &question).await;
         let wait = match &outcome {
             Outcome::Refused(refusal) => refusal.retry_after_ms,
             Outcome::Lost => Some(500),
--- a/crates/bench/src/event_queue.rs
+++ b/crates/bench/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! A queue of events on a virtual clock. Events at the same time come out in the order they went in.
+//! An event queue on a virtual clock. Events with the same time are returned in insertion order.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -29,7 +29,7 @@
     }
 }
 
-/// The queue. The unit of time is the user's.
+/// Priority queue of events. The caller defines the unit of time.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Scheduled<E>>>,
     sequence: u64,
@@ -42,23 +42,23 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Adds an event at a time.
+    /// Adds an event at the given time.
     pub fn push(&mut self, at: u64, event: E) {
         self.sequence += 1;
         self.heap.push(Reverse(Scheduled { at, sequence: self.sequence, event }));
     }
 
-    /// Takes the earliest event and its time.
+    /// Removes and returns the earliest event with its time.
     pub fn pop(&mut self) -> Option<(u64, E)> {
         self.heap.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
 
-    /// The events in the queue, in no order.
+    /// Returns the queued events in arbitrary order.
     pub fn events(&self) -> impl Iterator<Item = &E> {
         self.heap.iter().map(|Reverse(scheduled)| &scheduled.event)
     }
 
-    /// How many events were ever added.
+    /// Returns the total number of events ever added.
     pub fn count(&self) -> u64 {
         self.sequence
     }
--- a/crates/bench/src/experiment_command.rs
+++ b/crates/bench/src/experiment_command.rs
@@ -1,4 +1,4 @@
-//! `stallmoor-bench experiment`.
+//! The `stallmoor-bench experiment` subcommand.
 
 use std::process::ExitCode;
 
@@ -7,12 +7,12 @@
 use stallmoor_bench::experiment::{self, ExperimentOptions, ExperimentReport, Profile};
 use stallmoor_bench::latency::Percentiles;
 
-use crate::arguments::{json, number, one, print_json};
+use crate::arguments::{json, number, print_json, value_of};
 
-/// The subcommand.
+/// Defines the subcommand.
 pub fn command() -> Command {
     let shared_fleet = Command::new("shared-fleet")
-        .about("Batch throughput against harm to the online tail, with and without batch on the same arrivals")
+        .about("Compares online tail latency with and without batch load on the same arrivals")
         .after_help("Example: stallmoor-bench experiment shared-fleet --profile vidyapath --seed 3 --headroom 0.2")
         .arg(
             Arg::new("profile")
@@ -20,17 +20,17 @@
                 .value_name("PROFILE")
                 .value_parser(PossibleValuesParser::new(["tubigwatch", "vidyapath"]))
                 .default_value("tubigwatch")
-                .help("Whose fleet and load"),
+                .help("Profile of the fleet and its load"),
         )
-        .arg(number("seed", "Decides the arrivals", "1"))
-        .arg(number("seeds", "Runs this many seeds from the first on, and prints each", "1"))
-        .arg(number("seconds", "Seconds of load", "60"))
+        .arg(number("seed", "Seed for the arrivals", "1"))
+        .arg(number("seeds", "Number of consecutive seeds to run, each reported separately", "1"))
+        .arg(number("seconds", "Duration of the load in seconds", "60"))
         .arg(
             Arg::new("headroom")
                 .long("headroom")
                 .value_name("SHARE")
                 .value_parser(value_parser!(f64))
-                .help("The share of slots that batch leaves free, instead of the profile's"),
+                .help("Fraction of slots that batch leaves free, overriding the profile"),
         )
         .arg(json());
     Command::new("experiment")
@@ -44,12 +44,12 @@
     let Some(("shared-fleet", arguments)) = arguments.subcommand() else { return ExitCode::from(2) };
     let name = arguments.get_one::<String>("profile").map_or("", String::as_str);
     let Some(profile) = Profile::parse(name) else { return ExitCode::from(2) };
-    let first: u64 = one(arguments, "seed");
-    for seed in first..first + one::<u64>(arguments, "seeds") {
+    let first: u64 = value_of(arguments, "seed");
+    for seed in first..first + value_of::<u64>(arguments, "seeds") {
         let options = ExperimentOptions {
             profile,
             seed,
-            seconds: one(arguments, "seconds"),
+            seconds: value_of(arguments, "seconds"),
             headroom: arguments.get_one::<f64>("headroom").copied(),
         };
         let report = experiment::run(&options);
--- a/crates/bench/src/fleet_client.rs
+++ b/crates/bench/src/fleet_client.rs
@@ -1,4 +1,4 @@
-//! A client of a running fleet, for load and for checks under failure.
+//! An HTTP client for a running fleet, used for load generation and checks under failure.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,69 +13,69 @@
 use serde_json::{Value, json};
 use stallmoor_clients::HttpCaller;
 
-/// How long one call may take.
+/// Maximum duration of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Which fleet is called, and as whom.
+/// The fleet to call, with the tenant and model to use.
 #[derive(Clone, Debug)]
 pub struct FleetTarget {
-    /// The nodes' addresses for callers.
+    /// Addresses on which the nodes accept callers.
     pub nodes: Vec<SocketAddr>,
-    /// Who asks.
+    /// Tenant that sends the requests.
     pub tenant: String,
-    /// The model that is asked for.
+    /// Model to request.
     pub model: String,
 }
 
-/// A question to ask.
+/// A completion request.
 #[derive(Clone, Debug)]
-pub struct Question {
-    /// The prompt.
+pub struct CompletionRequest {
+    /// Prompt text.
     pub prompt: String,
-    /// The session, if any.
+    /// Session identifier, if any.
     pub session: Option<String>,
-    /// The key of a question that must run at most once.
-    pub once_key: Option<String>,
-    /// Most tokens.
+    /// Idempotency key of a request that must run at most once.
+    pub idempotency_key: Option<String>,
+    /// Maximum number of tokens in the answer.
     pub max_tokens: u32,
 }
 
-/// What came of a question.
+/// Outcome of a completion request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// A whole answer.
+    /// A complete answer was received.
     Answered(TimedAnswer),
-    /// A refusal.
-    Refused(RefusalSeen),
-    /// The connection broke, or nothing came in time.
+    /// The request was refused.
+    Refused(Refusal),
+    /// The connection broke or the call timed out.
     Lost,
 }
 
-/// A whole answer, and when its pieces came.
+/// A complete answer with the timing of its pieces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedAnswer {
-    /// The text.
+    /// Concatenated text of all pieces.
     pub text: String,
-    /// Tokens.
+    /// Number of tokens.
     pub tokens: u64,
-    /// From the sending to the first piece.
+    /// Time from sending the request to the first piece.
     pub first_token: Duration,
-    /// Between pieces.
+    /// Intervals between consecutive pieces.
     pub gaps: Vec<Duration>,
 }
 
-/// A refusal as the caller sees it.
+/// A refusal as received by the caller.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RefusalSeen {
-    /// Its code.
+pub struct Refusal {
+    /// Error code.
     pub code: String,
-    /// Whether the request ran.
+    /// Whether the request ran, as reported by the fleet.
     pub ran: String,
-    /// When to come back, in milliseconds.
+    /// Retry delay in milliseconds, if given.
     pub retry_after_ms: Option<u64>,
 }
 
-/// A client of one tenant and one model.
+/// A client for one tenant and one model.
 #[derive(Clone)]
 pub struct FleetClient {
     target: Arc<FleetTarget>,
@@ -83,39 +83,39 @@
 }
 
 impl FleetClient {
-    /// A client of a fleet, without connections yet.
+    /// Creates a client without opening connections.
     pub fn new(target: FleetTarget) -> Self {
         Self { target: Arc::new(target), caller: HttpCaller::default() }
     }
 
-    /// The fleet.
+    /// Returns the target fleet.
     pub fn target(&self) -> &FleetTarget {
         &self.target
     }
 
-    /// A node, drawn at random.
-    pub fn draw_node(&self, random: &mut Xoshiro256PlusPlus) -> SocketAddr {
+    /// Returns a random node.
+    pub fn random_node(&self, random: &mut Xoshiro256PlusPlus) -> SocketAddr {
         self.target.nodes[random.random_range(0..self.target.nodes.len())]
     }
 
-    /// Asks a question as a stream.
-    pub async fn ask(&self, node: SocketAddr, question: &Question) -> Outcome {
-        let asked = tokio::time::timeout(CALL_TIMEOUT, self.try_ask(node, question)).await;
-        asked.ok().flatten().unwrap_or(Outcome::Lost)
+    /// Sends a completion request and reads the streamed answer.
+    pub async fn complete(&self, node: SocketAddr, completion: &CompletionRequest) -> Outcome {
+        let result = tokio::time::timeout(CALL_TIMEOUT, self.try_complete(node, completion)).await;
+        result.ok().flatten().unwrap_or(Outcome::Lost)
     }
 
-    async fn try_ask(&self, node: SocketAddr, question: &Question) -> Option<Outcome> {
+    async fn try_complete(&self, node: SocketAddr, completion: &CompletionRequest) -> Option<Outcome> {
         let body = json!({
             "model": self.target.model,
-            "prompt": question.prompt,
-            "max_tokens": question.max_tokens,
+            "prompt": completion.prompt,
+            "max_tokens": completion.max_tokens,
             "stream": true,
         });
         let mut headers = vec![("stallmoor-tenant", self.target.tenant.as_str())];
-        if let Some(session) = &question.session {
+        if let Some(session) = &completion.session {
             headers.push(("stallmoor-session", session));
         }
-        if let Some(key) = &question.once_key {
+        if let Some(key) = &completion.idempotency_key {
             headers.push(("idempotency-key", key));
             headers.push(("stallmoor-repeatable", "false"));
         }
@@ -124,17 +124,17 @@
         let response = self.caller.send(request).await.ok()?;
         if response.status() != StatusCode::OK {
             let body = response.into_body().collect().await.ok()?.to_bytes();
-            return refusal_of(&serde_json::from_slice(&body).ok()?).map(Outcome::Refused);
+            return parse_refusal(&serde_json::from_slice(&body).ok()?).map(Outcome::Refused);
         }
         read_stream(response, sent).await
     }
 
-    /// Submits JSON Lines as a job. Gives the job's id.
+    /// Submits JSON Lines as a batch job and returns the job id.
     ///
     /// # Errors
     ///
-    /// The refusal, or `None` if the connection broke.
-    pub async fn submit(&self, node: SocketAddr, key: &str, lines: String) -> Result<String, Option<RefusalSeen>> {
+    /// Returns the refusal, or `None` if the connection broke.
+    pub async fn submit(&self, node: SocketAddr, key: &str, lines: String) -> Result<String, Option<Refusal>> {
         let FleetTarget { tenant, model, .. } = &*self.target;
         let headers =
             [("stallmoor-tenant", tenant.as_str()), ("idempotency-key", key), ("content-type", "application/jsonl")];
@@ -143,17 +143,17 @@
         let (status, value) = self.call(request).await.ok_or(None)?;
         match value["id"].as_str() {
             Some(id) if status == StatusCode::OK => Ok(id.to_owned()),
-            _ => Err(refusal_of(&value)),
+            _ => Err(parse_refusal(&value)),
         }
     }
 
-    /// Reads JSON from a path.
+    /// Sends a GET request and returns the JSON body of a successful answer.
     pub async fn get(&self, node: SocketAddr, path: &str) -> Option<Value> {
         let (status, value) = self.call(request(Method::GET, node, path, &[], String::new())?).await?;
         (status == StatusCode::OK).then_some(value)
     }
 
-    /// All results of a job, in order of item.
+    /// Returns all results of a job, ordered by item.
     pub async fn results(&self, node: SocketAddr, job: &str) -> Option<Vec<Value>> {
         let mut results = Vec::new();
         let mut first = Some(0);
@@ -166,13 +166,13 @@
     }
 
     async fn call(&self, request: Request<Full<Bytes>>) -> Option<(StatusCode, Value)> {
-        let whole = async {
+        let exchange = async {
             let response = self.caller.send(request).await.ok()?;
             let status = response.status();
             let body = response.into_body().collect().await.ok()?.to_bytes();
             Some((status, serde_json::from_slice(&body).unwrap_or(Value::Null)))
         };
-        tokio::time::timeout(CALL_TIMEOUT, whole).await.ok().flatten()
+        tokio::time::timeout(CALL_TIMEOUT, exchange).await.ok().flatten()
     }
 }
 
@@ -190,7 +190,7 @@
     request.body(Full::new(Bytes::from(body))).ok()
 }
 
-/// Reads server-sent events to the end.
+/// Reads a stream of server-sent events to completion.
 async fn read_stream(response: Response<Incoming>, sent: Instant) -> Option<Outcome> {
     let mut body = response.into_body();
     let mut buffer = String::new();
@@ -207,7 +207,7 @@
             }
             let value: Value = serde_json::from_str(payload).ok()?;
             if value.get("error").is_some() {
-                return refusal_of(&value).map(Outcome::Refused);
+                return parse_refusal(&value).map(Outcome::Refused);
             }
             let text = value["choices"][0]["text"].as_str().unwrap_or_default();
             if text.is_empty() {
@@ -226,9 +226,9 @@
     None
 }
 
-fn refusal_of(value: &Value) -> Option<RefusalSeen> {
+fn parse_refusal(value: &Value) -> Option<Refusal> {
     let error = value.get("error")?;
-    Some(RefusalSeen {
+    Some(Refusal {
         code: error["code"].as_str()?.to_owned(),
         ran: error["ran"].as_str()?.to_owned(),
         retry_after_ms: error["retry_after_ms"].as_u64(),
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,13 +1,13 @@
-//! Measuring `stallmoor node`: simulation, experiments and load.
+//! Simulation, experiments and load generation for `stallmoor node`.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`chaos`] | load and checks against a running fleet that somebody breaks |
+//! | [`chaos`] | load and checks against a running fleet under fault injection |
 //! | [`experiment`] | the shared-fleet experiment on a virtual clock |
 //! | [`fleet_client`] | a client of a running fleet |
 //! | [`latency`] | latencies and their percentiles |
-//! | [`load`] | open-loop load against a running fleet |
-//! | [`simulation`] | many nodes on a virtual clock under failure, checked against an oracle |
+//! | [`load`] | open-loop load generation against a running fleet |
+//! | [`simulation`] | deterministic simulation of many nodes with fault injection, checked against invariants |
 
 pub mod chaos;
 mod event_queue;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,7 +1,7 @@
-//! Open-loop load against a running fleet.
+//! Open-loop load generation against a running fleet.
 //!
-//! Requests are sent when they are due, whether or not earlier ones were answered, and times count from
-//! when a request was due. A fleet that falls behind therefore shows it (no coordinated omission).
+//! Requests are sent on schedule regardless of outstanding answers, and latency is measured from the scheduled
+//! send time, which avoids coordinated omission.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,63 +15,63 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant as TokioInstant;
 
-use crate::fleet_client::{FleetClient, FleetTarget, Outcome, Question};
+use crate::fleet_client::{CompletionRequest, FleetClient, FleetTarget, Outcome};
 use crate::latency::{LatencyHistogram, Percentiles};
 
-/// Turns of a session.
-const TURNS: u64 = 4;
-/// Items of one batch job.
-const JOB_ITEMS: u64 = 50;
+/// Number of turns in a session.
+const SESSION_TURNS: u64 = 4;
+/// Number of items in a batch job.
+const ITEMS_PER_JOB: u64 = 50;
 
-/// What to send, and where.
+/// Options of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// Where to.
+    /// Fleet to send the load to.
     pub target: FleetTarget,
-    /// Online requests a second.
+    /// Online requests per second.
     pub rate: f64,
-    /// Batch items a second.
+    /// Batch items per second.
     pub batch_rate: f64,
-    /// How long.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// Decides what is sent when.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Most tokens of an answer.
+    /// Maximum number of tokens in an answer.
     pub max_tokens: u32,
-    /// Show a progress bar.
+    /// Whether to show a progress bar.
     pub progress: bool,
 }
 
-/// What came of it.
+/// Results of a load run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadReport {
-    /// Online requests sent.
+    /// Number of online requests sent.
     pub sent: u64,
-    /// Answered whole.
+    /// Number of online requests answered completely.
     pub answered: u64,
-    /// Refused.
+    /// Number of online requests refused.
     pub refused: u64,
-    /// Lost.
+    /// Number of online requests lost to a broken connection or a timeout.
     pub lost: u64,
-    /// Tokens received.
+    /// Number of tokens received.
     pub tokens: u64,
-    /// From when a request was due to its first token.
+    /// Time from a request's scheduled send time to its first token.
     pub ttft_ms: Percentiles,
-    /// Between pieces.
+    /// Intervals between consecutive pieces.
     pub itl_ms: Percentiles,
-    /// Batch jobs accepted.
+    /// Number of batch jobs accepted.
     pub jobs: u64,
-    /// Batch jobs refused or lost.
+    /// Number of batch jobs refused or lost.
     pub jobs_failed: u64,
 }
 
-/// One request's outcome.
+/// Outcome of one request.
 struct Sample {
     waited: Duration,
     outcome: Outcome,
 }
 
-/// Sends the load.
+/// Sends the load and returns its results.
 pub async fn run(options: LoadOptions) -> LoadReport {
     let options = Arc::new(options);
     let client = FleetClient::new(options.target.clone());
@@ -84,20 +84,20 @@
     } else {
         ProgressBar::hidden()
     };
-    let mut gathered = Gathered::default();
+    let mut stats = LoadStats::default();
     while let Some(sample) = received.recv().await {
         progress.inc(1);
-        gathered.add(&sample);
+        stats.add(&sample);
     }
     progress.finish_and_clear();
-    // A sender that panicked has been printed by the runtime; what it sent is counted.
+    // The runtime reports a panic of the sender; requests sent before it are still counted.
     let _ = sender.await;
     let jobs = jobs.await.unwrap_or_default();
-    let report = gathered.report;
+    let report = stats.report;
     LoadReport {
         sent: sent.load(Ordering::Relaxed),
-        ttft_ms: gathered.first_token.percentiles(),
-        itl_ms: gathered.between.percentiles(),
+        ttft_ms: stats.first_token.percentiles(),
+        itl_ms: stats.between.percentiles(),
         jobs: jobs.accepted,
         jobs_failed: jobs.failed,
         ..report
@@ -105,13 +105,13 @@
 }
 
 #[derive(Default)]
-struct Gathered {
+struct LoadStats {
     report: LoadReport,
     first_token: LatencyHistogram,
     between: LatencyHistogram,
 }
 
-impl Gathered {
+impl LoadStats {
     fn add(&mut self, sample: &Sample) {
         match &sample.outcome {
             Outcome::Answered(answer) => {
@@ -149,52 +149,52 @@
             return;
         }
         tokio::time::sleep_until(began + due).await;
-        let node = client.draw_node(&mut random);
-        let question = question(&options, number);
+        let node = client.random_node(&mut random);
+        let completion_request = completion_request(&options, number);
         number += 1;
         sent.fetch_add(1, Ordering::Relaxed);
         let (client, samples) = (client.clone(), samples.clone());
         let due_at = (began + due).into_std();
         tokio::spawn(async move {
             let waited = Instant::now().saturating_duration_since(due_at);
-            let outcome = client.ask(node, &question).await;
-            // The receiver lives until the last sender is gone.
+            let outcome = client.complete(node, &completion_request).await;
+            // The receiver outlives all senders.
             let _ = samples.send(Sample { waited, outcome });
         });
     }
 }
 
-/// Turns of a session share their prefix.
-fn question(options: &LoadOptions, number: u64) -> Question {
-    let session = number / TURNS;
-    let turn = number % TURNS;
+/// Builds a request whose prompt extends the prompt of the session's previous turn.
+fn completion_request(options: &LoadOptions, number: u64) -> CompletionRequest {
+    let session = number / SESSION_TURNS;
+    let turn = number % SESSION_TURNS;
     let history: String = (0..=turn).map(|turn| format!("turn {turn} of session {session} asks. ")).collect();
-    Question {
+    CompletionRequest {
         prompt: format!("load {} {history}", options.seed),
         session: Some(format!("load-{}-{session}", options.seed)),
-        once_key: None,
+        idempotency_key: None,
         max_tokens: options.max_tokens,
     }
 }
 
-/// Jobs submitted.
+/// Number of jobs by result of their submission.
 #[derive(Default)]
 struct JobTally {
     accepted: u64,
     failed: u64,
 }
 
-/// Submits jobs at the rate asked for.
+/// Submits jobs at the configured rate.
 async fn send_jobs(client: FleetClient, options: Arc<LoadOptions>) -> JobTally {
     let mut tally = JobTally::default();
     if options.batch_rate <= 0.0 {
         return tally;
     }
-    let gap = Duration::from_secs_f64(JOB_ITEMS as f64 / options.batch_rate);
-    let ends = Instant::now() + Duration::from_secs(options.seconds);
+    let gap = Duration::from_secs_f64(ITEMS_PER_JOB as f64 / options.batch_rate);
+    let deadline = Instant::now() + Duration::from_secs(options.seconds);
     let mut number = 0;
-    while Instant::now() < ends {
-        let lines: String = (0..JOB_ITEMS)
+    while Instant::now() < deadline {
+        let lines: String = (0..ITEMS_PER_JOB)
             .map(|item| json!({"prompt": format!("load {} job {number} item {item}", options.seed)}).to_string() + "\n")
             .collect();
         let node = options.target.nodes[number as usize % options.target.nodes.len()];
--- a/crates/bench/src/load_command.rs
+++ b/crates/bench/src/load_command.rs
@@ -1,23 +1,23 @@
-//! `stallmoor-bench load`.
+//! The `stallmoor-bench load` subcommand.
 
 use std::process::ExitCode;
 
 use clap::{ArgMatches, Command};
 use stallmoor_bench::load::{self, LoadOptions};
 
-use crate::arguments::{fraction, json, number, one, print_json, read_target, target};
+use crate::arguments::{fraction, json, number, print_json, read_target, target, value_of};
 
-/// The subcommand.
+/// Defines the subcommand.
 pub fn command() -> Command {
     Command::new("load")
-        .about("Open-loop load against a running fleet")
+        .about("Generates open-loop load against a running fleet")
         .after_help("Example: stallmoor-bench load --node 127.0.0.1:7200 --rate 50 --batch-rate 20 --seconds 30")
         .args(target("control-room"))
-        .arg(fraction("rate", "Online requests a second", "20"))
-        .arg(fraction("batch-rate", "Batch items a second", "0"))
-        .arg(number("seconds", "How long", "30"))
-        .arg(number("seed", "Decides what is sent when", "1"))
-        .arg(number("max-tokens", "Most tokens of an answer", "64"))
+        .arg(fraction("rate", "Online requests per second", "20"))
+        .arg(fraction("batch-rate", "Batch items per second", "0"))
+        .arg(number("seconds", "Duration of the load in seconds", "30"))
+        .arg(number("seed", "Seed for the generated load", "1"))
+        .arg(number("max-tokens", "Maximum number of tokens in an answer", "64"))
         .arg(json())
 }
 
@@ -26,11 +26,11 @@
     let json = arguments.get_flag("json");
     let options = LoadOptions {
         target: read_target(arguments),
-        rate: one(arguments, "rate"),
-        batch_rate: one(arguments, "batch-rate"),
-        seconds: one(arguments, "seconds"),
-        seed: one(arguments, "seed"),
-        max_tokens: one::<u64>(arguments, "max-tokens") as u32,
+        rate: value_of(arguments, "rate"),
+        batch_rate: value_of(arguments, "batch-rate"),
+        seconds: value_of(arguments, "seconds"),
+        seed: value_of(arguments, "seed"),
+        max_tokens: value_of::<u64>(arguments, "max-tokens") as u32,
         progress: !json,
     };
     let report = load::run(options).await;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `stallmoor-bench`: simulation, experiments and load.
+//! The `stallmoor-bench` command: simulation, experiments and load generation.
 
 mod arguments;
 mod chaos_command;
@@ -13,7 +13,7 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let command = Command::new("stallmoor-bench")
-        .about("Simulation, experiments and load")
+        .about("Simulation, experiments and load generation")
         .subcommand_required(true)
         .subcommand(simulate_command::command())
         .subcommand(chaos_command::command())
--- a/crates/bench/src/simulate_command.rs
+++ b/crates/bench/src/simulate_command.rs
@@ -1,4 +1,4 @@
-//! `stallmoor-bench simulate`.
+//! The `stallmoor-bench simulate` subcommand.
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,42 +8,42 @@
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use stallmoor_bench::simulation::{SimulationOptions, SimulationReport, simulate};
 
-use crate::arguments::{json, number, one, print_json};
+use crate::arguments::{json, number, print_json, value_of};
 
-/// Violations printed at most.
-const PRINTED_VIOLATIONS: usize = 20;
+/// Maximum number of violations printed.
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 
-/// The subcommand.
+/// Defines the subcommand.
 pub fn command() -> Command {
     Command::new("simulate")
-        .about("Runs the nodes' decision code on a virtual clock, under failure, and checks what must hold")
+        .about("Simulates the nodes' decision code on a virtual clock with fault injection and checks invariants")
         .after_help(
             "Example: stallmoor-bench simulate --seeds 200 --minutes 10\n\
              Exit codes: 0 everything held; 1 something was violated. To replay a seed with its trace:\n\
              stallmoor-bench simulate --seeds 1 --first-seed SEED --trace",
         )
-        .arg(number("seeds", "Seeds to run", "20"))
-        .arg(number("first-seed", "The first seed", "1"))
-        .arg(number("nodes", "Nodes in each run", "7"))
-        .arg(number("minutes", "Minutes to simulate for each seed", "10"))
+        .arg(number("seeds", "Number of seeds to run", "20"))
+        .arg(number("first-seed", "First seed", "1"))
+        .arg(number("nodes", "Number of nodes in each run", "7"))
+        .arg(number("minutes", "Simulated minutes per seed", "10"))
         .arg(json())
-        .arg(Arg::new("trace").long("trace").action(ArgAction::SetTrue).help("Print the trace's last lines"))
+        .arg(Arg::new("trace").long("trace").action(ArgAction::SetTrue).help("Print the last lines of the trace"))
 }
 
 /// Runs the subcommand.
 pub fn run(arguments: &ArgMatches) -> ExitCode {
     let options = SimulationOptions {
-        seed: one(arguments, "first-seed"),
-        nodes: one::<u64>(arguments, "nodes") as usize,
-        minutes: one(arguments, "minutes"),
+        seed: value_of(arguments, "first-seed"),
+        nodes: value_of::<u64>(arguments, "nodes") as usize,
+        minutes: value_of(arguments, "minutes"),
         trace: arguments.get_flag("trace"),
     };
     let began = Instant::now();
-    let report = run_seeds(options, one(arguments, "seeds"));
+    let report = run_seeds(options, value_of(arguments, "seeds"));
     for line in &report.trace {
         println!("{line}");
     }
-    for (seed, violation) in report.violations.iter().take(PRINTED_VIOLATIONS) {
+    for (seed, violation) in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         eprintln!("seed {seed}: {violation}");
     }
     if arguments.get_flag("json") {
@@ -54,7 +54,7 @@
     if report.has_violations() { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
-/// Runs seeds on all cores. Each is a function of its own seed, so their order doesn't matter.
+/// Runs seeds on all cores. Each run depends only on its seed, so their order does not matter.
 fn run_seeds(options: SimulationOptions, seeds: u64) -> SimulationReport {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let next = AtomicU64::new(0);
@@ -64,12 +64,12 @@
             let (next, sender) = (&next, sender.clone());
             scope.spawn(move || {
                 loop {
-                    let place = next.fetch_add(1, Ordering::Relaxed);
-                    if place >= seeds {
+                    let offset = next.fetch_add(1, Ordering::Relaxed);
+                    if offset >= seeds {
                         return;
                     }
-                    let report = simulate(SimulationOptions { seed: options.seed + place, ..options });
-                    // The receiver lives as long as the scope.
+                    let report = simulate(SimulationOptions { seed: options.seed + offset, ..options });
+                    // The receiver outlives the scope.
                     let _ = sender.send(report);
                 }
             });
@@ -104,7 +104,7 @@
         println!("  {name:<36} {:>10} checked {:>6} violated", tally.checked, tally.violations);
     }
     let (slowest_ms, seed) = report.slowest_spread;
-    println!("slowest spread of a revision: {slowest_ms} ms, in seed {seed}");
+    println!("slowest propagation of a revision: {slowest_ms} ms, in seed {seed}");
     println!("after the failures end:");
     for (name, tally) in &report.liveness {
         let outcome = format!("{:>10} checked {:>6} violated", tally.checked, tally.violations);
