--- a/crates/bench/src/chaos/batch.rs
+++ b/crates/bench/src/chaos/batch.rs
@@ -1,4 +1,4 @@
-//! Jobs under failure.
+//! Batch jobs under fault injection.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,38 +12,38 @@
 use super::{ChaosOptions, MAX_TOKENS};
 use crate::fleet_client::{FleetClient, Refusal};
 
-/// The mean time between two jobs, in milliseconds.
-const MEAN_GAP_MS: u64 = 2_500;
-/// Time between two looks at a job.
-const LOOK: Duration = Duration::from_millis(500);
-/// How long one node may take to become readable at the end.
-const READ_PATIENCE: Duration = Duration::from_secs(60);
+/// Mean interval between two jobs.
+const MEAN_INTERVAL_MS: u64 = 2_500;
+/// Interval between two attempts to read a job's status or results.
+const JOB_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Time allowed for a job's results to become readable at a node.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A job that was accepted.
+/// A job that the fleet accepted.
 #[derive(Clone, Debug)]
 pub struct AcceptedJob {
     id: String,
     prompts: Vec<String>,
 }
 
-/// What the check of all jobs came to.
+/// Results of checking all jobs.
 #[derive(Clone, Debug, Default)]
 pub struct CheckedJobs {
-    /// Jobs accepted.
+    /// Number of jobs accepted.
     pub jobs: usize,
-    /// Items accepted.
+    /// Number of items accepted.
     pub items: usize,
-    /// What was wrong.
+    /// Descriptions of the violations found.
     pub violations: Vec<String>,
 }
 
-/// Submits jobs until the load is over; each is sent again until it is accepted.
+/// Submits jobs for the duration of the load, retrying each until it is accepted.
 pub async fn submit_jobs(client: FleetClient, options: Arc<ChaosOptions>) -> Vec<AcceptedJob> {
     let mut random = Xoshiro256PlusPlus::seed_from_u64(options.seed ^ 0x6a6f_6273);
-    let ends = Instant::now() + options.load;
+    let deadline = Instant::now() + options.load;
     let mut jobs = Vec::new();
     let mut number = 0;
-    while Instant::now() < ends {
+    while Instant::now() < deadline {
         number += 1;
         let items = random.random_range(20..=150);
         let prompts: Vec<String> =
@@ -52,7 +52,7 @@
         if let Some(id) = submit_until_accepted(&client, &key, &prompts, &mut random).await {
             jobs.push(AcceptedJob { id, prompts });
         }
-        tokio::time::sleep(Duration::from_millis(random.random_range(1..=2 * MEAN_GAP_MS))).await;
+        tokio::time::sleep(Duration::from_millis(random.random_range(1..=2 * MEAN_INTERVAL_MS))).await;
     }
     jobs
 }
@@ -63,13 +63,13 @@
     prompts: &[String],
     random: &mut Xoshiro256PlusPlus,
 ) -> Option<String> {
-    const TRIES: usize = 40;
+    const MAX_SUBMISSIONS: usize = 40;
     let lines: String = prompts
         .iter()
         .enumerate()
-        .map(|(place, prompt)| json!({"custom_id": place.to_string(), "prompt": prompt}).to_string() + "\n")
+        .map(|(index, prompt)| json!({"custom_id": index.to_string(), "prompt": prompt}).to_string() + "\n")
         .collect();
-    for _ in 0..TRIES {
+    for _ in 0..MAX_SUBMISSIONS {
         let node = client.random_node(random);
         match client.submit(node, key, lines.clone()).await {
             Ok(id) => return Some(id),
@@ -82,7 +82,7 @@
     None
 }
 
-/// Waits until all jobs are complete and reads all results from every node.
+/// Waits until all jobs are complete and checks the results read from every node.
 pub async fn check_jobs(client: &FleetClient, options: &ChaosOptions, jobs: &[AcceptedJob]) -> CheckedJobs {
     let mut checked =
         CheckedJobs { jobs: jobs.len(), items: jobs.iter().map(|job| job.prompts.len()).sum(), violations: Vec::new() };
@@ -95,8 +95,8 @@
     for job in jobs {
         let mut first: Option<BTreeMap<u64, Value>> = None;
         for node in &options.target.nodes {
-            let Some(results) = read_patiently(client, *node, &job.id).await else {
-                checked.violations.push(format!("{} is not readable at {node}", job.id));
+            let Some(results) = read_until_available(client, *node, &job.id).await else {
+                checked.violations.push(format!("results of {} are not readable at {node}", job.id));
                 continue;
             };
             checked.violations.extend(check_results(options, job, &results));
@@ -105,7 +105,7 @@
             match &first {
                 None => first = Some(by_item),
                 Some(first) if *first != by_item => {
-                    checked.violations.push(format!("{} reads differently at {node}", job.id));
+                    checked.violations.push(format!("{} has different results at {node}", job.id));
                 }
                 Some(_) => {}
             }
@@ -116,21 +116,21 @@
 
 async fn wait_complete(client: &FleetClient, job: &AcceptedJob, deadline: Instant) -> bool {
     let nodes = &client.target().nodes;
-    let mut place = 0;
+    let mut index = 0;
     while Instant::now() < deadline {
-        let node = nodes[place % nodes.len()];
-        place += 1;
+        let node = nodes[index % nodes.len()];
+        index += 1;
         let status = client.get(node, &format!("/v1/batches/{}", job.id)).await;
         if status.is_some_and(|status| status["status"] == "completed") {
             return true;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(JOB_POLL_INTERVAL).await;
     }
     false
 }
 
-async fn read_patiently(client: &FleetClient, node: std::net::SocketAddr, job: &str) -> Option<Vec<Value>> {
-    let deadline = Instant::now() + READ_PATIENCE;
+async fn read_until_available(client: &FleetClient, node: std::net::SocketAddr, job: &str) -> Option<Vec<Value>> {
+    let deadline = Instant::now() + READ_TIMEOUT;
     loop {
         if let Some(results) = client.results(node, job).await {
             return Some(results);
@@ -138,11 +138,11 @@
         if Instant::now() >= deadline {
             return None;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(JOB_POLL_INTERVAL).await;
     }
 }
 
-/// Each item has exactly one result, which is the whole answer to its prompt.
+/// Checks that each item has exactly one result, which is the complete answer to its prompt.
 fn check_results(options: &ChaosOptions, job: &AcceptedJob, results: &[Value]) -> Vec<String> {
     let mut violations = Vec::new();
     let mut seen = vec![0; job.prompts.len()];
@@ -155,7 +155,7 @@
         seen[item] += 1;
         let expected = answer_text(&options.target.model, prompt, MAX_TOKENS);
         if result["text"].as_str() != Some(&expected) || result["custom_id"].as_str() != Some(&item.to_string()) {
-            violations.push(format!("{} item {item}: not the whole answer to its prompt", job.id));
+            violations.push(format!("{} item {item}: not the complete answer to its prompt", job.id));
         }
     }
     for (item, count) in seen.iter().enumerate().filter(|(_, count)| **count != 1) {
--- a/crates/bench/src/chaos/mod.rs
+++ b/crates/bench/src/chaos/mod.rs
@@ -1,7 +1,7 @@
-//! Load under failure against a running fleet, and the check of what came of it.
+//! Load generation under fault injection against a running fleet, and verification of the results.
 //!
-//! `scripts/chaos.sh` starts the fleet and breaks it; this client sends online and batch load, writes
-//! down what it was told, and at the end holds that against the engines' own count of runs.
+//! `scripts/chaos.sh` starts the fleet and injects faults. This client sends online and batch load, records the
+//! answers, and checks them against the engines' records of runs at the end.
 
 mod batch;
 mod online;
@@ -15,32 +15,32 @@
 
 pub use verdict::ChaosVerdict;
 
-/// What to send, and where.
+/// Options of a chaos run.
 #[derive(Clone, Debug)]
 pub struct ChaosOptions {
-    /// Where to.
+    /// Fleet to send the load to.
     pub target: FleetTarget,
-    /// Files in which engines write down their runs.
+    /// Files in which engines record their runs.
     pub runs_files: Vec<PathBuf>,
-    /// How long load is sent.
+    /// Duration of the load.
     pub load: Duration,
-    /// How long jobs may take to complete after the load.
+    /// Time allowed for jobs to complete after the load.
     pub settle: Duration,
-    /// Decides what is sent.
+    /// Seed of the random generator.
     pub seed: u64,
 }
 
-/// Most tokens of each answer.
+/// Maximum number of tokens in an answer.
 pub(crate) const MAX_TOKENS: u32 = 64;
 
-/// Sends load, waits until jobs are complete, and checks.
+/// Sends the load, waits until jobs are complete and checks the results.
 pub async fn run(options: ChaosOptions) -> ChaosVerdict {
     let options = Arc::new(options);
     let client = FleetClient::new(options.target.clone());
-    let online = tokio::spawn(online::send_questions(client.clone(), options.clone()));
+    let online = tokio::spawn(online::send_requests(client.clone(), options.clone()));
     let batch = tokio::spawn(batch::submit_jobs(client.clone(), options.clone()));
     let questions = online.await.unwrap_or_default();
     let jobs = batch.await.unwrap_or_default();
     let checked = batch::check_jobs(&client, &options, &jobs).await;
-    verdict::judge(&options, &questions, checked)
+    verdict::check_run(&options, &questions, checked)
 }
--- a/crates/bench/src/chaos/verdict.rs
+++ b/crates/bench/src/chaos/verdict.rs
@@ -1,4 +1,4 @@
-//! What the run came to: what callers were told, against what engines did.
+//! Verification of a chaos run: compares the answers that callers received with the engines' records.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -8,37 +8,37 @@
 use stallmoor_emulator::answer_text;
 
 use super::batch::CheckedJobs;
-use super::online::QuestionLog;
+use super::online::RequestLog;
 use super::{ChaosOptions, MAX_TOKENS};
 use crate::fleet_client::Outcome;
 
-/// What the run came to.
+/// Results of a chaos run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ChaosVerdict {
-    /// Questions asked.
+    /// Number of online requests.
     pub questions: usize,
-    /// Sendings that were answered whole.
+    /// Number of sends that were answered completely.
     pub answered: usize,
-    /// Sendings that were refused, by code.
+    /// Number of sends that were refused, by error code.
     pub refused: BTreeMap<String, usize>,
-    /// Sendings that were lost.
+    /// Number of sends that were lost.
     pub lost: usize,
-    /// Refusals that said "not run", each held against the engines' count.
+    /// Number of "not run" refusals checked against the engines' records.
     pub not_run_checked: usize,
-    /// Questions that may run at most once, each held against the engines' count.
+    /// Number of at-most-once requests checked against the engines' records.
     pub at_most_once_checked: usize,
-    /// Jobs accepted.
+    /// Number of jobs accepted.
     pub jobs: usize,
-    /// Items accepted, each held against its results at every node.
+    /// Number of items accepted, each checked against its results at every node.
     pub items: usize,
-    /// Runs that engines wrote down.
+    /// Number of runs recorded by engines.
     pub engine_runs: usize,
-    /// What was violated.
+    /// Descriptions of the violations found.
     pub violations: Vec<String>,
 }
 
-/// Holds what callers were told against what engines did.
-pub fn judge(options: &ChaosOptions, questions: &[QuestionLog], jobs: CheckedJobs) -> ChaosVerdict {
+/// Compares the answers that callers received with the engines' records.
+pub fn check_run(options: &ChaosOptions, questions: &[RequestLog], jobs: CheckedJobs) -> ChaosVerdict {
     let runs = read_runs(&options.runs_files);
     let mut verdict = ChaosVerdict {
         questions: questions.len(),
@@ -48,63 +48,63 @@
         violations: jobs.violations,
         ..ChaosVerdict::default()
     };
-    for question in questions {
-        judge_question(options, question, &runs, &mut verdict);
+    for request in questions {
+        check_request(options, request, &runs, &mut verdict);
     }
     verdict
 }
 
-fn judge_question(
+fn check_request(
     options: &ChaosOptions,
-    question: &QuestionLog,
+    request: &RequestLog,
     runs: &BTreeMap<String, usize>,
     verdict: &mut ChaosVerdict,
 ) {
-    let last = question.outcomes.len().saturating_sub(1);
-    for (place, (prompt, outcome)) in question.prompts.iter().zip(&question.outcomes).enumerate() {
+    let last = request.outcomes.len().saturating_sub(1);
+    for (index, (prompt, outcome)) in request.prompts.iter().zip(&request.outcomes).enumerate() {
         let count = runs.get(prompt).copied().unwrap_or(0);
         match outcome {
             Outcome::Answered(answer) => {
                 verdict.answered += 1;
                 if answer.text != answer_text(&options.target.model, prompt, MAX_TOKENS) {
-                    verdict.violations.push(format!("\"{prompt}\": not the whole answer"));
+                    verdict.violations.push(format!("\"{prompt}\": answer is incomplete or wrong"));
                 }
             }
             Outcome::Refused(refusal) => {
                 *verdict.refused.entry(refusal.code.clone()).or_default() += 1;
-                // A once-only question sent again later may have run then.
-                let is_final_word = !question.once || place == last;
-                if refusal.ran == "not_run" && is_final_word {
+                // An at-most-once request may have run on a later send, so only its last refusal is conclusive.
+                let is_conclusive = !request.at_most_once || index == last;
+                if refusal.ran == "not_run" && is_conclusive {
                     verdict.not_run_checked += 1;
                     if count > 0 {
                         verdict
                             .violations
-                            .push(format!("\"{prompt}\": {} says not run, ran {count} times", refusal.code));
+                            .push(format!("\"{prompt}\": {} reported not run, but it ran {count} times", refusal.code));
                     }
                 }
-                if refusal.retry_after_ms.is_none() && may_come_back(&refusal.code) {
-                    verdict.violations.push(format!("\"{prompt}\": {} does not say when to come back", refusal.code));
+                if refusal.retry_after_ms.is_none() && is_retryable(&refusal.code) {
+                    verdict.violations.push(format!("\"{prompt}\": {} has no retry delay", refusal.code));
                 }
             }
             Outcome::Lost => verdict.lost += 1,
         }
     }
-    if question.once {
+    if request.at_most_once {
         verdict.at_most_once_checked += 1;
-        let prompt = question.prompts.first().map(String::as_str).unwrap_or_default();
+        let prompt = request.prompts.first().map(String::as_str).unwrap_or_default();
         let count = runs.get(prompt).copied().unwrap_or(0);
         if count > 1 {
-            verdict.violations.push(format!("\"{prompt}\" may run once and ran {count} times"));
+            verdict.violations.push(format!("\"{prompt}\" may run at most once but ran {count} times"));
         }
     }
 }
 
-/// Refusals after which sending the same again can't help.
-fn may_come_back(code: &str) -> bool {
+/// Returns whether a request refused with this code may be retried.
+fn is_retryable(code: &str) -> bool {
     !matches!(code, "already_ran" | "outcome_unknown" | "key_conflict")
 }
 
-/// Runs by prompt, over all engines and their restarts.
+/// Returns the number of runs by prompt, over all engines and their restarts.
 fn read_runs(files: &[PathBuf]) -> BTreeMap<String, usize> {
     let mut runs = BTreeMap::new();
     for file in files {
--- a/crates/bench/src/experiment/callers.rs
+++ b/crates/bench/src/experiment/callers.rs
@@ -1,7 +1,7 @@
-//! Callers: the first change of configuration, online requests and jobs, and what they see of the answers.
+//! Callers: the initial configuration, online requests and jobs, and the answers they receive.
 //!
-//! Owns the kinds of calls and the times of each online request's pieces. Relies on `workload` for what is
-//! sent when.
+//! Owns the kinds of calls and the arrival times of each online request's pieces. Relies on `workload` for the
+//! arrivals.
 
 use std::sync::Arc;
 
@@ -15,15 +15,15 @@
 
 use super::world::{World, WorldEvent};
 
-/// Most tokens of an online answer.
-const ONLINE_TOKENS: u32 = 64;
-/// Most tokens of a batch answer.
-const BATCH_TOKENS: u32 = 64;
-/// The only model.
+/// Maximum number of tokens in an online answer.
+const MAX_ONLINE_TOKENS: u32 = 64;
+/// Maximum number of tokens in a batch answer.
+const MAX_BATCH_TOKENS: u32 = 64;
+/// Name of the only model.
 pub(super) const MODEL: &str = "model";
 const TENANT: &str = "tenant";
 
-/// A call of the fleet's caller numbers: online requests, jobs, and the first change.
+/// Purpose of a call to the fleet.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum CallPurpose {
     Online(usize),
@@ -31,7 +31,7 @@
     Apply,
 }
 
-/// An online request as its caller sees it.
+/// An online request as observed by its caller.
 #[derive(Clone, Copy, Default)]
 pub(super) struct OnlineProbe {
     pub(super) sent_us: u64,
@@ -50,9 +50,9 @@
             self.headroom
         );
         let mut machines = String::new();
-        for (place, engine) in self.engines.iter().enumerate() {
+        for (index, engine) in self.engines.iter().enumerate() {
             machines.push_str(&format!(
-                "[[machine]]\nname = \"engine-{place}\"\naddress = \"{}\"\nzone = \"zone-{}\"\nservice = \"service\"\nslots = {}\n",
+                "[[machine]]\nname = \"engine-{index}\"\naddress = \"{}\"\nzone = \"zone-{}\"\nservice = \"service\"\nslots = {}\n",
                 engine.address,
                 engine.zone,
                 profile.engine().slots
@@ -79,11 +79,11 @@
         self.schedule(self.profile.caller_latency_us(), WorldEvent::Node { node, event });
     }
 
-    pub(super) fn send_online(&mut self, place: usize) {
-        let arrival = &self.workload.online[place];
-        self.probes[place].sent_us = self.now_us;
+    pub(super) fn send_online(&mut self, index: usize) {
+        let arrival = &self.workload.online[index];
+        self.probes[index].sent_us = self.now_us;
         let call = OnlineCall {
-            id: Arc::from(format!("request-{place}")),
+            id: Arc::from(format!("request-{index}")),
             tenant: Arc::from(TENANT),
             model: Arc::from(MODEL),
             adapter: None,
@@ -92,19 +92,19 @@
             repeatable: true,
             deadline: None,
             prompt: Arc::from(arrival.prompt.as_str()),
-            max_tokens: Some(ONLINE_TOKENS),
+            max_tokens: Some(MAX_ONLINE_TOKENS),
             from_token: 0,
         };
         let node = self.random.random_range(0..self.nodes.len());
-        self.call(node, CallPurpose::Online(place), CallerCall::Online(call));
+        self.call(node, CallPurpose::Online(index), CallerCall::Online(call));
     }
 
-    pub(super) fn submit_job(&mut self, place: usize) {
-        let arrival = &self.workload.jobs[place];
+    pub(super) fn submit_job(&mut self, index: usize) {
+        let arrival = &self.workload.jobs[index];
         let deadline_us = self.now_us + arrival.within_ms * 1_000;
         let count = arrival.prompts.len() as u64;
         self.backlog += count;
-        self.note_backlog();
+        self.update_backlog();
         for prompt in &arrival.prompts {
             self.deadlines.insert(prompt.clone(), deadline_us);
         }
@@ -113,15 +113,15 @@
             .map(|(item, prompt)| NewItem { label: Arc::from(item.to_string()), prompt: Arc::from(prompt.as_str()) });
         let submission = JobSubmission {
             tenant: Arc::from(TENANT),
-            key: Some(Arc::from(format!("job-{place}"))),
+            key: Some(Arc::from(format!("job-{index}"))),
             model: Arc::from(MODEL),
             adapter: None,
             items: items.collect(),
             within: Millis(arrival.within_ms),
-            max_tokens: Some(BATCH_TOKENS),
+            max_tokens: Some(MAX_BATCH_TOKENS),
             accept: true,
         };
-        let node = place % self.nodes.len();
+        let node = index % self.nodes.len();
         self.call(node, CallPurpose::Job, CallerCall::Batch(BatchCall::Submit(submission)));
     }
 
@@ -131,19 +131,19 @@
             self.calls.remove(&caller);
         }
         match (purpose, answer) {
-            (CallPurpose::Online(place), CallerAnswer::Piece { .. }) => self.on_piece(place),
-            (CallPurpose::Online(_), CallerAnswer::End { .. }) => self.measured.online_answered += 1,
-            (CallPurpose::Online(_), _) => self.measured.online_refused += 1,
+            (CallPurpose::Online(index), CallerAnswer::Piece { .. }) => self.on_piece(index),
+            (CallPurpose::Online(_), CallerAnswer::End { .. }) => self.metrics.online_answered += 1,
+            (CallPurpose::Online(_), _) => self.metrics.online_refused += 1,
             (CallPurpose::Job | CallPurpose::Apply, _) => {}
         }
     }
 
-    fn on_piece(&mut self, place: usize) {
+    fn on_piece(&mut self, index: usize) {
         let now = self.now_us;
-        let probe = &mut self.probes[place];
+        let probe = &mut self.probes[index];
         match probe.last_us {
-            None => self.measured.first_token.record(now - probe.sent_us),
-            Some(last) => self.measured.between.record(now - last),
+            None => self.metrics.first_token.record(now - probe.sent_us),
+            Some(last) => self.metrics.between.record(now - last),
         }
         probe.last_us = Some(now);
     }
--- a/crates/bench/src/experiment/engines.rs
+++ b/crates/bench/src/experiment/engines.rs
@@ -1,7 +1,7 @@
-//! Engines and the streams at them, as the emulator runs them on the virtual clock.
+//! Engines and their streams, run by the emulator on the virtual clock.
 //!
-//! Owns what a node sees of an engine: pieces, ends, refusals, late load reports and cache events. Relies on
-//! `accounting` to count slot time before any change of what an engine runs.
+//! Owns what a node observes of an engine: pieces, ends of streams, refusals, delayed load reports and cache
+//! events. Relies on `accounting` to count slot time before each change of an engine's streams.
 
 use std::collections::VecDeque;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -14,24 +14,24 @@
 use super::callers::MODEL;
 use super::world::{World, WorldEvent};
 
-/// An engine, and what was reported of it.
+/// An emulated engine with its reports to the nodes.
 pub(super) struct EngineSlot {
     pub(super) emulator: EngineEmulator,
     pub(super) address: SocketAddr,
     pub(super) zone: usize,
-    /// When the next wake-up is scheduled for.
-    pub(super) wakes_us: Option<u64>,
+    /// Time of the next scheduled wake-up.
+    pub(super) next_wake_us: Option<u64>,
     pub(super) reports: VecDeque<(u64, LoadReport)>,
     pub(super) cache_events: u64,
     pub(super) changes: VecDeque<CacheEvent>,
-    /// Slot time is counted up to here.
+    /// Time up to which slot time has been counted.
     pub(super) counted_us: u64,
 }
 
-/// A stream as the world sees it.
+/// A stream at an engine and the node that requested it.
 pub(super) struct StreamOwner {
     pub(super) engine: usize,
-    /// The node that asked.
+    /// Node that requested the stream.
     pub(super) node: usize,
     pub(super) class: RequestClass,
     pub(super) tokens: u32,
@@ -41,14 +41,14 @@
 
 impl World<'_> {
     pub(super) fn add_engines(&mut self) {
-        for place in 0..self.profile.workers() {
-            let address = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 9, 0, place as u8 + 1)), 8_000);
-            self.engine_addresses.insert(address, place);
+        for index in 0..self.profile.workers() {
+            let address = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 9, 0, index as u8 + 1)), 8_000);
+            self.engine_addresses.insert(address, index);
             self.engines.push(EngineSlot {
                 emulator: EngineEmulator::new(self.profile.engine()),
                 address,
-                zone: place % self.profile.zones(),
-                wakes_us: None,
+                zone: index % self.profile.zones(),
+                next_wake_us: None,
                 reports: VecDeque::new(),
                 cache_events: 0,
                 changes: VecDeque::new(),
@@ -86,7 +86,7 @@
         match refused {
             None => {
                 self.add_stream(request.attempt, owner);
-                self.arm(engine);
+                self.schedule_wake(engine);
             }
             Some(refusal) => {
                 let leaving = refusal == EngineRefusal::Leaving;
@@ -107,18 +107,18 @@
         }
         if let Some(stream) = self.remove_stream(attempt) {
             self.engines[stream.engine].emulator.cancel(attempt.0);
-            self.arm(stream.engine);
+            self.schedule_wake(stream.engine);
         }
     }
 
     /// Schedules the engine's next wake-up.
-    fn arm(&mut self, engine: usize) {
+    fn schedule_wake(&mut self, engine: usize) {
         let slot = &mut self.engines[engine];
         let Some(next) = slot.emulator.next_event_us() else { return };
-        if slot.wakes_us == Some(next) {
+        if slot.next_wake_us == Some(next) {
             return;
         }
-        slot.wakes_us = Some(next);
+        slot.next_wake_us = Some(next);
         let after = next.saturating_sub(self.now_us);
         self.schedule(after, WorldEvent::Engine(engine));
     }
@@ -135,7 +135,7 @@
             }
         }
         self.publish_cache(engine);
-        self.arm(engine);
+        self.schedule_wake(engine);
     }
 
     fn on_token(&mut self, engine: usize, attempt: AttemptId, place: u32, text: String) {
@@ -155,7 +155,7 @@
     }
 
     fn publish_cache(&mut self, engine: usize) {
-        const HISTORY: usize = 4_096;
+        const MAX_CACHE_EVENTS: usize = 4_096;
         let slot = &mut self.engines[engine];
         for change in slot.emulator.cache.take_changes() {
             slot.cache_events += 1;
@@ -164,19 +164,19 @@
                 CacheChange::Removed(block) => CacheEvent::Removed(BlockHash(block)),
             });
         }
-        while slot.changes.len() > HISTORY {
+        while slot.changes.len() > MAX_CACHE_EVENTS {
             slot.changes.pop_front();
         }
     }
 
-    /// A load report as it was a while ago, and the cache events since the one asked for.
+    /// Answers a poll with a delayed load report and the cache events since `cache_from`.
     pub(super) fn poll(&mut self, node: usize, engine: EngineName, address: SocketAddr, cache_from: Option<u64>) {
-        let Some(place) = self.engine_addresses.get(&address).copied() else { return };
+        let Some(index) = self.engine_addresses.get(&address).copied() else { return };
         let lag = self.profile.report_lag_us();
         let latency = self.engine_latency(node, address);
         let now = self.now_us;
         let slots = self.profile.engine().slots as u32;
-        let slot = &mut self.engines[place];
+        let slot = &mut self.engines[index];
         slot.reports.push_back((now, report_of(&slot.emulator, slots)));
         while slot.reports.len() > 1 && slot.reports[1].0 + lag <= now {
             slot.reports.pop_front();
--- a/crates/bench/src/experiment/measure.rs
+++ b/crates/bench/src/experiment/measure.rs
@@ -1,88 +1,88 @@
-//! What is counted, and the report.
+//! Metrics of a run, and the report computed from them.
 
 use serde::Serialize;
 
 use crate::latency::{LatencyHistogram, Percentiles};
 
-/// What one run came to.
+/// Results of one run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RunReport {
-    /// Batch items completed a second.
+    /// Batch items completed per second.
     pub batch_items_per_s: f64,
-    /// Slot time that batch used, as a share of what online left free while batch was waiting.
+    /// Fraction of the slot time left free by online requests that batch used while batch items were waiting.
     pub idle_share: f64,
-    /// From sending to the first token.
+    /// Time from sending a request to its first token.
     pub ttft_ms: Percentiles,
-    /// Between tokens.
+    /// Intervals between consecutive tokens.
     pub itl_ms: Percentiles,
-    /// The worse of the two p99 over that of the run without batch.
+    /// The larger of the two p99 ratios to the run without batch.
     pub harm_p99: f64,
-    /// Online requests that came to an engine whose slots were all taken, some by batch.
+    /// Number of online requests that arrived at an engine whose slots were all in use, some of them by batch.
     pub online_behind_batch: u64,
-    /// Batch items that were late.
+    /// Number of batch items completed after their deadline.
     pub items_late: u64,
-    /// Batch tokens that were generated and thrown away.
+    /// Number of batch tokens generated and discarded.
     pub wasted_tokens: u64,
-    /// Online requests answered.
+    /// Number of online requests answered.
     pub online_answered: u64,
-    /// Online requests refused or lost.
+    /// Number of online requests refused or lost.
     pub online_refused: u64,
-    /// Batch streams paused for online.
+    /// Number of batch streams paused in favor of online requests.
     pub batch_paused: u64,
-    /// The mean difference between the load nodes went by and the true one, in sequences an engine.
+    /// Mean absolute error of the nodes' load estimates, in sequences per engine.
     pub load_error: f64,
 }
 
-/// What both runs came to.
+/// Results of the runs with and without batch.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ExperimentReport {
-    /// Whose fleet.
+    /// Name of the profile.
     pub profile: String,
-    /// The seed.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// Without batch: the floor.
+    /// Run without batch, used as the baseline.
     pub online_only: RunReport,
-    /// With batch.
+    /// Run with batch.
     pub with_batch: RunReport,
 }
 
-/// What is counted in one run.
+/// Metrics collected during one run.
 #[derive(Clone, Debug, Default)]
-pub struct Measured {
-    /// First-token times, in microseconds.
+pub struct RunMetrics {
+    /// Times to the first token.
     pub first_token: LatencyHistogram,
-    /// Times between tokens, in microseconds.
+    /// Intervals between consecutive tokens.
     pub between: LatencyHistogram,
-    /// Online requests answered.
+    /// Number of online requests answered.
     pub online_answered: u64,
-    /// Online requests refused or lost.
+    /// Number of online requests refused or lost.
     pub online_refused: u64,
-    /// Batch items completed.
+    /// Number of batch items completed.
     pub items: u64,
-    /// Of those, late ones.
+    /// Number of batch items completed after their deadline.
     pub items_late: u64,
-    /// Batch tokens that were thrown away.
+    /// Number of batch tokens discarded.
     pub wasted_tokens: u64,
-    /// Online requests behind batch.
+    /// Number of online requests that arrived at an engine whose slots were all in use, some of them by batch.
     pub behind_batch: u64,
-    /// Batch streams paused.
+    /// Number of batch streams paused.
     pub paused: u64,
-    /// Slot time free of online while batch waited, in slot microseconds.
+    /// Slot time not used by online requests while batch items waited, in slot microseconds.
     pub idle_slot_us: u64,
-    /// Slot time used by batch meanwhile, in slot microseconds.
+    /// Slot time used by batch while batch items waited, in slot microseconds.
     pub batch_slot_us: u64,
-    /// The sum and count of load errors.
+    /// Sum and count of the load estimate errors.
     pub load_error: (f64, u64),
-    /// The length of the load, in microseconds.
+    /// Duration of the load, in microseconds.
     pub load_us: u64,
 }
 
-impl Measured {
-    /// The report, against the run without batch.
-    pub fn report(&self, floor: &Measured) -> RunReport {
+impl RunMetrics {
+    /// Computes the report relative to the run without batch.
+    pub fn report(&self, baseline: &RunMetrics) -> RunReport {
         let (ttft_ms, itl_ms) = (self.first_token.percentiles(), self.between.percentiles());
-        let (floor_ttft, floor_itl) = (floor.first_token.percentiles(), floor.between.percentiles());
-        let ratio = |own: f64, floor: f64| if floor > 0.0 { own / floor } else { 1.0 };
+        let (baseline_ttft, baseline_itl) = (baseline.first_token.percentiles(), baseline.between.percentiles());
+        let ratio = |own: f64, baseline: f64| if baseline > 0.0 { own / baseline } else { 1.0 };
         let seconds = (self.load_us as f64 / 1_000_000.0).max(1e-9);
         let (error, samples) = self.load_error;
         RunReport {
@@ -90,7 +90,7 @@
             idle_share: self.batch_slot_us as f64 / (self.idle_slot_us.max(1)) as f64,
             ttft_ms,
             itl_ms,
-            harm_p99: ratio(ttft_ms.p99, floor_ttft.p99).max(ratio(itl_ms.p99, floor_itl.p99)),
+            harm_p99: ratio(ttft_ms.p99, baseline_ttft.p99).max(ratio(itl_ms.p99, baseline_itl.p99)),
             online_behind_batch: self.behind_batch,
             items_late: self.items_late,
             wasted_tokens: self.wasted_tokens,
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -1,17 +1,17 @@
-//! The shared-fleet experiment: batch throughput against harm to the online tail.
+//! The shared-fleet experiment: batch throughput against online tail latency.
 //!
-//! The nodes' real decision code runs against the engine emulator on a virtual clock, once with batch
-//! jobs and once without. Both runs see the same online arrivals.
+//! The nodes' production decision code runs against the engine emulator on a virtual clock, once with batch
+//! jobs and once without. Both runs use the same online arrivals.
 //!
 //! | module | owns |
 //! |---|---|
-//! | `profile` | the two adopters' fleets and loads |
-//! | `workload` | arrivals, drawn once and used by both runs |
-//! | `world` | the virtual clock, the queue of events, the nodes and the network between them |
-//! | `callers` | who calls the nodes, and what they see of the answers |
-//! | `engines` | engines and the streams at them |
-//! | `accounting` | what is counted as engines work |
-//! | `measure` | what is counted, and the report |
+//! | `profile` | fleet and load parameters of each profile |
+//! | `workload` | arrivals, generated once and used by both runs |
+//! | `world` | the virtual clock, the event queue, the nodes and the network between them |
+//! | `callers` | callers of the nodes and the answers they receive |
+//! | `engines` | engines and their streams |
+//! | `accounting` | accounting of engine work |
+//! | `measure` | metrics and the report |
 
 mod accounting;
 mod callers;
@@ -27,28 +27,28 @@
 use workload::Workload;
 use world::World;
 
-/// What to run.
+/// Options of an experiment.
 #[derive(Clone, Debug)]
 pub struct ExperimentOptions {
-    /// Whose fleet.
+    /// Profile of the fleet and its load.
     pub profile: Profile,
-    /// Decides the arrivals.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// Seconds of load.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// The share of slots that batch leaves free, where not the profile's.
+    /// Fraction of slots that batch leaves free, if it differs from the profile's.
     pub headroom: Option<f64>,
 }
 
 /// Runs the same online arrivals with and without batch.
 pub fn run(options: &ExperimentOptions) -> ExperimentReport {
     let workload = Workload::draw(options.profile, options.seed, options.seconds);
-    let floor = World::new(options, &workload.without_jobs()).run();
-    let measured = World::new(options, &workload).run();
+    let baseline = World::new(options, &workload.without_jobs()).run();
+    let metrics = World::new(options, &workload).run();
     ExperimentReport {
         profile: options.profile.name().to_owned(),
         seed: options.seed,
-        online_only: floor.report(&floor),
-        with_batch: measured.report(&floor),
+        online_only: baseline.report(&baseline),
+        with_batch: metrics.report(&baseline),
     }
 }
--- a/crates/bench/src/experiment/profile.rs
+++ b/crates/bench/src/experiment/profile.rs
@@ -1,23 +1,23 @@
-//! The two adopters' fleets and loads.
+//! Profiles of fleets and their loads.
 
 use stallmoor_emulator::EngineSettings;
 
-/// Whose fleet.
+/// A fleet and its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
-    /// Three zones, 12 workers; batch throughput weighs more.
+    /// Three zones and 12 workers, with emphasis on batch throughput.
     Tubigwatch,
-    /// Four zones, 18 workers; the online tail weighs more.
+    /// Four zones and 18 workers, with emphasis on online tail latency.
     Vidyapath,
 }
 
 impl Profile {
-    /// The profile of a name.
+    /// Returns the profile with the given name.
     pub fn parse(name: &str) -> Option<Self> {
         [Self::Tubigwatch, Self::Vidyapath].into_iter().find(|profile| profile.name() == name)
     }
 
-    /// Its name.
+    /// Returns the name of the profile.
     pub fn name(self) -> &'static str {
         match self {
             Self::Tubigwatch => "tubigwatch",
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Zones.
+    /// Returns the number of zones.
     pub fn zones(self) -> usize {
         match self {
             Self::Tubigwatch => 3,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Workers, each one engine.
+    /// Returns the number of workers, each running one engine.
     pub fn workers(self) -> usize {
         match self {
             Self::Tubigwatch => 12,
@@ -41,15 +41,15 @@
         }
     }
 
-    /// The mean time between two heaps of batch jobs, in microseconds.
-    pub fn heap_gap_us(self) -> u64 {
+    /// Returns the mean interval between two bursts of batch jobs, in microseconds.
+    pub fn job_burst_interval_us(self) -> u64 {
         match self {
             Self::Tubigwatch => 8_000_000,
             Self::Vidyapath => 9_000_000,
         }
     }
 
-    /// The share of slots that batch leaves free, as the example set has it.
+    /// Returns the fraction of slots that batch leaves free by default.
     pub fn headroom(self) -> f64 {
         match self {
             Self::Tubigwatch => 0.06,
@@ -57,37 +57,37 @@
         }
     }
 
-    /// One way between two zones, in microseconds: just under a millisecond.
+    /// Returns the one-way latency between two zones, in microseconds.
     pub fn zone_latency_us(self) -> u64 {
         900
     }
 
-    /// One way within a zone, in microseconds.
+    /// Returns the one-way latency within a zone, in microseconds.
     pub fn local_latency_us(self) -> u64 {
         250
     }
 
-    /// One way between a caller and a node, in microseconds.
+    /// Returns the one-way latency between a caller and a node, in microseconds.
     pub fn caller_latency_us(self) -> u64 {
         3_000
     }
 
-    /// The age of a load report, in microseconds.
+    /// Returns the age of load reports, in microseconds.
     pub fn report_lag_us(self) -> u64 {
         200_000
     }
 
-    /// What its engines are like.
+    /// Returns the settings of the profile's engines.
     pub fn engine(self) -> EngineSettings {
         EngineSettings::default()
     }
 
-    /// Online requests a second between bursts.
+    /// Returns the rate of online requests per second outside bursts.
     pub fn base_rate(self) -> f64 {
         self.workers() as f64 * 4.0
     }
 
-    /// Online requests a second within a burst.
+    /// Returns the rate of online requests per second during a burst.
     pub fn burst_rate(self) -> f64 {
         self.workers() as f64 * 18.0
     }
--- a/crates/bench/src/experiment/workload.rs
+++ b/crates/bench/src/experiment/workload.rs
@@ -1,54 +1,54 @@
-//! Arrivals, drawn once and used by both runs.
+//! Arrivals, generated once and used by both runs.
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 use super::profile::Profile;
 
-/// Mean time between two bursts of online requests, in microseconds.
-const BURST_GAP_US: f64 = 4_000_000.0;
-/// Shortest and longest burst, in microseconds.
-const BURST_US: std::ops::Range<u64> = 500_000..2_500_000;
-/// Jobs in a heap.
-const HEAP_JOBS: std::ops::RangeInclusive<usize> = 2..=5;
-/// Sessions that online requests belong to.
-const SESSIONS: u64 = 400;
+/// Mean interval between two bursts of online requests.
+const MEAN_BURST_INTERVAL_US: f64 = 4_000_000.0;
+/// Range of burst durations.
+const BURST_DURATION_US: std::ops::Range<u64> = 500_000..2_500_000;
+/// Range of the number of jobs in a burst.
+const JOBS_PER_BURST: std::ops::RangeInclusive<usize> = 2..=5;
+/// Number of sessions that online requests are spread over.
+const SESSION_COUNT: u64 = 400;
 
-/// An online request.
+/// An online request and its arrival time.
 #[derive(Clone, Debug)]
 pub struct OnlineArrival {
-    /// When the caller sends it, in microseconds.
+    /// Arrival time, in microseconds.
     pub at_us: u64,
-    /// Its session.
+    /// Session that the request belongs to.
     pub session: u64,
-    /// Its prompt.
+    /// Prompt text.
     pub prompt: String,
 }
 
-/// A batch job.
+/// A batch job and its arrival time.
 #[derive(Clone, Debug)]
 pub struct JobArrival {
-    /// When it is submitted, in microseconds.
+    /// Arrival time, in microseconds.
     pub at_us: u64,
-    /// Its items' prompts.
+    /// Prompts of the job's items.
     pub prompts: Vec<String>,
-    /// How long it may take, in milliseconds.
+    /// Time limit for completion, in milliseconds.
     pub within_ms: u64,
 }
 
 /// All arrivals of a run.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Online requests, in order.
+    /// Online requests, ordered by arrival time.
     pub online: Vec<OnlineArrival>,
-    /// Jobs, in order.
+    /// Batch jobs, ordered by arrival time.
     pub jobs: Vec<JobArrival>,
-    /// The end of the arrivals, in microseconds.
+    /// Time at which arrivals end, in microseconds.
     pub end_us: u64,
 }
 
 impl Workload {
-    /// Draws the arrivals of a seed.
+    /// Generates the arrivals for a seed.
     pub fn draw(profile: Profile, seed: u64, seconds: u64) -> Self {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
         let end_us = seconds * 1_000_000;
@@ -57,7 +57,7 @@
         Self { online, jobs, end_us }
     }
 
-    /// The same online requests, and no job.
+    /// Returns a copy with the same online requests and no jobs.
     pub fn without_jobs(&self) -> Self {
         Self { jobs: Vec::new(), ..self.clone() }
     }
@@ -67,16 +67,16 @@
     let mut arrivals = Vec::new();
     let mut now = WARM_UP_US;
     let mut burst_until = 0;
-    let mut next_burst = now + exponential(BURST_GAP_US, random);
-    let mut turns = vec![0_u32; SESSIONS as usize];
+    let mut next_burst = now + exponential(MEAN_BURST_INTERVAL_US, random);
+    let mut turns = vec![0_u32; SESSION_COUNT as usize];
     while now < end_us {
         if now >= next_burst {
-            burst_until = now + random.random_range(BURST_US);
-            next_burst = burst_until + exponential(BURST_GAP_US, random);
+            burst_until = now + random.random_range(BURST_DURATION_US);
+            next_burst = burst_until + exponential(MEAN_BURST_INTERVAL_US, random);
         }
         let rate = if now < burst_until { profile.burst_rate() } else { profile.base_rate() };
         now += exponential(1_000_000.0 / rate, random).max(1);
-        let session = random.random_range(0..SESSIONS);
+        let session = random.random_range(0..SESSION_COUNT);
         let turn = turns[session as usize];
         turns[session as usize] += 1;
         arrivals.push(OnlineArrival { at_us: now, session, prompt: session_prompt(session, turn) });
@@ -84,17 +84,17 @@
     arrivals
 }
 
-/// The fleet starts before this, in microseconds.
+/// Time allowed for the fleet to start before the first arrival.
 pub const WARM_UP_US: u64 = 6_000_000;
-/// Turns after which a session starts anew.
-const LONGEST_SESSION: u32 = 6;
+/// Number of turns after which a session starts over.
+const MAX_SESSION_TURNS: u32 = 6;
 
-/// Turns of a session share their prefix, as a chat does.
+/// Builds a prompt that shares its prefix with the session's earlier turns, as in a chat.
 fn session_prompt(session: u64, turn: u32) -> String {
-    let first = turn - turn % LONGEST_SESSION;
+    let first = turn - turn % MAX_SESSION_TURNS;
     let mut prompt = format!("session {session} since {first}: instructions that every turn of this session repeats. ");
-    for place in first..=turn {
-        prompt.push_str(&format!("turn {place} asks about the latest readings and their cause in some detail. "));
+    for turn_index in first..=turn {
+        prompt.push_str(&format!("turn {turn_index} asks about the latest readings and their cause in some detail. "));
     }
     prompt
 }
@@ -103,13 +103,13 @@
     let mut jobs = Vec::new();
     let mut now = WARM_UP_US;
     while now < end_us {
-        for _ in 0..random.random_range(HEAP_JOBS) {
+        for _ in 0..random.random_range(JOBS_PER_BURST) {
             let number = jobs.len();
             let items = random.random_range(100..=60 * profile.workers());
             let prompts = (0..items).map(|item| batch_prompt(number, item)).collect();
             jobs.push(JobArrival { at_us: now, prompts, within_ms: random.random_range(120_000..1_200_000) });
         }
-        let gap = profile.heap_gap_us();
+        let gap = profile.job_burst_interval_us();
         now += gap / 2 + random.random_range(0..gap);
     }
     jobs
--- a/crates/bench/src/experiment/world.rs
+++ b/crates/bench/src/experiment/world.rs
@@ -1,6 +1,6 @@
-//! The world: the virtual clock, the queue of events, the nodes and the network between them.
+//! The experiment world: the virtual clock, the event queue, the nodes and the network between them.
 //!
-//! Owns the state of one run. Relies on `callers` and `engines` for what happens at either end of the nodes.
+//! Owns the state of one run. Relies on `callers` and `engines` for the two sides that the nodes communicate with.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -19,19 +19,19 @@
 use super::ExperimentOptions;
 use super::callers::{CallPurpose, OnlineProbe};
 use super::engines::{EngineSlot, StreamOwner};
-use super::measure::Measured;
+use super::measure::RunMetrics;
 use super::profile::Profile;
 use super::workload::{WARM_UP_US, Workload};
 use crate::event_queue::EventQueue;
 
-/// Time between two ticks of a node, in microseconds.
-const TICK_US: u64 = 25_000;
-/// Time between two samples of the load that nodes go by, in microseconds.
-const SAMPLE_US: u64 = 50_000;
-const CIVIL_START_MS: u64 = 1_700_000_000_000;
+/// Interval between two ticks of a node.
+const TICK_INTERVAL_US: u64 = 25_000;
+/// Interval between two samples of the nodes' load estimates.
+const SAMPLE_INTERVAL_US: u64 = 50_000;
+const WALL_CLOCK_START_MS: u64 = 1_700_000_000_000;
 const MONOTONIC_START_MS: u64 = 3_600_000;
 
-/// Something that happens at a time.
+/// An event on the virtual clock.
 #[derive(Debug)]
 pub(super) enum WorldEvent {
     Tick(usize),
@@ -46,7 +46,7 @@
     Sample,
 }
 
-/// One run.
+/// State of one run.
 pub(super) struct World<'a> {
     pub(super) profile: Profile,
     pub(super) headroom: f64,
@@ -63,19 +63,19 @@
     pub(super) calls: BTreeMap<CallerId, CallPurpose>,
     pub(super) next_caller: u64,
     pub(super) probes: Vec<OnlineProbe>,
-    /// Batch items submitted and not complete.
+    /// Number of batch items submitted and not completed.
     pub(super) backlog: u64,
-    /// Batch items at engines.
-    pub(super) batch_in_hand: u64,
-    /// There are batch items that no engine has.
-    pub(super) batch_waits: bool,
+    /// Number of batch items running or queued at engines.
+    pub(super) batch_at_engines: u64,
+    /// Whether some batch items are not at any engine.
+    pub(super) has_waiting_batch: bool,
     /// Deadlines of batch items by prompt, in microseconds.
     pub(super) deadlines: BTreeMap<String, u64>,
-    pub(super) measured: Measured,
+    pub(super) metrics: RunMetrics,
 }
 
 impl<'a> World<'a> {
-    /// A world before its start.
+    /// Creates a world with all arrivals scheduled.
     pub(super) fn new(options: &ExperimentOptions, workload: &'a Workload) -> Self {
         let profile = options.profile;
         let mut world = Self {
@@ -95,10 +95,10 @@
             next_caller: 1,
             probes: vec![OnlineProbe::default(); workload.online.len()],
             backlog: 0,
-            batch_in_hand: 0,
-            batch_waits: false,
+            batch_at_engines: 0,
+            has_waiting_batch: false,
             deadlines: BTreeMap::new(),
-            measured: Measured::default(),
+            metrics: RunMetrics::default(),
         };
         world.add_engines();
         world.add_nodes();
@@ -107,50 +107,50 @@
     }
 
     fn add_nodes(&mut self) {
-        let address_of = |place: usize| SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, place as u8 + 1)), 7_100);
-        for place in 0..self.profile.zones() {
-            let id = NodeId(place as u64 + 1);
-            let zone = format!("zone-{place}");
-            let mut settings = NodeSettings::new(id, &zone, address_of(place), address_of(place));
+        let address_of = |index: usize| SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, index as u8 + 1)), 7_100);
+        for index in 0..self.profile.zones() {
+            let id = NodeId(index as u64 + 1);
+            let zone = format!("zone-{index}");
+            let mut settings = NodeSettings::new(id, &zone, address_of(index), address_of(index));
             settings.seeds = vec![address_of(0)];
             settings.stores = true;
             let seed = self.random.random();
             let node = Node::new(settings, PersistedNode::default(), self.clock(), seed);
-            self.node_addresses.insert(address_of(place), place);
+            self.node_addresses.insert(address_of(index), index);
             self.nodes.push(node);
-            self.schedule(place as u64 * 1_000, WorldEvent::Tick(place));
+            self.schedule(index as u64 * 1_000, WorldEvent::Tick(index));
         }
     }
 
     fn schedule_arrivals(&mut self) {
         self.schedule(500_000, WorldEvent::Apply);
-        for place in 0..self.workload.online.len() {
-            self.schedule(self.workload.online[place].at_us, WorldEvent::Online(place));
+        for index in 0..self.workload.online.len() {
+            self.schedule(self.workload.online[index].at_us, WorldEvent::Online(index));
         }
-        for place in 0..self.workload.jobs.len() {
-            self.schedule(self.workload.jobs[place].at_us, WorldEvent::Job(place));
+        for index in 0..self.workload.jobs.len() {
+            self.schedule(self.workload.jobs[index].at_us, WorldEvent::Job(index));
         }
         self.schedule(WARM_UP_US, WorldEvent::Sample);
     }
 
-    /// Runs to the end of the arrivals.
-    pub(super) fn run(mut self) -> Measured {
+    /// Runs until the end of the arrivals and returns the metrics.
+    pub(super) fn run(mut self) -> RunMetrics {
         let end_us = self.workload.end_us;
         while let Some((at_us, event)) = self.queue.pop() {
             if at_us > end_us {
                 break;
             }
             self.now_us = at_us;
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now_us = end_us;
         for engine in 0..self.engines.len() {
             self.count_slot_time(engine);
         }
-        self.measured.behind_batch = self.engines.iter().map(|engine| engine.emulator.online_behind_batch).sum();
-        self.measured.paused = self.nodes.iter().map(|node| node.status().counters.batch_paused).sum();
-        self.measured.load_us = end_us - WARM_UP_US;
-        self.measured
+        self.metrics.behind_batch = self.engines.iter().map(|engine| engine.emulator.online_behind_batch).sum();
+        self.metrics.paused = self.nodes.iter().map(|node| node.status().counters.batch_paused).sum();
+        self.metrics.load_us = end_us - WARM_UP_US;
+        self.metrics
     }
 
     pub(super) fn schedule(&mut self, after_us: u64, event: WorldEvent) {
@@ -159,31 +159,34 @@
 
     pub(super) fn clock(&self) -> Clock {
         let millis = self.now_us / 1_000;
-        Clock { now: Timestamp::from_millis(MONOTONIC_START_MS + millis), civil: UnixMillis(CIVIL_START_MS + millis) }
+        Clock {
+            now: Timestamp::from_millis(MONOTONIC_START_MS + millis),
+            civil: UnixMillis(WALL_CLOCK_START_MS + millis),
+        }
     }
 
-    fn happen(&mut self, event: WorldEvent) {
+    fn handle_event(&mut self, event: WorldEvent) {
         match event {
             WorldEvent::Tick(node) => {
-                self.feed_node(node, Event::Tick);
-                self.schedule(TICK_US, WorldEvent::Tick(node));
+                self.deliver(node, Event::Tick);
+                self.schedule(TICK_INTERVAL_US, WorldEvent::Tick(node));
             }
-            WorldEvent::Node { node, event } => self.feed_node(node, *event),
+            WorldEvent::Node { node, event } => self.deliver(node, *event),
             WorldEvent::Engine(engine) => self.wake_engine(engine),
             WorldEvent::EngineRequest { request, node } => self.offer(*request, node),
             WorldEvent::EngineCancel(attempt) => self.cancel(attempt),
             WorldEvent::Answer { caller, answer } => self.on_answer(caller, *answer),
-            WorldEvent::Online(place) => self.send_online(place),
-            WorldEvent::Job(place) => self.submit_job(place),
+            WorldEvent::Online(index) => self.send_online(index),
+            WorldEvent::Job(index) => self.submit_job(index),
             WorldEvent::Apply => self.apply_configuration(),
             WorldEvent::Sample => {
                 self.sample_load();
-                self.schedule(SAMPLE_US, WorldEvent::Sample);
+                self.schedule(SAMPLE_INTERVAL_US, WorldEvent::Sample);
             }
         }
     }
 
-    fn feed_node(&mut self, node: usize, event: Event) {
+    fn deliver(&mut self, node: usize, event: Event) {
         let clock = self.clock();
         let effects = self.nodes[node].handle(event, clock);
         for effect in effects {
