--- a/crates/bench/src/experiment/callers.rs
+++ b/crates/bench/src/experiment/callers.rs
@@ -101,7 +101,7 @@
 
     pub(super) fn submit_job(&mut self, index: usize) {
         let arrival = &self.workload.jobs[index];
-        let deadline_us = self.now_us + arrival.within_ms * 1_000;
+        let deadline_us = self.now_us + arrival.time_limit_ms * 1_000;
         let count = arrival.prompts.len() as u64;
         self.backlog += count;
         self.update_backlog();
@@ -117,7 +117,7 @@
             model: Arc::from(MODEL),
             adapter: None,
             items: items.collect(),
-            within: Millis(arrival.within_ms),
+            within: Millis(arrival.time_limit_ms),
             max_tokens: Some(MAX_BATCH_TOKENS),
             accept: true,
         };
@@ -143,7 +143,7 @@
         let probe = &mut self.probes[index];
         match probe.last_us {
             None => self.metrics.first_token.record(now - probe.sent_us),
-            Some(last) => self.metrics.between.record(now - last),
+            Some(last) => self.metrics.inter_token.record(now - last),
         }
         probe.last_us = Some(now);
     }
--- a/crates/bench/src/experiment/engines.rs
+++ b/crates/bench/src/experiment/engines.rs
@@ -62,7 +62,7 @@
         if zone == Some(node) { self.profile.local_latency_us() } else { self.profile.zone_latency_us() }
     }
 
-    pub(super) fn offer(&mut self, request: EngineRequest, node: usize) {
+    pub(super) fn submit(&mut self, request: EngineRequest, node: usize) {
         let Some(engine) = self.engine_addresses.get(&request.address).copied() else { return };
         let owner = StreamOwner {
             engine,
--- a/crates/bench/src/experiment/measure.rs
+++ b/crates/bench/src/experiment/measure.rs
@@ -15,7 +15,7 @@
     pub ttft_ms: Percentiles,
     /// Intervals between consecutive tokens.
     pub itl_ms: Percentiles,
-    /// The larger of the two p99 ratios to the run without batch.
+    /// Larger of the p99 ratios of `ttft_ms` and `itl_ms` to the run without batch.
     pub harm_p99: f64,
     /// Number of online requests that arrived at an engine whose slots were all in use, some of them by batch.
     pub online_behind_batch: u64,
@@ -52,7 +52,7 @@
     /// Times to the first token.
     pub first_token: LatencyHistogram,
     /// Intervals between consecutive tokens.
-    pub between: LatencyHistogram,
+    pub inter_token: LatencyHistogram,
     /// Number of online requests answered.
     pub online_answered: u64,
     /// Number of online requests refused or lost.
@@ -80,9 +80,9 @@
 impl RunMetrics {
     /// Computes the report relative to the run without batch.
     pub fn report(&self, baseline: &RunMetrics) -> RunReport {
-        let (ttft_ms, itl_ms) = (self.first_token.percentiles(), self.between.percentiles());
-        let (baseline_ttft, baseline_itl) = (baseline.first_token.percentiles(), baseline.between.percentiles());
-        let ratio = |own: f64, baseline: f64| if baseline > 0.0 { own / baseline } else { 1.0 };
+        let (ttft_ms, itl_ms) = (self.first_token.percentiles(), self.inter_token.percentiles());
+        let (baseline_ttft, baseline_itl) = (baseline.first_token.percentiles(), baseline.inter_token.percentiles());
+        let ratio = |value: f64, baseline: f64| if baseline > 0.0 { value / baseline } else { 1.0 };
         let seconds = (self.load_us as f64 / 1_000_000.0).max(1e-9);
         let (error, samples) = self.load_error;
         RunReport {
--- a/crates/bench/src/experiment/workload.rs
+++ b/crates/bench/src/experiment/workload.rs
@@ -33,7 +33,7 @@
     /// Prompts of the job's items.
     pub prompts: Vec<String>,
     /// Time limit for completion, in milliseconds.
-    pub within_ms: u64,
+    pub time_limit_ms: u64,
 }
 
 /// All arrivals of a run.
@@ -107,7 +107,7 @@
             let number = jobs.len();
             let items = random.random_range(100..=60 * profile.workers());
             let prompts = (0..items).map(|item| batch_prompt(number, item)).collect();
-            jobs.push(JobArrival { at_us: now, prompts, within_ms: random.random_range(120_000..1_200_000) });
+            jobs.push(JobArrival { at_us: now, prompts, time_limit_ms: random.random_range(120_000..1_200_000) });
         }
         let gap = profile.job_burst_interval_us();
         now += gap / 2 + random.random_range(0..gap);
--- a/crates/bench/src/experiment/world.rs
+++ b/crates/bench/src/experiment/world.rs
@@ -173,7 +173,7 @@
             }
             WorldEvent::Node { node, event } => self.deliver(node, *event),
             WorldEvent::Engine(engine) => self.wake_engine(engine),
-            WorldEvent::EngineRequest { request, node } => self.offer(*request, node),
+            WorldEvent::EngineRequest { request, node } => self.submit(*request, node),
             WorldEvent::EngineCancel(attempt) => self.cancel(attempt),
             WorldEvent::Answer { caller, answer } => self.on_answer(caller, *answer),
             WorldEvent::Online(index) => self.send_online(index),
@@ -190,11 +190,11 @@
         let clock = self.clock();
         let effects = self.nodes[node].handle(event, clock);
         for effect in effects {
-            self.carry_out(node, effect);
+            self.execute(node, effect);
         }
     }
 
-    fn carry_out(&mut self, node: usize, effect: Effect) {
+    fn execute(&mut self, node: usize, effect: Effect) {
         match effect {
             Effect::Send { to, message } => self.send_peer(node, to, message),
             Effect::KeyValue { call, operation } => {
--- a/crates/bench/src/experiment_command.rs
+++ b/crates/bench/src/experiment_command.rs
@@ -12,7 +12,7 @@
 /// Defines the subcommand.
 pub fn command() -> Command {
     let shared_fleet = Command::new("shared-fleet")
-        .about("Compares online tail latency with and without batch load on the same arrivals")
+        .about("Measures batch throughput and its effect on online tail latency for the same arrivals")
         .after_help("Example: stallmoor-bench experiment shared-fleet --profile vidyapath --seed 3 --headroom 0.2")
         .arg(
             Arg::new("profile")
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -97,7 +97,7 @@
     LoadReport {
         sent: sent.load(Ordering::Relaxed),
         ttft_ms: stats.first_token.percentiles(),
-        itl_ms: stats.between.percentiles(),
+        itl_ms: stats.inter_token.percentiles(),
         jobs: jobs.accepted,
         jobs_failed: jobs.failed,
         ..report
@@ -108,7 +108,7 @@
 struct LoadStats {
     report: LoadReport,
     first_token: LatencyHistogram,
-    between: LatencyHistogram,
+    inter_token: LatencyHistogram,
 }
 
 impl LoadStats {
@@ -120,7 +120,7 @@
                 let first = (sample.waited + answer.first_token).as_micros() as u64;
                 self.first_token.record(first);
                 for gap in &answer.gaps {
-                    self.between.record(gap.as_micros() as u64);
+                    self.inter_token.record(gap.as_micros() as u64);
                 }
             }
             Outcome::Refused(_) => self.report.refused += 1,
--- a/crates/bench/src/simulate_command.rs
+++ b/crates/bench/src/simulate_command.rs
@@ -38,7 +38,7 @@
         minutes: value_of(arguments, "minutes"),
         trace: arguments.get_flag("trace"),
     };
-    let began = Instant::now();
+    let started = Instant::now();
     let report = run_seeds(options, value_of(arguments, "seeds"));
     for line in &report.trace {
         println!("{line}");
@@ -49,7 +49,7 @@
     if arguments.get_flag("json") {
         print_json(&report);
     } else {
-        print_report(&report, began);
+        print_report(&report, started);
     }
     if report.has_violations() { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
@@ -84,12 +84,12 @@
     total
 }
 
-fn print_report(report: &SimulationReport, began: Instant) {
+fn print_report(report: &SimulationReport, started: Instant) {
     println!(
         "{} seeds, {} simulated minutes, {:.1} s",
         report.seeds,
         report.simulated_minutes,
-        began.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     );
     println!("operations:");
     for (name, count) in &report.operations {
@@ -103,7 +103,7 @@
     for (name, tally) in &report.invariants {
         println!("  {name:<36} {:>10} checked {:>6} violated", tally.checked, tally.violations);
     }
-    let (slowest_ms, seed) = report.slowest_spread;
+    let (slowest_ms, seed) = report.slowest_propagation;
     println!("slowest propagation of a revision: {slowest_ms} ms, in seed {seed}");
     println!("after the failures end:");
     for (name, tally) in &report.liveness {
--- a/crates/bench/src/simulation/effects.rs
+++ b/crates/bench/src/simulation/effects.rs
@@ -15,7 +15,7 @@
 use super::world::World;
 
 impl World {
-    pub(super) fn carry_out(&mut self, slot: usize, effects: Vec<Effect>) {
+    pub(super) fn execute(&mut self, slot: usize, effects: Vec<Effect>) {
         let writes = effects.iter().any(|effect| matches!(effect, Effect::Persist { .. }));
         let crash = if writes { self.slots[slot].crash.take() } else { None };
         if crash == Some(CrashPoint::BeforeWrite) {
@@ -30,7 +30,7 @@
             return;
         }
         for effect in effects {
-            self.carry_out_one(slot, effect);
+            self.execute_one(slot, effect);
         }
         self.check_revision(slot);
     }
@@ -46,7 +46,7 @@
         }
     }
 
-    fn carry_out_one(&mut self, slot: usize, effect: Effect) {
+    fn execute_one(&mut self, slot: usize, effect: Effect) {
         let process = self.slots[slot].process;
         match effect {
             Effect::Persist { .. } | Effect::PersistConfiguration(_) => {}
--- a/crates/bench/src/simulation/engines.rs
+++ b/crates/bench/src/simulation/engines.rs
@@ -30,7 +30,7 @@
     /// Fraction of steps at which a stream breaks.
     pub truncated: f64,
     /// Fraction of pieces sent twice.
-    pub doubled: f64,
+    pub duplicated: f64,
     /// Fraction of steps at which a piece of another stream is also sent.
     pub crossed: f64,
     /// Fraction of pieces omitted.
@@ -147,7 +147,7 @@
     }
 
     /// Handles an order that arrived at an engine.
-    pub fn carry_out_order(&mut self, order: &EngineOrder, slot: usize, process: u64) {
+    pub fn execute_order(&mut self, order: &EngineOrder, slot: usize, process: u64) {
         let now_ms = self.now_ms;
         let found = self.engines.iter_mut().find(|engine| engine.address == order.address && engine.is_up);
         let outcome = match found {
@@ -175,7 +175,7 @@
     }
 
     /// Handles a request that arrived at an engine.
-    pub fn offer_to_engine(&mut self, request: EngineRequest, slot: usize, process: u64) {
+    pub fn submit_to_engine(&mut self, request: EngineRequest, slot: usize, process: u64) {
         let attempt = request.attempt;
         let found = self.engines.iter().position(|engine| engine.address == request.address && engine.is_up);
         let Some(index) = found else {
@@ -207,7 +207,7 @@
         let bound = self.machines.lag_ms + LEAVING_GRACE_MS;
         let disturbed = self.slots[slot].disturbed_ms.max(self.faults.disturbed_ms);
         // A node that was paused or partitioned may not have received the change.
-        if now_ms < disturbed + bound || self.network.has_cuts() {
+        if now_ms < disturbed + bound || self.network.has_partitions() {
             return;
         }
         let name = self.engines[engine].name.clone();
@@ -275,7 +275,7 @@
         if draw_bool(&mut self.random, impairments.gaps) {
             return;
         }
-        if draw_bool(&mut self.random, impairments.doubled) {
+        if draw_bool(&mut self.random, impairments.duplicated) {
             self.stream_event(after, slot, process, attempt, event.clone());
         }
         self.stream_event(after, slot, process, attempt, event);
--- a/crates/bench/src/simulation/faults.rs
+++ b/crates/bench/src/simulation/faults.rs
@@ -7,7 +7,7 @@
 
 use super::engines::{ENGINE_COUNT, EngineImpairments};
 use super::events::SimEvent;
-use super::network::Noise;
+use super::network::NetworkImpairment;
 use super::nodes::{CrashPoint, ZONE_COUNT};
 use super::platform::{DEFAULT_LAG_MS, KeyValueImpairments};
 use super::world::World;
@@ -24,7 +24,7 @@
     pub counts: BTreeMap<&'static str, u64>,
     /// Last time at which a partition or network impairment began or ended.
     pub disturbed_ms: u64,
-    /// Time from the last fault until all groups were fully replicated.
+    /// Time from the start of the fault-free period until all groups were fully replicated, in milliseconds.
     pub recovery_ms: u64,
     is_healthy: bool,
 }
@@ -42,7 +42,7 @@
     /// A zone is partitioned from the others.
     Zone(usize),
     /// The network loses, duplicates and delays messages.
-    Noise,
+    NetworkImpairment,
     /// The key-value service is impaired.
     KeyValue,
     /// An engine is impaired.
@@ -75,8 +75,8 @@
             5 => self.lose_disk(),
             6 => self.replace_node(),
             7 | 8 => self.stop_gracefully(),
-            9 | 10 => self.cut_links(),
-            11 => self.cut_zone(),
+            9 | 10 => self.partition_links(),
+            11 => self.partition_zone(),
             12 => self.impair_network(),
             13..=15 => self.impair_key_value(),
             16 => self.crash_engine(),
@@ -85,13 +85,13 @@
             19 => self.impair_engine(),
             20 => self.impair_clock_or_machine_list(),
             _ => {
-                self.tally("retry_storm");
+                self.record_fault("retry_storm");
                 self.storm();
             }
         }
     }
 
-    fn tally(&mut self, kind: &'static str) {
+    fn record_fault(&mut self, kind: &'static str) {
         *self.faults.counts.entry(kind).or_default() += 1;
         self.trace_event(|| format!("fault: {kind}"));
     }
@@ -106,7 +106,7 @@
 
     fn kill(&mut self) {
         let slot = self.random_node();
-        self.tally("kill");
+        self.record_fault("kill");
         self.kill_node(slot);
         let back = self.draw_duration(500, 20_000);
         self.schedule(back, SimEvent::Start { slot });
@@ -114,14 +114,14 @@
 
     fn crash_in_write(&mut self) {
         let slot = self.random_node();
-        self.tally("crash_in_write");
+        self.record_fault("crash_in_write");
         let after = self.random.random_bool(0.5);
         self.slots[slot].crash = Some(if after { CrashPoint::AfterWrite } else { CrashPoint::BeforeWrite });
     }
 
     fn pause(&mut self) {
         let slot = self.random_node();
-        self.tally("pause");
+        self.record_fault("pause");
         self.slots[slot].paused = true;
         self.slots[slot].disturbed_ms = self.now_ms;
         let span = self.draw_duration(300, 15_000);
@@ -131,7 +131,7 @@
     fn lose_disk(&mut self) {
         let slot = self.random_node();
         if self.slots[slot].stores && self.may_lose_disk() {
-            self.tally("disk_lost");
+            self.record_fault("disk_lost");
             self.lose_disk_of(slot);
         }
     }
@@ -154,7 +154,7 @@
         };
         let leader = (0..self.slots.len()).find(|slot| leads(self, *slot));
         if let Some(slot) = leader {
-            self.tally("disk_lost_after_acknowledgement");
+            self.record_fault("disk_lost_after_acknowledgement");
             self.lose_disk_of(slot);
         }
     }
@@ -165,12 +165,12 @@
         if self.is_fault_free() || !self.random.random_bool(0.15) {
             return;
         }
-        self.tally("key_value_down_after_apply");
+        self.record_fault("key_value_down_after_apply");
         self.key_value.impairments = KeyValueImpairments { down: true, ..KeyValueImpairments::default() };
         let span = self.draw_duration(20_000, 90_000);
         self.schedule(span, SimEvent::EndFault(Fault::KeyValue));
         if self.random.random_bool(0.5) {
-            self.tally("accepting_node_dies");
+            self.record_fault("accepting_node_dies");
             self.kill_node(slot);
             let back = self.draw_duration(5_000, 60_000);
             self.schedule(back, SimEvent::Start { slot });
@@ -207,7 +207,7 @@
         if is_storage_node && !self.may_lose_disk() {
             return;
         }
-        self.tally("replace_node");
+        self.record_fault("replace_node");
         self.kill_node(slot);
         self.slots[slot].retired = true;
         let zone = self.slots[slot].zone;
@@ -222,7 +222,7 @@
         if is_stopping || self.slots[slot].paused {
             return;
         }
-        self.tally("planned_stop");
+        self.record_fault("planned_stop");
         self.slots[slot].stopping = true;
         let event = Box::new(stallmoor_core::node::Event::Stop);
         self.schedule(1, SimEvent::Node { slot, process: None, event });
@@ -230,39 +230,39 @@
 
     // The network.
 
-    fn cut_links(&mut self) {
+    fn partition_links(&mut self) {
         let from = self.random_node();
         let to = self.random_node();
         self.faults.disturbed_ms = self.now_ms;
-        self.network.cut_links.insert((from, to));
+        self.network.partitioned_links.insert((from, to));
         if self.random.random_bool(0.5) {
-            self.tally("cut_link");
-            self.network.cut_links.insert((to, from));
+            self.record_fault("cut_link");
+            self.network.partitioned_links.insert((to, from));
         } else {
-            self.tally("cut_one_way");
+            self.record_fault("cut_one_way");
         }
         let span = self.draw_duration(1_000, 30_000);
         self.schedule(span, SimEvent::EndFault(Fault::Links { from, to }));
     }
 
-    fn cut_zone(&mut self) {
-        self.tally("cut_zone");
+    fn partition_zone(&mut self) {
+        self.record_fault("cut_zone");
         self.faults.disturbed_ms = self.now_ms;
         let zone = self.random.random_range(0..ZONE_COUNT);
-        self.network.cut_zones.insert(zone);
+        self.network.partitioned_zones.insert(zone);
         let span = self.draw_duration(1_000, 20_000);
         self.schedule(span, SimEvent::EndFault(Fault::Zone(zone)));
     }
 
     fn impair_network(&mut self) {
-        self.tally("network_noise");
+        self.record_fault("network_noise");
         self.faults.disturbed_ms = self.now_ms;
         let lost = self.random.random_range(0.0..0.2);
-        let doubled = self.random.random_range(0.0..0.2);
+        let duplicated = self.random.random_range(0.0..0.2);
         let delay_ms = self.random.random_range(0..400);
-        self.network.noise = Noise { lost, doubled, delay_ms };
+        self.network.impairment = NetworkImpairment { lost, duplicated, delay_ms };
         let span = self.draw_duration(3_000, 30_000);
-        self.schedule(span, SimEvent::EndFault(Fault::Noise));
+        self.schedule(span, SimEvent::EndFault(Fault::NetworkImpairment));
     }
 
     // The platform.
@@ -271,19 +271,19 @@
         let mut impairments = KeyValueImpairments::default();
         match self.random.random_range(0..4) {
             0 => {
-                self.tally("key_value_down");
+                self.record_fault("key_value_down");
                 impairments.down = true;
             }
             1 => {
-                self.tally("key_value_slow");
+                self.record_fault("key_value_slow");
                 impairments.slow_ms = 4_000;
             }
             2 => {
-                self.tally("key_value_answers_lost");
+                self.record_fault("key_value_answers_lost");
                 impairments.lost_answers = 0.6;
             }
             _ => {
-                self.tally("key_value_stale");
+                self.record_fault("key_value_stale");
                 impairments.stale = 0.5;
             }
         }
@@ -294,12 +294,12 @@
 
     fn impair_clock_or_machine_list(&mut self) {
         if self.random.random_bool(0.5) {
-            self.tally("clock_jump");
+            self.record_fault("clock_jump");
             let slot = self.random_node();
             self.slots[slot].skew_ms = self.random.random_range(-3_600_000..3_600_000);
             return;
         }
-        self.tally("machine_list_late");
+        self.record_fault("machine_list_late");
         self.machines.lag_ms = self.random.random_range(2_000..8_000);
         let span = self.draw_duration(10_000, 40_000);
         self.schedule(span, SimEvent::EndFault(Fault::MachineList));
@@ -312,7 +312,7 @@
     }
 
     fn crash_engine(&mut self) {
-        self.tally("engine_dies");
+        self.record_fault("engine_dies");
         let engine = self.random_engine();
         self.kill_engine(engine);
         let back = self.draw_duration(1_000, 20_000);
@@ -324,14 +324,14 @@
         if !self.engines[engine].is_up {
             return;
         }
-        self.tally("engine_leaves");
+        self.record_fault("engine_leaves");
         self.begin_leaving(engine);
         let back = self.draw_duration(12_000, 40_000);
         self.schedule(back, SimEvent::EngineStart { engine });
     }
 
     fn freeze_engine(&mut self) {
-        self.tally("engine_freezes");
+        self.record_fault("engine_freezes");
         let engine = self.random_engine();
         let span = self.draw_duration(1_000, 25_000);
         self.engines[engine].frozen_until_ms = self.now_ms + span;
@@ -339,11 +339,11 @@
     }
 
     fn impair_engine(&mut self) {
-        self.tally("engine_answers_badly");
+        self.record_fault("engine_answers_badly");
         let engine = self.random_engine();
         self.engines[engine].impairments = EngineImpairments {
             truncated: self.random.random_range(0.0..0.2),
-            doubled: self.random.random_range(0.0..0.3),
+            duplicated: self.random.random_range(0.0..0.3),
             crossed: self.random.random_range(0.0..0.3),
             gaps: self.random.random_range(0.0..0.1),
             late_ms: self.random.random_range(0..2_000),
@@ -356,16 +356,16 @@
     pub fn end_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Links { from, to } => {
-                self.network.cut_links.remove(&(from, to));
-                self.network.cut_links.remove(&(to, from));
+                self.network.partitioned_links.remove(&(from, to));
+                self.network.partitioned_links.remove(&(to, from));
                 self.faults.disturbed_ms = self.now_ms;
             }
             Fault::Zone(zone) => {
-                self.network.cut_zones.remove(&zone);
+                self.network.partitioned_zones.remove(&zone);
                 self.faults.disturbed_ms = self.now_ms;
             }
-            Fault::Noise => {
-                self.network.noise = Noise::default();
+            Fault::NetworkImpairment => {
+                self.network.impairment = NetworkImpairment::default();
                 self.faults.disturbed_ms = self.now_ms;
             }
             Fault::KeyValue => self.key_value.impairments = KeyValueImpairments::default(),
@@ -374,7 +374,7 @@
         }
     }
 
-    /// Records the time until all groups are fully replicated after the last fault.
+    /// Records the time from the start of the fault-free period until all groups are fully replicated.
     fn check_health(&mut self) {
         if self.faults.is_healthy {
             return;
--- a/crates/bench/src/simulation/jobs.rs
+++ b/crates/bench/src/simulation/jobs.rs
@@ -314,10 +314,10 @@
         let probe = &mut self.jobs.probes[job];
         let text = item.result.text.to_string();
         let expected = answer_text(MODEL, &probe.prompts[index as usize], MAX_TOKENS);
-        let is_own = text == expected && *item.label == format!("label-{index}");
+        let matches_prompt = text == expected && *item.label == format!("label-{index}");
         let earlier = probe.seen.insert(index, (item.result.attempt, text.clone()));
         let is_same = earlier.is_none_or(|earlier| earlier == (item.result.attempt, text));
-        self.oracle.check(oracle::COMPLETE_ANSWERS, is_own, now_ms, || {
+        self.oracle.check(oracle::COMPLETE_ANSWERS, matches_prompt, now_ms, || {
             format!("job {job} item {index}: the result is not the complete answer to its prompt")
         });
         self.oracle.check(oracle::EXACTLY_ONCE, is_same, now_ms, || {
--- a/crates/bench/src/simulation/liveness.rs
+++ b/crates/bench/src/simulation/liveness.rs
@@ -63,7 +63,7 @@
         let behind = revisions.iter().filter(|revision| **revision < newest).count();
         let details =
             if behind > 0 { vec![format!("{behind} nodes are behind revision {newest}")] } else { Vec::new() };
-        let worst_ms = self.operators.worst_spread_ms;
+        let worst_ms = self.operators.max_propagation_ms;
         let tally = LivenessTally { checked: revisions.len() as u64, violations: behind as u64, worst_ms };
         ("configuration_everywhere", tally, details)
     }
--- a/crates/bench/src/simulation/network.rs
+++ b/crates/bench/src/simulation/network.rs
@@ -7,11 +7,11 @@
 
 /// Temporary impairment of the network.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Noise {
+pub struct NetworkImpairment {
     /// Fraction of messages lost.
     pub lost: f64,
     /// Fraction of messages duplicated.
-    pub doubled: f64,
+    pub duplicated: f64,
     /// Maximum extra delay in milliseconds, which also reorders messages.
     pub delay_ms: u64,
 }
@@ -20,11 +20,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Network {
     /// Active impairment.
-    pub noise: Noise,
+    pub impairment: NetworkImpairment,
     /// Partitioned links, one direction each.
-    pub cut_links: BTreeSet<(usize, usize)>,
+    pub partitioned_links: BTreeSet<(usize, usize)>,
     /// Zones partitioned from the others.
-    pub cut_zones: BTreeSet<usize>,
+    pub partitioned_zones: BTreeSet<usize>,
 }
 
 /// Delays in milliseconds of the delivered copies of one message; empty if it is lost.
@@ -35,20 +35,21 @@
     pub fn route(&self, from: (usize, usize), to: (usize, usize), random: &mut Xoshiro256PlusPlus) -> Deliveries {
         let (from_slot, from_zone) = from;
         let (to_slot, to_zone) = to;
-        let crosses_cut =
-            from_zone != to_zone && (self.cut_zones.contains(&from_zone) || self.cut_zones.contains(&to_zone));
-        if crosses_cut || self.cut_links.contains(&(from_slot, to_slot)) {
+        let crosses_cut = from_zone != to_zone
+            && (self.partitioned_zones.contains(&from_zone) || self.partitioned_zones.contains(&to_zone));
+        if crosses_cut || self.partitioned_links.contains(&(from_slot, to_slot)) {
             return Vec::new();
         }
-        if self.noise.lost > 0.0 && random.random_bool(self.noise.lost) {
+        if self.impairment.lost > 0.0 && random.random_bool(self.impairment.lost) {
             return Vec::new();
         }
-        let copies = if self.noise.doubled > 0.0 && random.random_bool(self.noise.doubled) { 2 } else { 1 };
-        (0..copies).map(|_| random.random_range(1..=2) + random.random_range(0..=self.noise.delay_ms)).collect()
+        let copies =
+            if self.impairment.duplicated > 0.0 && random.random_bool(self.impairment.duplicated) { 2 } else { 1 };
+        (0..copies).map(|_| random.random_range(1..=2) + random.random_range(0..=self.impairment.delay_ms)).collect()
     }
 
     /// Returns whether any partition is active.
-    pub fn has_cuts(&self) -> bool {
-        !self.cut_links.is_empty() || !self.cut_zones.is_empty()
+    pub fn has_partitions(&self) -> bool {
+        !self.partitioned_links.is_empty() || !self.partitioned_zones.is_empty()
     }
 }
--- a/crates/bench/src/simulation/nodes.rs
+++ b/crates/bench/src/simulation/nodes.rs
@@ -191,7 +191,7 @@
         let clock = clock_of(target, now_ms);
         let Some(node) = &mut target.node else { return };
         let effects = node.handle(event, clock);
-        self.carry_out(slot, effects);
+        self.execute(slot, effects);
     }
 
     /// Kills a node's process and schedules a restart.
--- a/crates/bench/src/simulation/operators.rs
+++ b/crates/bench/src/simulation/operators.rs
@@ -36,14 +36,14 @@
     /// Index of the change that was accepted as each revision.
     accepted: BTreeMap<u64, usize>,
     /// Accepted revisions that some nodes have not applied yet.
-    spreading: BTreeMap<u64, Spread>,
+    propagating: BTreeMap<u64, Propagation>,
     /// Newest accepted revision.
     pub newest_accepted: u64,
     /// Longest time until an accepted revision reached all undisturbed nodes, in milliseconds.
-    pub worst_spread_ms: u64,
+    pub max_propagation_ms: u64,
 }
 
-struct Spread {
+struct Propagation {
     accepted_ms: u64,
     waiting: BTreeSet<usize>,
 }
@@ -118,18 +118,20 @@
         let now_ms = self.now_ms;
         let Change { id, slot, .. } = self.operators.changes[change];
         // The answer holds the newest revision; the change's own revision is in the manifest.
-        let own = self.stored_manifest().and_then(|manifest| manifest.revision_of(id)).unwrap_or(revision);
-        let other = self.operators.accepted.insert(own, change);
+        let own_revision = self.stored_manifest().and_then(|manifest| manifest.revision_of(id)).unwrap_or(revision);
+        let other = self.operators.accepted.insert(own_revision, change);
         self.oracle.check(oracle::ONE_CHANGE_PER_REVISION, other.is_none(), now_ms, || {
-            format!("revision {own} was accepted for two changes")
+            format!("revision {own_revision} was accepted for two changes")
         });
-        self.operators.newest_accepted = self.operators.newest_accepted.max(own);
+        self.operators.newest_accepted = self.operators.newest_accepted.max(own_revision);
         let waiting = (0..self.slots.len())
-            .filter(|slot| self.slots[*slot].node.as_ref().is_some_and(|node| node.configuration_revision() < own))
+            .filter(|slot| {
+                self.slots[*slot].node.as_ref().is_some_and(|node| node.configuration_revision() < own_revision)
+            })
             // A node that has discovered no other node is not part of the fleet.
             .filter(|slot| self.slots[*slot].node.as_ref().is_some_and(|node| node.status().members_present > 1));
-        let spread = Spread { accepted_ms: now_ms, waiting: waiting.collect() };
-        self.operators.spreading.insert(own, spread);
+        let propagation = Propagation { accepted_ms: now_ms, waiting: waiting.collect() };
+        self.operators.propagating.insert(own_revision, propagation);
         self.on_accepted_change(slot);
     }
 
@@ -137,15 +139,15 @@
     pub fn record_revision(&mut self, slot: usize, revision: u64) {
         let now_ms = self.now_ms;
         let disturbed = self.slots[slot].disturbed_ms.max(self.faults.disturbed_ms);
-        let has_cuts = self.network.has_cuts();
-        let mut worst = self.operators.worst_spread_ms;
-        for (_, spread) in self.operators.spreading.range_mut(..=revision) {
+        let has_partitions = self.network.has_partitions();
+        let mut worst = self.operators.max_propagation_ms;
+        for (_, propagation) in self.operators.propagating.range_mut(..=revision) {
             // Only nodes that were not paused, partitioned or started in the meantime count.
-            if spread.waiting.remove(&slot) && disturbed < spread.accepted_ms && !has_cuts {
-                worst = worst.max(now_ms - spread.accepted_ms);
+            if propagation.waiting.remove(&slot) && disturbed < propagation.accepted_ms && !has_partitions {
+                worst = worst.max(now_ms - propagation.accepted_ms);
             }
         }
-        self.operators.worst_spread_ms = worst;
+        self.operators.max_propagation_ms = worst;
     }
 
     fn stored_manifest(&self) -> Option<Manifest> {
--- a/crates/bench/src/simulation/platform.rs
+++ b/crates/bench/src/simulation/platform.rs
@@ -65,7 +65,7 @@
             return (KeyValueOutcome::NoAnswer, delay);
         }
         self.tokens -= 1.0;
-        let outcome = self.carry_out(operation, random);
+        let outcome = self.execute(operation, random);
         let is_lost = self.impairments.lost_answers > 0.0 && random.random_bool(self.impairments.lost_answers);
         if is_lost || delay > TIMEOUT_MS {
             return (KeyValueOutcome::NoAnswer, TIMEOUT_MS);
@@ -78,7 +78,7 @@
         self.values.get(key).map(|stored| &stored.value)
     }
 
-    fn carry_out(&mut self, operation: &KeyValueOperation, random: &mut Xoshiro256PlusPlus) -> KeyValueOutcome {
+    fn execute(&mut self, operation: &KeyValueOperation, random: &mut Xoshiro256PlusPlus) -> KeyValueOutcome {
         match operation {
             KeyValueOperation::Get { key } => self.get(key, random),
             KeyValueOperation::CompareAndSwap { key, expected, value } => self.compare_and_swap(key, *expected, value),
--- a/crates/bench/src/simulation/report.rs
+++ b/crates/bench/src/simulation/report.rs
@@ -34,7 +34,7 @@
     pub operations: BTreeMap<String, u64>,
     /// Longest time until an accepted revision reached all nodes, in milliseconds, and its seed.
     #[serde(skip)]
-    pub slowest_spread: (u64, u64),
+    pub slowest_propagation: (u64, u64),
     /// Violations with their seed.
     #[serde(skip)]
     pub violations: Vec<(u64, String)>,
@@ -65,7 +65,7 @@
             sum.violations += tally.violations;
             sum.worst_ms = sum.worst_ms.max(tally.worst_ms);
         }
-        self.slowest_spread = self.slowest_spread.max(other.slowest_spread);
+        self.slowest_propagation = self.slowest_propagation.max(other.slowest_propagation);
         self.violations.extend(other.violations);
         self.trace.extend(other.trace);
     }
