--- a/crates/bench/src/experiment/callers.rs
+++ b/crates/bench/src/experiment/callers.rs
@@ -1,6 +1,6 @@
 //! Callers: the initial configuration, online requests and jobs, and the answers they receive.
 //!
-//! Owns the kinds of calls and the arrival times of each online request's pieces. Relies on `workload` for the
+//! Owns the kinds of calls and the arrival times of each online request's chunks. Relies on `workload` for the
 //! arrivals.
 
 use std::sync::Arc;
@@ -131,14 +131,14 @@
             self.calls.remove(&caller);
         }
         match (purpose, answer) {
-            (CallPurpose::Online(index), CallerAnswer::Piece { .. }) => self.on_piece(index),
+            (CallPurpose::Online(index), CallerAnswer::Chunk { .. }) => self.on_chunk(index),
             (CallPurpose::Online(_), CallerAnswer::End { .. }) => self.metrics.online_answered += 1,
             (CallPurpose::Online(_), _) => self.metrics.online_refused += 1,
             (CallPurpose::Job | CallPurpose::Apply, _) => {}
         }
     }
 
-    fn on_piece(&mut self, index: usize) {
+    fn on_chunk(&mut self, index: usize) {
         let now = self.now_us;
         let probe = &mut self.probes[index];
         match probe.last_us {
--- a/crates/bench/src/experiment/engines.rs
+++ b/crates/bench/src/experiment/engines.rs
@@ -1,6 +1,6 @@
 //! Engines and their streams, run by the emulator on the virtual clock.
 //!
-//! Owns what a node observes of an engine: pieces, ends of streams, refusals, delayed load reports and cache
+//! Owns what a node observes of an engine: chunks, ends of streams, refusals, delayed load reports and cache
 //! events. Relies on `accounting` to count slot time before each change of an engine's streams.
 
 use std::collections::VecDeque;
@@ -142,7 +142,7 @@
         let Some(stream) = self.streams.get_mut(&attempt) else { return };
         stream.tokens += 1;
         let node = stream.node;
-        let event = StreamEvent::Piece { attempt, first: place, tokens: 1, text };
+        let event = StreamEvent::Chunk { attempt, first: place, tokens: 1, text };
         self.send_to_node(engine, node, attempt, event);
     }
 
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -42,7 +42,7 @@
 
 /// Runs the same online arrivals with and without batch.
 pub fn run(options: &ExperimentOptions) -> ExperimentReport {
-    let workload = Workload::draw(options.profile, options.seed, options.seconds);
+    let workload = Workload::generate(options.profile, options.seed, options.seconds);
     let baseline = World::new(options, &workload.without_jobs()).run();
     let metrics = World::new(options, &workload).run();
     ExperimentReport {
--- a/crates/bench/src/experiment/workload.rs
+++ b/crates/bench/src/experiment/workload.rs
@@ -49,7 +49,7 @@
 
 impl Workload {
     /// Generates the arrivals for a seed.
-    pub fn draw(profile: Profile, seed: u64, seconds: u64) -> Self {
+    pub fn generate(profile: Profile, seed: u64, seconds: u64) -> Self {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
         let end_us = seconds * 1_000_000;
         let online = draw_online(profile, end_us, &mut random);
--- a/crates/bench/src/experiment/world.rs
+++ b/crates/bench/src/experiment/world.rs
@@ -161,7 +161,7 @@
         let millis = self.now_us / 1_000;
         Clock {
             now: Timestamp::from_millis(MONOTONIC_START_MS + millis),
-            civil: UnixMillis(WALL_CLOCK_START_MS + millis),
+            wall_time: UnixMillis(WALL_CLOCK_START_MS + millis),
         }
     }
 
--- a/crates/bench/src/fleet_client.rs
+++ b/crates/bench/src/fleet_client.rs
@@ -51,16 +51,16 @@
     Lost,
 }
 
-/// A complete answer with the timing of its pieces.
+/// A complete answer with the timing of its chunks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedAnswer {
-    /// Concatenated text of all pieces.
+    /// Concatenated text of all chunks.
     pub text: String,
     /// Number of tokens.
     pub tokens: u64,
-    /// Time from sending the request to the first piece.
+    /// Time from sending the request to the first chunk.
     pub first_token: Duration,
-    /// Intervals between consecutive pieces.
+    /// Intervals between consecutive chunks.
     pub gaps: Vec<Duration>,
 }
 
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -57,7 +57,7 @@
     pub tokens: u64,
     /// Time from a request's scheduled send time to its first token.
     pub ttft_ms: Percentiles,
-    /// Intervals between consecutive pieces.
+    /// Intervals between consecutive chunks.
     pub itl_ms: Percentiles,
     /// Number of batch jobs accepted.
     pub jobs: u64,
--- a/crates/bench/src/simulation/callers.rs
+++ b/crates/bench/src/simulation/callers.rs
@@ -109,7 +109,7 @@
         let caller = self.call(slot, CallPurpose::Online(request), CallerCall::Online(call));
         // Occasionally a caller disconnects early.
         if self.random.random_bool(0.02) {
-            self.hang_up(caller);
+            self.disconnect_caller(caller);
             self.callers.probes[request].done = true;
         }
     }
@@ -121,7 +121,7 @@
     /// Handles an answer, or the loss of the connection if there is none.
     pub fn on_online_answer(&mut self, request: usize, _caller: CallerId, answer: Option<CallerAnswer>) {
         match answer {
-            Some(CallerAnswer::Piece { text, .. }) => self.callers.probes[request].text.push_str(&text),
+            Some(CallerAnswer::Chunk { text, .. }) => self.callers.probes[request].text.push_str(&text),
             Some(CallerAnswer::End { .. }) => self.on_complete_answer(request),
             Some(CallerAnswer::Refused(refusal)) => {
                 self.check_refusal(request, refusal.kind, refusal.ran);
--- a/crates/bench/src/simulation/calls.rs
+++ b/crates/bench/src/simulation/calls.rs
@@ -58,9 +58,9 @@
     }
 
     /// Disconnects a caller.
-    pub fn hang_up(&mut self, caller: CallerId) {
+    pub fn disconnect_caller(&mut self, caller: CallerId) {
         if let Some(owner) = self.calls.remove(&caller) {
-            let event = Box::new(Event::CallerGone(caller));
+            let event = Box::new(Event::CallerDisconnected(caller));
             self.schedule(2, SimEvent::Node { slot: owner.slot, process: None, event });
         }
     }
--- a/crates/bench/src/simulation/effects.rs
+++ b/crates/bench/src/simulation/effects.rs
@@ -39,8 +39,8 @@
         let disk = &mut self.slots[slot].disk;
         match effect {
             Effect::Persist { group, write } => disk.groups.entry(*group).or_default().write(write),
-            Effect::PersistConfiguration(in_force) => {
-                disk.configuration = Some((in_force.manifest.clone(), in_force.contents.clone()));
+            Effect::PersistConfiguration(active) => {
+                disk.configuration = Some((active.manifest.clone(), active.contents.clone()));
             }
             _ => {}
         }
--- a/crates/bench/src/simulation/engines.rs
+++ b/crates/bench/src/simulation/engines.rs
@@ -19,8 +19,8 @@
 pub const ENGINE_COUNT: usize = 6;
 /// Number of sequences that an engine runs concurrently.
 const ENGINE_SLOTS: usize = 12;
-/// Maximum number of tokens in one piece.
-const MAX_PIECE_TOKENS: u32 = 12;
+/// Maximum number of tokens in one chunk.
+const MAX_CHUNK_TOKENS: u32 = 12;
 /// Time beyond the machine list's delay during which a leaving engine may still be offered work.
 const LEAVING_GRACE_MS: u64 = 3_000;
 
@@ -29,13 +29,13 @@
 pub struct EngineImpairments {
     /// Fraction of steps at which a stream breaks.
     pub truncated: f64,
-    /// Fraction of pieces sent twice.
+    /// Fraction of chunks sent twice.
     pub duplicated: f64,
-    /// Fraction of steps at which a piece of another stream is also sent.
+    /// Fraction of steps at which a chunk of another stream is also sent.
     pub crossed: f64,
-    /// Fraction of pieces omitted.
+    /// Fraction of chunks omitted.
     pub gaps: f64,
-    /// Maximum extra delay of a piece, in milliseconds.
+    /// Maximum extra delay of a chunk, in milliseconds.
     pub late_ms: u64,
 }
 
@@ -46,7 +46,7 @@
     process: u64,
     next_token: u32,
     length: u32,
-    /// Earliest arrival time of the next piece, which keeps pieces in order.
+    /// Earliest arrival time of the next chunk, which keeps chunks in order.
     earliest_ms: u64,
 }
 
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Advances a stream by one piece, or ends it after the last one.
+    /// Advances a stream by one chunk, or ends it after the last one.
     pub fn step_engine(&mut self, engine: usize, attempt: AttemptId) {
         let model = &self.engines[engine];
         if !model.is_up || !model.streams.contains_key(&attempt) {
@@ -247,19 +247,19 @@
             self.break_stream(engine, attempt);
             return;
         }
-        self.send_piece(engine, attempt, impairments);
+        self.send_chunk(engine, attempt, impairments);
         if draw_bool(&mut self.random, impairments.crossed) {
             self.cross_streams(engine, attempt);
         }
         self.schedule(60 + load * 4, SimEvent::EngineStep { engine, attempt });
     }
 
-    fn send_piece(&mut self, engine: usize, attempt: AttemptId, impairments: EngineImpairments) {
+    fn send_chunk(&mut self, engine: usize, attempt: AttemptId, impairments: EngineImpairments) {
         let delay = 1 + self.random.random_range(0..=impairments.late_ms);
         let now_ms = self.now_ms;
         let Some(stream) = self.engines[engine].streams.get_mut(&attempt) else { return };
         let (slot, process) = (stream.slot, stream.process);
-        // Pieces on one connection arrive in order.
+        // Chunks on one connection arrive in order.
         stream.earliest_ms = stream.earliest_ms.max(now_ms + delay);
         let after = stream.earliest_ms - now_ms;
         if stream.next_token >= stream.length {
@@ -269,9 +269,9 @@
             return;
         }
         let first = stream.next_token;
-        let tokens = MAX_PIECE_TOKENS.min(stream.length - first);
+        let tokens = MAX_CHUNK_TOKENS.min(stream.length - first);
         stream.next_token += tokens;
-        let event = piece_of(attempt, &stream.request, first, tokens);
+        let event = chunk_of(attempt, &stream.request, first, tokens);
         if draw_bool(&mut self.random, impairments.gaps) {
             return;
         }
@@ -281,14 +281,14 @@
         self.stream_event(after, slot, process, attempt, event);
     }
 
-    /// Sends a piece of another stream on this one.
+    /// Sends a chunk of another stream on this one.
     fn cross_streams(&mut self, engine: usize, attempt: AttemptId) {
         let streams = &self.engines[engine].streams;
         let Some(stream) = streams.get(&attempt) else { return };
         let (slot, process) = (stream.slot, stream.process);
         let other = streams.iter().find(|(other, _)| **other != attempt);
         let Some((other_attempt, other_stream)) = other else { return };
-        let event = piece_of(*other_attempt, &other_stream.request, other_stream.next_token, 1);
+        let event = chunk_of(*other_attempt, &other_stream.request, other_stream.next_token, 1);
         self.stream_event(1, slot, process, attempt, event);
     }
 
@@ -349,9 +349,9 @@
     }
 }
 
-fn piece_of(attempt: AttemptId, request: &EngineRequest, first: u32, tokens: u32) -> StreamEvent {
+fn chunk_of(attempt: AttemptId, request: &EngineRequest, first: u32, tokens: u32) -> StreamEvent {
     let text = (first..first + tokens).map(|index| answer_token(&request.model, &request.prompt, index)).collect();
-    StreamEvent::Piece { attempt, first, tokens, text }
+    StreamEvent::Chunk { attempt, first, tokens, text }
 }
 
 fn draw_bool(random: &mut rand_xoshiro::Xoshiro256PlusPlus, probability: f64) -> bool {
--- a/crates/bench/src/simulation/nodes.rs
+++ b/crates/bench/src/simulation/nodes.rs
@@ -231,6 +231,6 @@
 
 fn clock_of(slot: &NodeSlot, now_ms: u64) -> Clock {
     let monotonic = MONOTONIC_START_MS + now_ms - slot.started_ms;
-    let civil = (WALL_CLOCK_START_MS + now_ms).saturating_add_signed(slot.skew_ms);
-    Clock { now: Timestamp::from_millis(monotonic), civil: UnixMillis(civil) }
+    let wall_time = (WALL_CLOCK_START_MS + now_ms).saturating_add_signed(slot.skew_ms);
+    Clock { now: Timestamp::from_millis(monotonic), wall_time: UnixMillis(wall_time) }
 }
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -10,7 +10,7 @@
 /// # Errors
 ///
 /// Fails if the log file can't be opened or a logger is already installed.
-pub fn set_up(level: LevelFilter, file: Option<&Path>) -> Result<(), std::io::Error> {
+pub fn install_logger(level: LevelFilter, file: Option<&Path>) -> Result<(), std::io::Error> {
     let dispatch = fern::Dispatch::new()
         .format(|out, message, record| {
             out.finish(format_args!("{} {:5} {message}", timestamp(), record.level()));
--- a/crates/cli/src/node_command.rs
+++ b/crates/cli/src/node_command.rs
@@ -18,7 +18,7 @@
 pub async fn run(arguments: &ArgMatches, output: &mut CommandOutput) -> Result<(), CommandError> {
     let settings = read_settings(arguments)?;
     let log_path = settings.log_file.clone().unwrap_or_default();
-    logging::set_up(settings.log_level, settings.log_file.as_deref()).context(FileSnafu { path: log_path })?;
+    logging::install_logger(settings.log_level, settings.log_file.as_deref()).context(FileSnafu { path: log_path })?;
     let adopt = arguments.get_flag("adopt-data-folder");
     let mut node = stallmoor_node::start(&settings, adopt).await.context(StartSnafu)?;
     output.line(format_args!("callers {} peers {}", node.caller_address, node.peer_address))?;
--- a/crates/cli/src/serving_commands.rs
+++ b/crates/cli/src/serving_commands.rs
@@ -37,6 +37,6 @@
     let named = arguments.get_one::<PathBuf>("settings").cloned();
     let path = named.or_else(stallmoor_adapter::settings_path).ok_or(CommandError::NoSettings)?;
     let settings = ServingSettings::read(&path).context(SettingsSnafu)?;
-    log_writer::set_up(settings.log.level).context(FileSnafu { path: PathBuf::new() })?;
+    log_writer::install_logger(settings.log.level).context(FileSnafu { path: PathBuf::new() })?;
     Ok((path, settings))
 }
--- a/crates/clients/src/engine.rs
+++ b/crates/clients/src/engine.rs
@@ -191,7 +191,7 @@
     let attempt = AttemptId::parse(&event.attempt).unwrap_or(AttemptId(0));
     Some(match event.length {
         Some(length) => StreamEvent::End { attempt, length },
-        None => StreamEvent::Piece { attempt, first: event.first, tokens: event.tokens, text: event.text },
+        None => StreamEvent::Chunk { attempt, first: event.first, tokens: event.tokens, text: event.text },
     })
 }
 
--- a/crates/core/src/node/batch_demand.rs
+++ b/crates/core/src/node/batch_demand.rs
@@ -44,8 +44,8 @@
         }
         self.batch.requested = wanted.keys().cloned().collect();
         for (engine, demand) in wanted {
-            let want = demand + self.batch.dispatcher.streams_at(&engine) as u32;
-            self.send_capacity_request(&engine, want);
+            let wanted_streams = demand + self.batch.dispatcher.streams_at(&engine) as u32;
+            self.send_capacity_request(&engine, wanted_streams);
         }
     }
 
@@ -55,9 +55,9 @@
         }
     }
 
-    fn send_capacity_request(&mut self, engine: &EngineName, want: u32) {
+    fn send_capacity_request(&mut self, engine: &EngineName, wanted_streams: u32) {
         let from = self.settings.id;
-        let message = CreditMessage::Ask { engine: engine.clone(), from, want };
+        let message = CreditMessage::Request { engine: engine.clone(), from, wanted_streams };
         self.send(self.steward_of(engine), PeerMessage::Credit(message));
     }
 
@@ -88,7 +88,7 @@
 
     pub(super) fn on_batch_grant(&mut self, engine: EngineName, limit: u32, lifetime: Millis) {
         let until = self.clock.now + lifetime;
-        self.batch.dispatcher.granted(engine.clone(), EngineLimit { limit, until });
+        self.batch.dispatcher.set_limit(engine.clone(), EngineLimit { limit, until });
         let excess = self.batch.dispatcher.excess(&engine);
         if !excess.is_empty() {
             self.counters.batch_paused += excess.len() as u64;
--- a/crates/core/src/node/batch_flow.rs
+++ b/crates/core/src/node/batch_flow.rs
@@ -17,7 +17,7 @@
 
 /// Interval between capacity requests to the stewards.
 const CAPACITY_REQUEST_INTERVAL: Millis = Millis(400);
-/// Time without a piece after which a batch stream is considered failed.
+/// Time without a chunk after which a batch stream is considered failed.
 const STREAM_IDLE_TIMEOUT: Millis = Millis(20_000);
 /// Time allowed for recording results before the items become startable again.
 const RECORD_TIMEOUT: Millis = Millis(10_000);
@@ -108,7 +108,7 @@
     fn start_round(&mut self, jobs: &[RunnableJob]) -> usize {
         let now = self.clock.now;
         let mut started = 0;
-        for engine in self.batch.dispatcher.engines_with_room(now) {
+        for engine in self.batch.dispatcher.engines_with_capacity(now) {
             let Some(state) = self.engines.get(&engine).filter(|state| state.is_usable(now)) else { continue };
             let service = state.configured.service.clone();
             let Some(index) = self.best_job(jobs, &service) else { continue };
@@ -148,7 +148,7 @@
                 continue;
             }
             let usage = &self.batch.dispatcher.usage;
-            let rank = usage.rank(&job.tenant, job.weight, job.deadline, self.clock.civil);
+            let rank = usage.rank(&job.tenant, job.weight, job.deadline, self.clock.wall_time);
             if best.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
                 best = Some((rank, index));
             }
@@ -178,9 +178,10 @@
         let Some(stored) = stored else { return false };
         let Some(prompt) = stored.items.get(item as usize).and_then(|item| item.prompt.clone()) else { return false };
         let specification = stored.specification.clone();
-        let attempt = self.draw_attempt();
-        let from_token = self.batch.dispatcher.started(attempt, job.job, item, job.tenant.clone(), engine.clone(), now);
-        self.batch.dispatcher.pace(engine, service.batch_start_interval, now);
+        let attempt = self.new_attempt_id();
+        let from_token =
+            self.batch.dispatcher.register(attempt, job.job, item, job.tenant.clone(), engine.clone(), now);
+        self.batch.dispatcher.delay_next_start(engine, service.batch_start_interval, now);
         self.counters.batch_started += 1;
         self.effects.push(Effect::StartStream(EngineRequest {
             attempt,
@@ -221,7 +222,7 @@
 
     pub(super) fn stop_stream(&mut self, attempt: AttemptId, end: StreamEnd) {
         self.effects.push(Effect::CancelStream { attempt });
-        self.batch.dispatcher.ended(attempt, end, self.clock.now);
+        self.batch.dispatcher.finish(attempt, end, self.clock.now);
     }
 
     /// Stops all batch streams and withdraws all capacity requests, for a graceful shutdown.
@@ -239,20 +240,20 @@
             .batch
             .dispatcher
             .streams()
-            .filter(|(_, stream)| now.since(stream.last_piece) >= STREAM_IDLE_TIMEOUT)
+            .filter(|(_, stream)| now.since(stream.last_chunk) >= STREAM_IDLE_TIMEOUT)
             .map(|(attempt, stream)| (attempt, stream.engine.clone()))
             .collect();
         for (attempt, engine) in idle {
             self.stop_stream(attempt, StreamEnd::Failed);
-            self.note_engine_failure(&engine);
+            self.record_engine_failure(&engine);
         }
     }
 
-    // Pieces and results.
+    // Chunks and results.
 
     pub(super) fn on_batch_stream(&mut self, attempt: AttemptId, event: StreamEvent) {
         match event {
-            StreamEvent::Piece { first, tokens, text, .. } => self.on_batch_piece(attempt, first, tokens, &text),
+            StreamEvent::Chunk { first, tokens, text, .. } => self.on_batch_chunk(attempt, first, tokens, &text),
             StreamEvent::End { length, .. } => self.on_batch_end(attempt, length),
             StreamEvent::Rejected { detail } => {
                 let verdict = ItemVerdict::Rejected(detail.into());
@@ -266,10 +267,10 @@
         self.batch.is_dirty = true;
     }
 
-    fn on_batch_piece(&mut self, attempt: AttemptId, first: u32, tokens: u32, text: &str) {
+    fn on_batch_chunk(&mut self, attempt: AttemptId, first: u32, tokens: u32, text: &str) {
         let now = self.clock.now;
         let Some(stream) = self.batch.dispatcher.stream_mut(attempt) else { return };
-        stream.last_piece = now;
+        stream.last_chunk = now;
         if first == stream.tokens {
             stream.tokens += tokens;
             stream.text.push_str(text);
@@ -293,17 +294,17 @@
     }
 
     fn fail_batch_stream(&mut self, attempt: AttemptId, leaving: bool) {
-        let Some(stream) = self.batch.dispatcher.ended(attempt, StreamEnd::Failed, self.clock.now) else { return };
+        let Some(stream) = self.batch.dispatcher.finish(attempt, StreamEnd::Failed, self.clock.now) else { return };
         if leaving {
             self.engine_refused_as_leaving(&stream.engine);
         } else {
-            self.note_engine_failure(&stream.engine);
+            self.record_engine_failure(&stream.engine);
         }
     }
 
     fn complete_item(&mut self, attempt: AttemptId, verdict: ItemVerdict) {
-        let Some(stream) = self.batch.dispatcher.ended(attempt, StreamEnd::Whole, self.clock.now) else { return };
-        self.engines.succeeded(&stream.engine);
+        let Some(stream) = self.batch.dispatcher.finish(attempt, StreamEnd::Complete, self.clock.now) else { return };
+        self.engines.record_success(&stream.engine);
         let result =
             ItemResult { attempt, engine: stream.engine, verdict, text: stream.text.into(), tokens: stream.tokens };
         self.batch.results.entry(stream.job).or_default().push(CompletedItem { item: stream.item, result });
@@ -314,7 +315,7 @@
         let results = std::mem::take(&mut self.batch.results);
         for (job, results) in results {
             let items = results.iter().map(|completed| completed.item).collect();
-            let command = Command::CompleteItems { job, results, at: self.clock.civil };
+            let command = Command::CompleteItems { job, results, at: self.clock.wall_time };
             self.command(job.group, command, Purpose::RecordResults(job, items), RECORD_TIMEOUT);
         }
         if self.batch.is_dirty {
@@ -328,13 +329,13 @@
                 self.counters.batch_completed += items.len() as u64 - u64::from(dropped);
                 self.counters.batch_results_dropped += u64::from(dropped);
                 for item in items {
-                    self.batch.dispatcher.settled(job, *item);
+                    self.batch.dispatcher.finish_item(job, *item);
                 }
             }
             GroupReply::Outcome(_) => {}
             _ => {
                 for item in items {
-                    self.batch.dispatcher.proposal_lost(job, *item);
+                    self.batch.dispatcher.retry_lost_proposal(job, *item);
                 }
             }
         }
@@ -345,7 +346,7 @@
 
     fn forget_old_state(&mut self) {
         let Some(fleet) = self.fleet() else { return };
-        let before = UnixMillis(self.clock.civil.0.saturating_sub(fleet.fleet.retention.0));
+        let before = UnixMillis(self.clock.wall_time.0.saturating_sub(fleet.fleet.retention.0));
         let led: Vec<_> = self.groups.led().map(|(group, _)| group).collect();
         for group in led {
             self.command(group, Command::Forget { before }, Purpose::Forget, RECORD_TIMEOUT);
--- a/crates/core/src/node/callers.rs
+++ b/crates/core/src/node/callers.rs
@@ -23,10 +23,10 @@
     }
 
     pub(super) fn answer_configuration(&mut self, caller: CallerId) {
-        let (revision, bundle) = match self.configuration.in_force() {
-            Some(in_force) => {
-                let bundle = in_force.manifest.assemble(&in_force.contents).unwrap_or_default();
-                (in_force.manifest.revision, bundle)
+        let (revision, bundle) = match self.configuration.active() {
+            Some(active) => {
+                let bundle = active.manifest.assemble(&active.contents).unwrap_or_default();
+                (active.manifest.revision, bundle)
             }
             None => (0, Bundle::default()),
         };
--- a/crates/core/src/node/configuration/mod.rs
+++ b/crates/core/src/node/configuration/mod.rs
@@ -19,4 +19,4 @@
 pub use check::check_files;
 pub use fleet::FleetConfiguration;
 pub use reader::{ConfigurationError, SourceFile};
-pub use replica::{ConfigurationReplica, InForce};
+pub use replica::{ActiveConfiguration, ConfigurationReplica};
--- a/crates/core/src/node/configuration/replica.rs
+++ b/crates/core/src/node/configuration/replica.rs
@@ -9,7 +9,7 @@
 
 /// The active configuration revision.
 #[derive(Clone, Debug)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     /// The manifest of the revision.
     pub manifest: Manifest,
     /// The contents of all parts of the manifest.
@@ -34,7 +34,7 @@
 /// The active revision and a newer one whose parts are still being fetched.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationReplica {
-    in_force: Option<Arc<InForce>>,
+    active: Option<Arc<ActiveConfiguration>>,
     /// A newer manifest whose parts are still being fetched.
     pending: Option<Manifest>,
     received: PartContents,
@@ -42,17 +42,17 @@
 
 impl ConfigurationReplica {
     /// Returns the active revision, if any.
-    pub fn in_force(&self) -> Option<&Arc<InForce>> {
-        self.in_force.as_ref()
+    pub fn active(&self) -> Option<&Arc<ActiveConfiguration>> {
+        self.active.as_ref()
     }
 
     /// Returns the number of the active revision; 0 if there is none.
     pub fn revision(&self) -> u64 {
-        self.in_force.as_ref().map_or(0, |in_force| in_force.manifest.revision)
+        self.active.as_ref().map_or(0, |active| active.manifest.revision)
     }
 
     /// Returns the number of the newest revision, active or pending.
-    pub fn newest_known(&self) -> u64 {
+    pub fn newest_revision(&self) -> u64 {
         self.pending.as_ref().map_or(0, |manifest| manifest.revision).max(self.revision())
     }
 
@@ -85,14 +85,14 @@
 
     /// Returns a part of the active revision or a received part of the pending one.
     pub fn part(&self, digest: PartDigest) -> Option<&Arc<str>> {
-        let active = self.in_force.as_ref().and_then(|in_force| in_force.contents.get(&digest));
+        let active = self.active.as_ref().and_then(|active| active.contents.get(&digest));
         active.or_else(|| self.received.get(&digest))
     }
 
     /// Returns a digest of the active revision for comparison between nodes; 0 if there is none.
     pub fn digest(&self) -> u64 {
-        let Some(in_force) = &self.in_force else { return 0 };
-        let parts: Vec<[u8; 8]> = in_force.manifest.parts.iter().map(|part| part.digest.0.to_le_bytes()).collect();
+        let Some(active) = &self.active else { return 0 };
+        let parts: Vec<[u8; 8]> = active.manifest.parts.iter().map(|part| part.digest.0.to_le_bytes()).collect();
         let slices: Vec<&[u8]> = parts.iter().map(|digest| &digest[..]).collect();
         hash_parts(&slices)
     }
@@ -110,7 +110,7 @@
         self.received.clear();
         let checked = manifest.assemble(&contents).ok().and_then(|bundle| bundle.check().ok());
         let Some(fleet) = checked else { return OfferOutcome::Invalid };
-        self.in_force = Some(Arc::new(InForce { manifest, contents, fleet: Arc::new(fleet) }));
+        self.active = Some(Arc::new(ActiveConfiguration { manifest, contents, fleet: Arc::new(fleet) }));
         OfferOutcome::Activated
     }
 }
--- a/crates/core/src/node/configuration_flow.rs
+++ b/crates/core/src/node/configuration_flow.rs
@@ -16,7 +16,7 @@
 use crate::node::configuration::bundle::PartContents;
 use crate::node::configuration::replica::OfferOutcome;
 use crate::node::configuration::{
-    ApplyId, ApplyOutcome, ApplyStep, Bundle, ConfigurationApply, InForce, Manifest, PartDigest,
+    ActiveConfiguration, ApplyId, ApplyOutcome, ApplyStep, Bundle, ConfigurationApply, Manifest, PartDigest,
 };
 use crate::peer_message::{ConfigurationMessage, PeerMessage};
 use crate::time::{Millis, Timestamp};
@@ -77,16 +77,16 @@
         for (digest, content) in contents {
             self.configuration.offer_part(digest, content);
         }
-        if let Some(in_force) = self.configuration.in_force().cloned() {
-            self.engines.configure(&in_force.fleet);
-            self.membership.set_configuration_revision(in_force.manifest.revision);
+        if let Some(active) = self.configuration.active().cloned() {
+            self.engines.configure(&active.fleet);
+            self.membership.set_configuration_revision(active.manifest.revision);
         }
     }
 
     // Changes by operators.
 
     /// Returns whether an operator waits for the result of a change.
-    pub(super) fn has_applies(&self) -> bool {
+    pub(super) fn has_pending_applies(&self) -> bool {
         !self.configuration_state.applies.is_empty() || !self.configuration_state.confirmations.is_empty()
     }
 
@@ -295,12 +295,12 @@
     }
 
     fn on_configuration_activated(&mut self) {
-        let Some(in_force) = self.configuration.in_force().cloned() else { return };
-        let revision = in_force.manifest.revision;
-        self.engines.configure(&in_force.fleet);
+        let Some(active) = self.configuration.active().cloned() else { return };
+        let revision = active.manifest.revision;
+        self.engines.configure(&active.fleet);
         self.membership.set_configuration_revision(revision);
         if self.settings.stores {
-            self.effects.push(Effect::PersistConfiguration(Arc::<InForce>::clone(&in_force)));
+            self.effects.push(Effect::PersistConfiguration(Arc::<ActiveConfiguration>::clone(&active)));
         }
         self.log(LogEvent::ConfigurationInForce, format!("revision {revision}"));
         let from = self.settings.id;
@@ -339,7 +339,7 @@
         let from = self.settings.id;
         let own = self.configuration.revision();
         self.record_confirmation(peer, revision);
-        if revision > self.configuration.newest_known() {
+        if revision > self.configuration.newest_revision() {
             self.send(peer, PeerMessage::Configuration(ConfigurationMessage::ManifestRequest { from }));
         } else if revision < own {
             let offer = ConfigurationMessage::Offer { from, revision: own };
@@ -351,13 +351,13 @@
         match message {
             ConfigurationMessage::Offer { from, revision } => {
                 self.record_confirmation(from, revision);
-                if revision > self.configuration.newest_known() {
+                if revision > self.configuration.newest_revision() {
                     self.on_peer_revision(from, revision);
                 }
             }
             ConfigurationMessage::ManifestRequest { from } => {
-                if let Some(in_force) = self.configuration.in_force() {
-                    let manifest = in_force.manifest.clone();
+                if let Some(active) = self.configuration.active() {
+                    let manifest = active.manifest.clone();
                     let own = self.settings.id;
                     let answer = ConfigurationMessage::ManifestAnswer { from: own, manifest };
                     self.send(from, PeerMessage::Configuration(answer));
--- a/crates/core/src/node/control/directory.rs
+++ b/crates/core/src/node/control/directory.rs
@@ -35,7 +35,7 @@
     }
 
     /// Sets the number of groups unless it is already known. It never changes after the bootstrap.
-    pub fn learn_group_count(&mut self, count: u32) {
+    pub fn set_group_count(&mut self, count: u32) {
         if self.group_count == 0 {
             self.group_count = count;
         }
@@ -52,7 +52,7 @@
     }
 
     /// Stores an entry unless a newer one is already known.
-    pub fn learn(&mut self, entry: DirectoryEntry) {
+    pub fn upsert(&mut self, entry: DirectoryEntry) {
         let version = |entry: &DirectoryEntry| (entry.membership_index, entry.term, entry.leader.is_some());
         match self.entries.get(&entry.group) {
             Some(known) if version(known) > version(&entry) => {}
@@ -63,7 +63,7 @@
     }
 
     /// Records the leader of a group unless a later term is already known.
-    pub fn learn_leader(&mut self, group: GroupId, leader: NodeId, term: Term) {
+    pub fn update_leader(&mut self, group: GroupId, leader: NodeId, term: Term) {
         if let Some(entry) = self.entries.get_mut(&group)
             && term >= entry.term
         {
@@ -73,7 +73,7 @@
     }
 
     /// Removes the recorded leader of a group after it failed to respond as the leader.
-    pub fn forget_leader(&mut self, group: GroupId, leader: NodeId) {
+    pub fn clear_leader(&mut self, group: GroupId, leader: NodeId) {
         if let Some(entry) = self.entries.get_mut(&group)
             && entry.leader == Some(leader)
         {
--- a/crates/core/src/node/control_flow.rs
+++ b/crates/core/src/node/control_flow.rs
@@ -143,7 +143,7 @@
     pub(super) fn on_ordered(&mut self, engine: &EngineName, outcome: OrderOutcome) {
         self.control.orders.remove(engine);
         match outcome {
-            OrderOutcome::Done { loaded } => self.engines.note_loaded(engine, loaded),
+            OrderOutcome::Done { loaded } => self.engines.record_loaded_models(engine, loaded),
             OrderOutcome::Fenced => {
                 self.log(LogEvent::OrderFenced, format!("{engine} has seen a later epoch"));
             }
--- a/crates/core/src/node/effect.rs
+++ b/crates/core/src/node/effect.rs
@@ -6,7 +6,7 @@
 use super::event::{CallerAnswer, KeyValueCall};
 use crate::identity::{AttemptId, CallerId, EngineName, GroupId};
 use crate::log_event::LogEvent;
-use crate::node::configuration::InForce;
+use crate::node::configuration::ActiveConfiguration;
 use crate::node::control::ModelOrder;
 use crate::peer_message::PeerMessage;
 use crate::replication::LogWrite;
@@ -22,7 +22,7 @@
         write: LogWrite,
     },
     /// Store a configuration durably on disk before executing any later effect.
-    PersistConfiguration(Arc<InForce>),
+    PersistConfiguration(Arc<ActiveConfiguration>),
     /// Send a message to another node. Delivery is not guaranteed.
     Send {
         /// The recipient's peer address.
@@ -119,7 +119,7 @@
 /// A generation request for an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineRequest {
-    /// The attempt ID, which the engine repeats in every piece of its response.
+    /// The attempt ID, which the engine repeats in every chunk of its response.
     pub attempt: AttemptId,
     /// Name of the engine.
     pub engine: EngineName,
--- a/crates/core/src/node/engines_flow.rs
+++ b/crates/core/src/node/engines_flow.rs
@@ -134,7 +134,7 @@
     ) {
         let now = self.clock.now;
         let Some(report) = report else {
-            self.note_engine_failure(engine);
+            self.record_engine_failure(engine);
             return;
         };
         let restarted = self.engines.get(engine).is_some_and(|state| state.incarnation < report.incarnation);
@@ -191,8 +191,8 @@
         }
     }
 
-    pub(super) fn note_engine_failure(&mut self, engine: &EngineName) {
-        if self.engines.failed(engine, self.clock.now) {
+    pub(super) fn record_engine_failure(&mut self, engine: &EngineName) {
+        if self.engines.record_failure(engine, self.clock.now) {
             self.log(LogEvent::EngineEjected, engine.to_string());
         }
     }
--- a/crates/core/src/node/event.rs
+++ b/crates/core/src/node/event.rs
@@ -21,7 +21,7 @@
     /// Monotonic time, used for all local decisions.
     pub now: Timestamp,
     /// Wall-clock time, used for caller deadlines and stored records. It may jump.
-    pub civil: UnixMillis,
+    pub wall_time: UnixMillis,
 }
 
 /// An input to the node.
@@ -71,7 +71,7 @@
         call: CallerCall,
     },
     /// A caller disconnected.
-    CallerGone(CallerId),
+    CallerDisconnected(CallerId),
     /// Begin a graceful shutdown.
     Stop,
 }
@@ -129,7 +129,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamEvent {
     /// Generated tokens.
-    Piece {
+    Chunk {
         /// The attempt ID reported by the engine.
         attempt: AttemptId,
         /// Index of the first token in the response.
@@ -255,8 +255,8 @@
 /// An answer to a caller or operator.
 #[derive(Clone, Debug)]
 pub enum CallerAnswer {
-    /// A piece of an online response.
-    Piece {
+    /// A chunk of an online response.
+    Chunk {
         /// Index of its first token in the response.
         first: u32,
         /// Number of tokens.
@@ -271,7 +271,7 @@
         /// The engine that completed the response.
         engine: EngineName,
     },
-    /// An error. If pieces were already sent, the response ends incomplete.
+    /// An error. If chunks were already sent, the response ends incomplete.
     Refused(Refusal),
     /// The status of a job.
     Job {
@@ -332,7 +332,7 @@
 impl CallerAnswer {
     /// Returns whether this is the last answer to the call.
     pub fn is_final(&self) -> bool {
-        !matches!(self, Self::Piece { .. })
+        !matches!(self, Self::Chunk { .. })
     }
 
     /// Returns the effect that sends this answer to a caller.
--- a/crates/core/src/node/founding_flow.rs
+++ b/crates/core/src/node/founding_flow.rs
@@ -23,7 +23,7 @@
 const DIRECTORY_PEERS: usize = 2;
 
 /// Progress in locating or bootstrapping the groups.
-pub(super) struct FoundingState {
+pub(super) struct BootstrapState {
     next: Timestamp,
     call_pending: bool,
     /// Whether the bootstrap record was read or written. It is immutable and need not be read again.
@@ -32,23 +32,23 @@
     next_read: Timestamp,
 }
 
-impl FoundingState {
+impl BootstrapState {
     pub(super) fn new(now: Timestamp) -> Self {
         Self { next: now, call_pending: false, record_read: false, next_read: now }
     }
 }
 
 impl Node {
-    pub(super) fn tick_founding(&mut self) {
+    pub(super) fn tick_bootstrap(&mut self) {
         let now = self.clock.now;
-        if now < self.founding.next {
+        if now < self.bootstrap.next {
             return;
         }
         let is_known = self.directory.group_count() > 0;
-        self.founding.next = now + if is_known { DIRECTORY_REFRESH_INTERVAL } else { DIRECTORY_RETRY_INTERVAL };
+        self.bootstrap.next = now + if is_known { DIRECTORY_REFRESH_INTERVAL } else { DIRECTORY_RETRY_INTERVAL };
         self.request_directory();
         if self.may_read_record() {
-            self.founding.call_pending = true;
+            self.bootstrap.call_pending = true;
             let operation = KeyValueOperation::Get { key: GROUPS_KEY.to_owned() };
             self.call_key_value(KeyValuePurpose::ReadGroups, operation);
         }
@@ -60,15 +60,15 @@
     /// spread over all storage nodes to limit the load on the service. Other nodes query their peers instead.
     fn may_read_record(&mut self) -> bool {
         let now = self.clock.now;
-        let founding = &self.founding;
-        if founding.record_read || founding.call_pending || now < founding.next_read || !self.settings.stores {
+        let bootstrap = &self.bootstrap;
+        if bootstrap.record_read || bootstrap.call_pending || now < bootstrap.next_read || !self.settings.stores {
             return false;
         }
         let stores = self.membership.present().filter(|member| member.stores).count() as u64;
         let mean_wait = RECORD_READ_INTERVAL.0 * stores.max(1);
         // Jitter between 0.5 and 1.5 times the mean prevents the nodes from reading at the same time.
         let wait = mean_wait / 2 + self.random.random_range(0..=mean_wait);
-        self.founding.next_read = now + Millis(wait);
+        self.bootstrap.next_read = now + Millis(wait);
         true
     }
 
@@ -94,18 +94,18 @@
     }
 
     pub(super) fn on_directory_answer(&mut self, group_count: u32, entries: Vec<DirectoryEntry>) {
-        self.directory.learn_group_count(group_count);
+        self.directory.set_group_count(group_count);
         for entry in entries {
-            self.directory.learn(entry);
+            self.directory.upsert(entry);
         }
     }
 
     pub(super) fn on_groups_read(&mut self, outcome: KeyValueOutcome) {
-        self.founding.call_pending = false;
+        self.bootstrap.call_pending = false;
         match outcome {
             KeyValueOutcome::Value { value, .. } => {
                 if let Ok(record) = serde_json::from_str::<GroupsRecord>(&value) {
-                    self.founding.record_read = true;
+                    self.bootstrap.record_read = true;
                     self.apply_groups_record(&record);
                 }
             }
@@ -132,26 +132,26 @@
         let record = plan_groups(&candidates, fleet.fleet.replica_groups);
         let Ok(value) = serde_json::to_string(&record) else { return };
         let operation = KeyValueOperation::CompareAndSwap { key: GROUPS_KEY.to_owned(), expected: 0, value };
-        self.founding.call_pending = true;
+        self.bootstrap.call_pending = true;
         self.call_key_value(KeyValuePurpose::WriteGroups(record), operation);
     }
 
     pub(super) fn on_groups_written(&mut self, record: &GroupsRecord, outcome: KeyValueOutcome) {
-        self.founding.call_pending = false;
-        self.founding.next = self.clock.now;
-        self.founding.next_read = self.clock.now;
+        self.bootstrap.call_pending = false;
+        self.bootstrap.next = self.clock.now;
+        self.bootstrap.next_read = self.clock.now;
         if matches!(outcome, KeyValueOutcome::Written) {
-            self.founding.record_read = true;
+            self.bootstrap.record_read = true;
             self.log(LogEvent::GroupFounded, format!("{} groups", record.groups.len()));
             self.apply_groups_record(record);
         }
     }
 
     fn apply_groups_record(&mut self, record: &GroupsRecord) {
-        self.directory.learn_group_count(record.groups.len() as u32);
+        self.directory.set_group_count(record.groups.len() as u32);
         for (index, members) in record.groups.iter().enumerate() {
             let group = GroupId(index as u32);
-            self.directory.learn(DirectoryEntry {
+            self.directory.upsert(DirectoryEntry {
                 group,
                 term: Term(0),
                 membership_index: LogIndex(0),
@@ -159,7 +159,7 @@
                 leader: None,
             });
             if members.contains(&self.settings.id) {
-                self.found_group(group, GroupMembership::of_voters(members.iter().copied()));
+                self.bootstrap_group(group, GroupMembership::of_voters(members.iter().copied()));
             }
         }
     }
--- a/crates/core/src/node/group_client.rs
+++ b/crates/core/src/node/group_client.rs
@@ -173,7 +173,7 @@
             }
             if let Some(unresponsive) = pending.target {
                 let group = pending.group;
-                self.directory.forget_leader(group, unresponsive);
+                self.directory.clear_leader(group, unresponsive);
             }
             self.try_request(id);
         }
@@ -205,10 +205,10 @@
         let (group, target) = (pending.group, pending.target);
         if let Some(target) = target {
             pending.target = None;
-            self.directory.forget_leader(group, target);
+            self.directory.clear_leader(group, target);
         }
         if let GroupRefusal::NotLeader { term, leader: Some(leader) } = refusal {
-            self.directory.learn_leader(group, leader, term);
+            self.directory.update_leader(group, leader, term);
         }
         let wait = self.client.jitter(span);
         if let Some(pending) = self.client.pending.get_mut(&id) {
--- a/crates/core/src/node/groups.rs
+++ b/crates/core/src/node/groups.rs
@@ -143,7 +143,7 @@
     }
 
     /// Bootstraps a hosted replica with the initial membership from the founding record.
-    pub(super) fn found_group(&mut self, group: GroupId, membership: GroupMembership) {
+    pub(super) fn bootstrap_group(&mut self, group: GroupId, membership: GroupMembership) {
         if self.groups.get(group).is_none() {
             self.groups.open(group, PersistedReplica::default(), self.clock.now);
         }
@@ -193,7 +193,7 @@
         let changed = leads != hosted.was_leader;
         hosted.was_leader = leads;
         if !entry.members.is_empty() {
-            self.directory.learn(entry.clone());
+            self.directory.upsert(entry.clone());
         }
         if !changed {
             return;
@@ -272,7 +272,7 @@
 
     /// Transfers the leadership of every group that this node leads. Returns whether no transfer is
     /// pending.
-    pub(super) fn hand_over_leadership(&mut self) -> bool {
+    pub(super) fn transfer_all_leadership(&mut self) -> bool {
         let now = self.clock.now;
         let own = self.settings.id;
         let present: Vec<NodeId> = self.membership.present().map(|member| member.id).collect();
--- a/crates/core/src/node/machine.rs
+++ b/crates/core/src/node/machine.rs
@@ -14,14 +14,14 @@
 use super::effect::Effect;
 use super::engines_flow::EnginePolls;
 use super::event::{CallerAnswer, CallerCall, Clock, Event, OperatorCall};
-use super::founding_flow::FoundingState;
+use super::founding_flow::BootstrapState;
 use super::group_client::GroupClient;
 use super::groups::GroupHost;
 use super::key_value_flow::KeyValueState;
 use super::online_flow::{OnlineState, refusal_before_mark};
 use super::settings::NodeSettings;
 use super::status::NodeCounters;
-use super::status_flow::StatusGathering;
+use super::status_flow::PendingFleetStatus;
 use super::stopping::StopState;
 use super::upload::JobUpload;
 use crate::error::{ErrorKind, Refusal};
@@ -29,7 +29,7 @@
 use crate::identity::{AttemptId, CallerId, EngineName, GroupId, NodeId};
 use crate::log_event::LogEvent;
 use crate::node::configuration::bundle::PartContents;
-use crate::node::configuration::{ConfigurationReplica, FleetConfiguration, InForce, Manifest};
+use crate::node::configuration::{ActiveConfiguration, ConfigurationReplica, FleetConfiguration, Manifest};
 use crate::node::control::GroupDirectory;
 use crate::node::membership::{Member, MemberStatus, Membership, MembershipEffect};
 use crate::node::routing::EngineTable;
@@ -58,7 +58,7 @@
     pub(super) configuration_state: ConfigurationState,
     pub(super) key_value: KeyValueState,
     pub(super) directory: GroupDirectory,
-    pub(super) founding: FoundingState,
+    pub(super) bootstrap: BootstrapState,
     pub(super) discovery: DiscoveryState,
     pub(super) control: ControlState,
     pub(super) groups: GroupHost,
@@ -71,7 +71,7 @@
     pub(super) stewards: BTreeMap<EngineName, Steward>,
     pub(super) stopping: Option<StopState>,
     pub(super) counters: NodeCounters,
-    pub(super) status_gatherings: BTreeMap<CallerId, StatusGathering>,
+    pub(super) pending_fleet_statuses: BTreeMap<CallerId, PendingFleetStatus>,
     /// Messages from this node to itself, handled before the current event returns.
     loopback: VecDeque<PeerMessage>,
 }
@@ -99,7 +99,7 @@
             configuration_state: ConfigurationState::new(clock.now),
             key_value: KeyValueState::new(clock.now),
             directory: GroupDirectory::default(),
-            founding: FoundingState::new(clock.now),
+            bootstrap: BootstrapState::new(clock.now),
             discovery: DiscoveryState::new(clock.now),
             control: ControlState::new(settings.id, clock.now),
             groups,
@@ -112,7 +112,7 @@
             stewards: BTreeMap::new(),
             stopping: None,
             counters: NodeCounters::default(),
-            status_gatherings: BTreeMap::new(),
+            pending_fleet_statuses: BTreeMap::new(),
             loopback: VecDeque::new(),
             random,
             settings,
@@ -162,7 +162,7 @@
             Event::Ordered { engine, outcome } => self.on_ordered(&engine, outcome),
             Event::Stream { attempt, event } => self.on_stream(attempt, event),
             Event::Call { caller, call } => self.on_call(caller, call),
-            Event::CallerGone(caller) => self.on_caller_gone(caller),
+            Event::CallerDisconnected(caller) => self.on_caller_disconnected(caller),
             Event::Stop => self.begin_stop(),
         }
     }
@@ -174,13 +174,13 @@
         self.tick_client();
         self.tick_configuration();
         self.tick_discovery();
-        self.tick_founding();
+        self.tick_bootstrap();
         self.tick_control();
         self.tick_engines();
         self.tick_online();
         self.tick_stewards();
         self.tick_batch();
-        self.finish_status_gatherings();
+        self.finish_fleet_statuses();
         self.tick_stop();
     }
 
@@ -209,7 +209,9 @@
     fn on_credit(&mut self, message: CreditMessage) {
         match message {
             CreditMessage::OnlineNotice { engine, from, in_flight } => self.on_online_notice(&engine, from, in_flight),
-            CreditMessage::Ask { engine, from, want } => self.on_batch_ask(&engine, from, want),
+            CreditMessage::Request { engine, from, wanted_streams } => {
+                self.on_batch_request(&engine, from, wanted_streams)
+            }
             CreditMessage::Grant { engine, limit, lifetime } => self.on_batch_grant(engine, limit, lifetime),
         }
     }
@@ -231,11 +233,11 @@
         }
     }
 
-    fn on_caller_gone(&mut self, caller: CallerId) {
-        self.online_caller_gone(caller);
+    fn on_caller_disconnected(&mut self, caller: CallerId) {
+        self.cancel_online_request(caller);
         self.uploads.remove(&caller);
         self.client.forget_caller(caller);
-        self.status_gatherings.remove(&caller);
+        self.pending_fleet_statuses.remove(&caller);
     }
 
     fn on_operator_call(&mut self, caller: CallerId, call: OperatorCall) {
@@ -258,12 +260,12 @@
 
     /// Returns the active configuration.
     pub(super) fn fleet(&self) -> Option<Arc<FleetConfiguration>> {
-        self.configuration.in_force().map(|in_force: &Arc<InForce>| in_force.fleet.clone())
+        self.configuration.active().map(|active: &Arc<ActiveConfiguration>| active.fleet.clone())
     }
 
     /// Returns whether this node accepts requests.
     pub fn is_ready(&self) -> bool {
-        self.stopping.is_none() && self.configuration.in_force().is_some() && self.directory.group_count() > 0
+        self.stopping.is_none() && self.configuration.active().is_some() && self.directory.group_count() > 0
     }
 
     pub(super) fn log(&mut self, event: LogEvent, detail: impl Into<String>) {
@@ -297,7 +299,7 @@
         (!is_reused).then_some(address)
     }
 
-    pub(super) fn draw_attempt(&mut self) -> AttemptId {
+    pub(super) fn new_attempt_id(&mut self) -> AttemptId {
         AttemptId(self.random.random())
     }
 
--- a/crates/core/src/node/online/mod.rs
+++ b/crates/core/src/node/online/mod.rs
@@ -5,7 +5,7 @@
 mod session_cache;
 
 pub use explanation::{DecisionStep, Explanation, ExplanationStore};
-pub use request::{Delivery, OnlineCall, OnlinePhase, OnlineRequest, PieceOutcome};
+pub use request::{ChunkOutcome, Delivery, OnlineCall, OnlinePhase, OnlineRequest};
 pub use session_cache::SessionCache;
 
 use crate::retry_budget::RetryBudgetLimits;
--- a/crates/core/src/node/online/request.rs
+++ b/crates/core/src/node/online/request.rs
@@ -64,7 +64,7 @@
 
 /// How to handle a chunk of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PieceOutcome {
+pub enum ChunkOutcome {
     /// Forward it to the caller.
     Deliver,
     /// Drop it: the caller has already received it.
@@ -121,17 +121,17 @@
 
     /// Classifies a chunk of `tokens` tokens starting at index `first`, and advances the delivery
     /// progress if the chunk is to be delivered.
-    pub fn accept_piece(&mut self, first: u32, tokens: u32) -> PieceOutcome {
+    pub fn accept_chunk(&mut self, first: u32, tokens: u32) -> ChunkOutcome {
         let expected = self.delivery.next_token;
         if first > expected {
-            return PieceOutcome::Gap;
+            return ChunkOutcome::Gap;
         }
         if first < expected {
-            return PieceOutcome::Duplicate;
+            return ChunkOutcome::Duplicate;
         }
         self.delivery.next_token += tokens;
         self.delivery.started = true;
-        PieceOutcome::Deliver
+        ChunkOutcome::Deliver
     }
 
     /// Returns whether all `length` tokens of the answer have been delivered.
--- a/crates/core/src/node/online_attempts.rs
+++ b/crates/core/src/node/online_attempts.rs
@@ -14,7 +14,7 @@
 use crate::identity::{AttemptId, CallerId, EngineName};
 use crate::log_event::LogEvent;
 use crate::node::configuration::fleet::Service;
-use crate::node::online::{DecisionStep, OnlineCall, OnlinePhase, PieceOutcome};
+use crate::node::online::{ChunkOutcome, DecisionStep, OnlineCall, OnlinePhase};
 use crate::node::partition::Settlement;
 use crate::node::routing::{OnlineDemand, RoutingRefusal, Selection, select_online};
 
@@ -55,7 +55,7 @@
 
     fn send_to_engine(&mut self, caller: CallerId, selection: Selection, service: &Service) {
         let now = self.clock.now;
-        let attempt = self.draw_attempt();
+        let attempt = self.new_attempt_id();
         let engine = selection.engine.clone();
         let Some(address) = self.engines.get(&engine).map(|state| state.configured.address) else { return };
         let Some(request) = self.online.requests.get_mut(&caller) else { return };
@@ -77,7 +77,7 @@
         };
         self.online.attempts.insert(attempt, caller);
         self.online.last_contact.insert(attempt, now);
-        self.engines.online_started(&engine);
+        self.engines.record_online_start(&engine);
         self.batch.notices_due.insert(engine.clone());
         let considered = selection.considered.iter().map(String::from).collect();
         self.record_step(caller, DecisionStep::Chosen { engine: engine.clone(), considered, from_token });
@@ -87,7 +87,7 @@
 
     pub(super) fn on_stream(&mut self, attempt: AttemptId, event: StreamEvent) {
         let is_matching = match &event {
-            StreamEvent::Piece { attempt: id, .. } | StreamEvent::End { attempt: id, .. } => *id == attempt,
+            StreamEvent::Chunk { attempt: id, .. } | StreamEvent::End { attempt: id, .. } => *id == attempt,
             _ => true,
         };
         let is_known = self.online.attempts.contains_key(&attempt) || self.batch.dispatcher.contains(attempt);
@@ -107,7 +107,7 @@
     fn on_online_stream(&mut self, caller: CallerId, attempt: AttemptId, event: StreamEvent) {
         self.online.last_contact.insert(attempt, self.clock.now);
         match event {
-            StreamEvent::Piece { first, tokens, text, .. } => self.on_online_piece(caller, first, tokens, text),
+            StreamEvent::Chunk { first, tokens, text, .. } => self.on_online_chunk(caller, first, tokens, text),
             StreamEvent::End { length, .. } => self.on_online_end(caller, length),
             StreamEvent::NotSent => self.on_attempt_not_run(caller, "no connection"),
             StreamEvent::Refused { leaving } => {
@@ -124,12 +124,12 @@
         }
     }
 
-    fn on_online_piece(&mut self, caller: CallerId, first: u32, tokens: u32, text: String) {
+    fn on_online_chunk(&mut self, caller: CallerId, first: u32, tokens: u32, text: String) {
         let Some(request) = self.online.requests.get_mut(&caller) else { return };
-        match request.accept_piece(first, tokens) {
-            PieceOutcome::Deliver => self.answer(caller, CallerAnswer::Piece { first, tokens, text }),
-            PieceOutcome::Duplicate => self.counters.pieces_dropped += 1,
-            PieceOutcome::Gap => {
+        match request.accept_chunk(first, tokens) {
+            ChunkOutcome::Deliver => self.answer(caller, CallerAnswer::Chunk { first, tokens, text }),
+            ChunkOutcome::Duplicate => self.counters.pieces_dropped += 1,
+            ChunkOutcome::Gap => {
                 self.counters.pieces_dropped += 1;
                 self.cancel_attempt(caller);
                 self.on_engine_lost(caller, "tokens are missing in the stream");
@@ -201,12 +201,12 @@
         let OnlinePhase::Running { attempt, engine, .. } = request.phase.clone() else { return None };
         self.online.attempts.remove(&attempt)?;
         self.online.last_contact.remove(&attempt);
-        self.engines.online_ended(&engine);
+        self.engines.record_online_end(&engine);
         self.batch.notices_due.insert(engine.clone());
         if succeeded {
-            self.engines.succeeded(&engine);
+            self.engines.record_success(&engine);
         } else {
-            self.note_engine_failure(&engine);
+            self.record_engine_failure(&engine);
         }
         Some(engine)
     }
--- a/crates/core/src/node/online_flow.rs
+++ b/crates/core/src/node/online_flow.rs
@@ -95,7 +95,7 @@
 
     fn start_online(&mut self, caller: CallerId, call: OnlineCall, service: &Service) {
         let now = self.clock.now;
-        let holder = self.draw_attempt();
+        let holder = self.new_attempt_id();
         let time_limit = call.deadline.unwrap_or(service.online_deadline);
         let request = OnlineRequest {
             service: service.name.clone(),
@@ -157,7 +157,7 @@
         Some(request)
     }
 
-    pub(super) fn online_caller_gone(&mut self, caller: CallerId) {
+    pub(super) fn cancel_online_request(&mut self, caller: CallerId) {
         if !self.online.requests.contains_key(&caller) {
             return;
         }
--- a/crates/core/src/node/online_records.rs
+++ b/crates/core/src/node/online_records.rs
@@ -20,7 +20,7 @@
 impl Node {
     pub(super) fn mark(&mut self, caller: CallerId) {
         let group_count = self.directory.group_count();
-        let at = self.clock.civil;
+        let at = self.clock.wall_time;
         let Some(request) = self.online.requests.get_mut(&caller) else { return };
         request.phase = OnlinePhase::Marking;
         let Some(key) = request_key(request) else { return };
@@ -86,7 +86,7 @@
             digest: request_digest(&request.call),
             holder: request.holder,
             settlement,
-            at: self.clock.civil,
+            at: self.clock.wall_time,
         };
         let group = group_of(&key.tenant, &key.key, self.directory.group_count());
         self.command(group, command, Purpose::Settle(key), BACKGROUND_COMMAND_TIMEOUT);
@@ -138,7 +138,7 @@
 
     /// Replicates the session's engine if it changed.
     pub(super) fn record_session(&mut self, caller: CallerId, engine: &EngineName) {
-        let at = self.clock.civil;
+        let at = self.clock.wall_time;
         let group_count = self.directory.group_count();
         let Some(request) = self.online.requests.get_mut(&caller) else { return };
         let Some(key) = request.session_key().filter(|_| group_count > 0) else { return };
--- a/crates/core/src/node/routing/engine_table.rs
+++ b/crates/core/src/node/routing/engine_table.rs
@@ -36,9 +36,9 @@
     /// Latest load report and the time it was received.
     pub report: Option<(Timestamp, LoadReport)>,
     /// Number of online requests of this node in flight at the engine.
-    pub own_online: u32,
-    /// Value of `own_online` when the latest report was received.
-    own_online_at_report: u32,
+    pub local_online: u32,
+    /// Value of `local_online` when the latest report was received.
+    local_online_at_report: u32,
     failures: u32,
     ejections: u32,
     ejected_until: Option<Timestamp>,
@@ -60,8 +60,8 @@
             incarnation: 0,
             leaving_up_to: None,
             report: None,
-            own_online: 0,
-            own_online_at_report: 0,
+            local_online: 0,
+            local_online_at_report: 0,
             failures: 0,
             ejections: 0,
             ejected_until: None,
@@ -97,10 +97,10 @@
     pub fn estimated_online(&self, now: Timestamp) -> u32 {
         match &self.report {
             Some((at, report)) if now.since(*at) < MAX_REPORT_AGE => {
-                let others = report.online().saturating_sub(self.own_online_at_report);
-                others + self.own_online
+                let others = report.online().saturating_sub(self.local_online_at_report);
+                others + self.local_online
             }
-            _ => self.own_online,
+            _ => self.local_online,
         }
     }
 }
@@ -135,16 +135,16 @@
     }
 
     /// Records that an online request was sent to the engine.
-    pub fn online_started(&mut self, name: &EngineName) {
+    pub fn record_online_start(&mut self, name: &EngineName) {
         if let Some(state) = self.engines.get_mut(name) {
-            state.own_online += 1;
+            state.local_online += 1;
         }
     }
 
     /// Records that an online request is no longer in flight at the engine.
-    pub fn online_ended(&mut self, name: &EngineName) {
+    pub fn record_online_end(&mut self, name: &EngineName) {
         if let Some(state) = self.engines.get_mut(name) {
-            state.own_online = state.own_online.saturating_sub(1);
+            state.local_online = state.local_online.saturating_sub(1);
         }
     }
 
@@ -157,13 +157,13 @@
         }
         let (leaving, incarnation) = (report.leaving, report.incarnation);
         state.incarnation = incarnation;
-        state.own_online_at_report = state.own_online;
+        state.local_online_at_report = state.local_online;
         state.report = Some((now, report));
         if leaving { self.record_leaving(&LeavingFact { engine: name.clone(), incarnation }) } else { None }
     }
 
     /// Updates the engine's loaded models from its response to an order.
-    pub fn note_loaded(&mut self, name: &EngineName, loaded: Vec<String>) {
+    pub fn record_loaded_models(&mut self, name: &EngineName, loaded: Vec<String>) {
         let state = self.engines.get_mut(name);
         if let Some((_, report)) = state.and_then(|state| state.report.as_mut()) {
             report.loaded = loaded;
@@ -206,7 +206,7 @@
     }
 
     /// Records a successful attempt, which resets the failure and ejection counts.
-    pub fn succeeded(&mut self, name: &EngineName) {
+    pub fn record_success(&mut self, name: &EngineName) {
         if let Some(state) = self.engines.get_mut(name) {
             state.failures = 0;
             state.ejections = 0;
@@ -215,7 +215,7 @@
     }
 
     /// Records a failed attempt. Returns whether it caused the engine to be ejected.
-    pub fn failed(&mut self, name: &EngineName, now: Timestamp) -> bool {
+    pub fn record_failure(&mut self, name: &EngineName, now: Timestamp) -> bool {
         let Some(state) = self.engines.get_mut(name) else { return false };
         state.failures += 1;
         if state.failures < EJECTION_FAILURE_THRESHOLD {
--- a/crates/core/src/node/scheduling/dispatcher.rs
+++ b/crates/core/src/node/scheduling/dispatcher.rs
@@ -38,14 +38,14 @@
     /// Start time of this attempt.
     pub started: Timestamp,
     /// Time at which the latest chunk was received.
-    pub last_piece: Timestamp,
+    pub last_chunk: Timestamp,
 }
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
     /// The answer is complete.
-    Whole,
+    Complete,
     /// The stream was paused to free capacity and will resume after the last token received.
     Paused,
     /// The stream failed; the item is retried after a backoff delay.
@@ -92,12 +92,12 @@
 
 impl BatchDispatcher {
     /// Records a limit granted for an engine.
-    pub fn granted(&mut self, engine: EngineName, limit: EngineLimit) {
+    pub fn set_limit(&mut self, engine: EngineName, limit: EngineLimit) {
         self.limits.insert(engine, limit);
     }
 
     /// Returns the number of additional streams that may start at an engine.
-    pub fn room(&self, engine: &EngineName, now: Timestamp) -> u32 {
+    pub fn free_capacity(&self, engine: &EngineName, now: Timestamp) -> u32 {
         let Some(limit) = self.limits.get(engine) else { return 0 };
         if now >= limit.until {
             return 0;
@@ -106,14 +106,14 @@
     }
 
     /// Delays the next start at an engine by `interval`.
-    pub fn pace(&mut self, engine: &EngineName, interval: Millis, now: Timestamp) {
+    pub fn delay_next_start(&mut self, engine: &EngineName, interval: Millis, now: Timestamp) {
         self.next_start.insert(engine.clone(), now + interval);
     }
 
     /// Returns the engines at which a stream may start now.
-    pub fn engines_with_room(&self, now: Timestamp) -> Vec<EngineName> {
+    pub fn engines_with_capacity(&self, now: Timestamp) -> Vec<EngineName> {
         let is_due = |engine: &&EngineName| self.next_start.get(*engine).is_none_or(|at| now >= *at);
-        self.limits.keys().filter(is_due).filter(|engine| self.room(engine, now) > 0).cloned().collect()
+        self.limits.keys().filter(is_due).filter(|engine| self.free_capacity(engine, now) > 0).cloned().collect()
     }
 
     /// Returns the number of streams at an engine.
@@ -198,7 +198,7 @@
     }
 
     /// Registers a stream. Returns the index of the token to resume from.
-    pub fn started(
+    pub fn register(
         &mut self,
         attempt: AttemptId,
         job: JobId,
@@ -210,19 +210,19 @@
         let key = (job, item);
         let PartialAnswer { text, tokens } = self.partials.remove(&key).unwrap_or_default();
         self.in_flight.insert(key);
-        self.usage.started(&tenant);
+        self.usage.increment(&tenant);
         self.by_engine.entry(engine.clone()).or_default().insert(attempt);
-        let stream = BatchStream { job, item, tenant, engine, text, tokens, started: now, last_piece: now };
+        let stream = BatchStream { job, item, tenant, engine, text, tokens, started: now, last_chunk: now };
         self.streams.insert(attempt, stream);
         tokens
     }
 
     /// Removes a stream and updates the state of its item according to how the stream ended.
-    pub fn ended(&mut self, attempt: AttemptId, end: StreamEnd, now: Timestamp) -> Option<BatchStream> {
+    pub fn finish(&mut self, attempt: AttemptId, end: StreamEnd, now: Timestamp) -> Option<BatchStream> {
         let stream = self.streams.remove(&attempt)?;
         let key = (stream.job, stream.item);
         self.in_flight.remove(&key);
-        self.usage.ended(&stream.tenant);
+        self.usage.decrement(&stream.tenant);
         if let Some(attempts) = self.by_engine.get_mut(&stream.engine) {
             attempts.remove(&attempt);
             if attempts.is_empty() {
@@ -230,7 +230,7 @@
             }
         }
         match end {
-            StreamEnd::Whole => {
+            StreamEnd::Complete => {
                 self.proposed.insert(key);
             }
             StreamEnd::Abandoned => {}
@@ -244,13 +244,13 @@
     }
 
     /// Records that the result of an item was committed or is no longer needed.
-    pub fn settled(&mut self, job: JobId, item: u32) {
+    pub fn finish_item(&mut self, job: JobId, item: u32) {
         self.proposed.remove(&(job, item));
         self.retry_delays.remove(&(job, item));
     }
 
     /// Queues an item for another attempt after the proposal of its result was lost.
-    pub fn proposal_lost(&mut self, job: JobId, item: u32) {
+    pub fn retry_lost_proposal(&mut self, job: JobId, item: u32) {
         if self.proposed.remove(&(job, item)) {
             self.requeue(job, item);
         }
--- a/crates/core/src/node/scheduling/fairness.rs
+++ b/crates/core/src/node/scheduling/fairness.rs
@@ -27,12 +27,12 @@
 
 impl TenantUsage {
     /// Increments the stream count of a tenant.
-    pub fn started(&mut self, tenant: &Arc<str>) {
+    pub fn increment(&mut self, tenant: &Arc<str>) {
         *self.streams.entry(tenant.clone()).or_default() += 1;
     }
 
     /// Decrements the stream count of a tenant.
-    pub fn ended(&mut self, tenant: &Arc<str>) {
+    pub fn decrement(&mut self, tenant: &Arc<str>) {
         if let Some(count) = self.streams.get_mut(tenant) {
             *count -= 1;
             if *count == 0 {
@@ -41,9 +41,9 @@
         }
     }
 
-    /// Returns the rank of a job of `tenant` with the given deadline, at the civil time `civil`.
-    pub fn rank(&self, tenant: &Arc<str>, weight: u32, deadline: UnixMillis, civil: UnixMillis) -> JobRank {
-        let is_urgent = deadline.0 < civil.0.saturating_add(URGENT_WINDOW_MS);
+    /// Returns the rank of a job of `tenant` with the given deadline, at the wall-clock time `wall_time`.
+    pub fn rank(&self, tenant: &Arc<str>, weight: u32, deadline: UnixMillis, wall_time: UnixMillis) -> JobRank {
+        let is_urgent = deadline.0 < wall_time.0.saturating_add(URGENT_WINDOW_MS);
         let streams = self.streams.get(tenant).copied().unwrap_or(0);
         JobRank {
             urgency: if is_urgent { deadline.0 } else { u64::MAX },
--- a/crates/core/src/node/status_flow.rs
+++ b/crates/core/src/node/status_flow.rs
@@ -17,7 +17,7 @@
 const FLEET_STATUS_TIMEOUT: Millis = Millis(1_000);
 
 /// A fleet status request awaiting responses.
-pub(super) struct StatusGathering {
+pub(super) struct PendingFleetStatus {
     waiting: BTreeSet<NodeId>,
     collected: Vec<NodeStatus>,
     deadline: Timestamp,
@@ -26,7 +26,7 @@
 impl Node {
     /// Returns whether a fleet status request is in progress.
     pub(super) fn has_pending_fleet_status(&self) -> bool {
-        !self.status_gatherings.is_empty()
+        !self.pending_fleet_statuses.is_empty()
     }
 
     /// Returns the status of this node.
@@ -55,36 +55,36 @@
         for node in &others {
             self.send(*node, PeerMessage::StatusRequest { from, id: caller.0 });
         }
-        let gathering = StatusGathering {
+        let gathering = PendingFleetStatus {
             waiting: others,
             collected: vec![self.status()],
             deadline: self.clock.now + FLEET_STATUS_TIMEOUT,
         };
-        self.status_gatherings.insert(caller, gathering);
-        self.finish_status_gatherings();
+        self.pending_fleet_statuses.insert(caller, gathering);
+        self.finish_fleet_statuses();
     }
 
     pub(super) fn on_status_answer(&mut self, caller: CallerId, status: NodeStatus) {
-        if let Some(gathering) = self.status_gatherings.get_mut(&caller) {
+        if let Some(gathering) = self.pending_fleet_statuses.get_mut(&caller) {
             let answered = gathering.waiting.iter().find(|id| id.to_string() == status.node).copied();
             if let Some(id) = answered {
                 gathering.waiting.remove(&id);
                 gathering.collected.push(status);
             }
         }
-        self.finish_status_gatherings();
+        self.finish_fleet_statuses();
     }
 
-    pub(super) fn finish_status_gatherings(&mut self) {
+    pub(super) fn finish_fleet_statuses(&mut self) {
         let now = self.clock.now;
         let done: Vec<CallerId> = self
-            .status_gatherings
+            .pending_fleet_statuses
             .iter()
             .filter(|(_, gathering)| gathering.waiting.is_empty() || now >= gathering.deadline)
             .map(|(caller, _)| *caller)
             .collect();
         for caller in done {
-            let Some(gathering) = self.status_gatherings.remove(&caller) else { continue };
+            let Some(gathering) = self.pending_fleet_statuses.remove(&caller) else { continue };
             let silent = gathering.waiting.iter().map(NodeId::to_string).collect();
             let mut nodes = gathering.collected;
             nodes.sort_by(|left, right| left.node.cmp(&right.node));
--- a/crates/core/src/node/steward_flow.rs
+++ b/crates/core/src/node/steward_flow.rs
@@ -10,7 +10,7 @@
 const ONLINE_NOTICE_INTERVAL: Millis = Millis(1_500);
 
 impl Node {
-    pub(super) fn on_batch_ask(&mut self, engine: &EngineName, from: NodeId, wanted_streams: u32) {
+    pub(super) fn on_batch_request(&mut self, engine: &EngineName, from: NodeId, wanted_streams: u32) {
         let now = self.clock.now;
         let Some(settings) = self.steward_settings(engine) else { return };
         let steward = self.stewards.entry(engine.clone()).or_default();
@@ -53,7 +53,7 @@
     /// Returns the inputs for dividing an engine's capacity. An unusable engine has no slots.
     fn steward_settings(&self, engine: &EngineName) -> Option<StewardSettings> {
         let state = self.engines.get(engine)?;
-        let fleet = self.configuration.in_force()?.fleet.clone();
+        let fleet = self.configuration.active()?.fleet.clone();
         let service = fleet.services.get(&state.configured.service)?;
         let slots = if state.is_usable(self.clock.now) { state.slots() } else { 0 };
         Some(StewardSettings { slots, online_headroom: service.online_headroom })
@@ -65,13 +65,13 @@
         let now = self.clock.now;
         if now >= self.batch.next_notice {
             self.batch.next_notice = now + ONLINE_NOTICE_INTERVAL;
-            let busy = self.engines.iter().filter(|(_, state)| state.own_online > 0);
+            let busy = self.engines.iter().filter(|(_, state)| state.local_online > 0);
             let busy: Vec<EngineName> = busy.map(|(name, _)| name.clone()).collect();
             self.batch.notices_due.extend(busy);
         }
         let from = self.settings.id;
         for engine in std::mem::take(&mut self.batch.notices_due) {
-            let in_flight = self.engines.get(&engine).map_or(0, |state| state.own_online);
+            let in_flight = self.engines.get(&engine).map_or(0, |state| state.local_online);
             let steward = self.steward_of(&engine);
             let message = CreditMessage::OnlineNotice { engine, from, in_flight };
             self.send(steward, PeerMessage::Credit(message));
--- a/crates/core/src/node/stopping.rs
+++ b/crates/core/src/node/stopping.rs
@@ -52,7 +52,7 @@
         if transfer_due {
             stop.next_transfer = now + LEADERSHIP_TRANSFER_INTERVAL;
         }
-        let leads_none = if transfer_due { self.hand_over_leadership() } else { self.groups.led().next().is_none() };
+        let leads_none = if transfer_due { self.transfer_all_leadership() } else { self.groups.led().next().is_none() };
         let transferred = leads_none || elapsed >= LEADERSHIP_TRANSFER_TIMEOUT;
         if (transferred && self.is_idle()) || elapsed >= self.settings.stop_timeout {
             self.leave_membership();
@@ -64,7 +64,7 @@
         self.online.requests.is_empty()
             && self.uploads.is_empty()
             && self.client.len() == 0
-            && !self.has_applies()
+            && !self.has_pending_applies()
             && !self.has_pending_fleet_status()
     }
 
--- a/crates/core/src/node/upload.rs
+++ b/crates/core/src/node/upload.rs
@@ -60,7 +60,7 @@
                 self.query(job.group, query, Purpose::JobResults(caller), READ_TIMEOUT);
             }
             BatchCall::Cancel(job) => {
-                let command = Command::CancelJob { job, at: self.clock.civil };
+                let command = Command::CancelJob { job, at: self.clock.wall_time };
                 self.command(job.group, command, Purpose::CancelJob(caller, job), STEP_TIMEOUT);
             }
         }
@@ -95,10 +95,10 @@
             model,
             adapter,
             item_count: items.len() as u32,
-            deadline: UnixMillis(self.clock.civil.0 + within.0),
+            deadline: UnixMillis(self.clock.wall_time.0 + within.0),
             max_tokens,
         };
-        let command = Command::OpenJob { job, specification: specification.clone(), at: self.clock.civil };
+        let command = Command::OpenJob { job, specification: specification.clone(), at: self.clock.wall_time };
         let upload = JobUpload { job, specification, items, accept, accepting: false };
         self.uploads.insert(caller, upload);
         self.command(group, command, Purpose::Upload(caller), STEP_TIMEOUT);
--- a/crates/core/src/peer_message.rs
+++ b/crates/core/src/peer_message.rs
@@ -223,13 +223,13 @@
         in_flight: u32,
     },
     /// Requests a total number of batch streams at an engine.
-    Ask {
+    Request {
         /// The engine on which to run the streams.
         engine: EngineName,
         /// The requesting node.
         from: NodeId,
         /// The requested number of streams.
-        want: u32,
+        wanted_streams: u32,
     },
     /// Grants the receiver a number of batch streams at an engine.
     Grant {
--- a/crates/core/src/serving/configuration/mod.rs
+++ b/crates/core/src/serving/configuration/mod.rs
@@ -82,7 +82,7 @@
 
 impl Route {
     /// Selects a service at random by the targets' weights, or the first one if all weights are zero.
-    pub fn draw_service(&self, random: &mut impl Rng) -> Option<&Arc<str>> {
+    pub fn select_service(&self, random: &mut impl Rng) -> Option<&Arc<str>> {
         let first = self.targets.first().map(|target| &target.service);
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
         if self.targets.len() < 2 || total == 0 {
--- a/crates/core/src/serving/configuration/tenant.rs
+++ b/crates/core/src/serving/configuration/tenant.rs
@@ -202,7 +202,7 @@
     }
 
     /// Returns whether the caller may access what belongs to `owner`. Anyone may access what has no owner.
-    pub fn may_see(&self, owner: Option<&TenantName>) -> bool {
+    pub fn may_access(&self, owner: Option<&TenantName>) -> bool {
         match (self, owner) {
             (Self::Unchecked, _) | (_, None) => true,
             (caller, Some(owner)) => caller.tenant() == Some(owner),
--- a/crates/core/src/serving/crashes/digest.rs
+++ b/crates/core/src/serving/crashes/digest.rs
@@ -7,7 +7,7 @@
 
 use crate::hashing::{hash_bytes, hash_parts};
 use crate::serving::configuration::tenant::CallerIdentity;
-use crate::serving::request::RequestFacts;
+use crate::serving::request::RequestAttributes;
 
 /// The parts of a request that determine how a worker processes it. Excludes what differs between attempts, such as
 /// ids, deadlines and the last received event.
@@ -20,7 +20,7 @@
     /// Path and query.
     pub target: &'a str,
     /// Prompt information from the request head.
-    pub facts: &'a RequestFacts,
+    pub attributes: &'a RequestAttributes,
     /// Request body.
     pub body: &'a [u8],
 }
@@ -38,8 +38,8 @@
     /// Computes the digest over caller, method, path and prompt, or returns `None` if the head does not identify the
     /// prompt. Unlike the body, prompt part ids do not change between attempts. It must be the same in all versions.
     pub fn of_prompt(content: &RequestContent<'_>) -> Option<Self> {
-        let last = content.facts.prefix.last()?;
-        let prompt = hash_parts(&[&last.chain.to_le_bytes(), &content.facts.prompt_tokens.to_le_bytes()]);
+        let last = content.attributes.prefix.last()?;
+        let prompt = hash_parts(&[&last.chain.to_le_bytes(), &content.attributes.prompt_tokens.to_le_bytes()]);
         Some(Self::from_part(content, prompt))
     }
 
--- a/crates/core/src/serving/crashes/ledger.rs
+++ b/crates/core/src/serving/crashes/ledger.rs
@@ -109,7 +109,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashCount {
     /// Number of stored observations.
-    pub known: usize,
+    pub observed: usize,
     /// Number of crashes that count toward a quarantine.
     pub counted: usize,
 }
@@ -136,7 +136,7 @@
 
     /// Records that a worker crashed while it ran a request of this node. `progress` is the number of the last event of
     /// the response, 0 for none. Returns the resulting quarantine, if any.
-    pub fn crashed(
+    pub fn record_local_crash(
         &mut self,
         digest: RequestDigest,
         worker: WorkerId,
@@ -150,7 +150,7 @@
 
     /// Records that a request of this node completed, which clears its earlier crashes. Returns the crash counts before
     /// that, or `None` if there were no crashes.
-    pub fn completed(&mut self, digest: RequestDigest, now: UnixMillis) -> Option<CrashCount> {
+    pub fn record_local_completion(&mut self, digest: RequestDigest, now: UnixMillis) -> Option<CrashCount> {
         self.recent.record(digest, now);
         let previous_count = self.count(digest);
         self.record_completion(Completion { digest, at: now }, Source::Local).then_some(previous_count)
@@ -158,9 +158,9 @@
 
     /// Returns the crash counts of a request.
     pub fn count(&self, digest: RequestDigest) -> CrashCount {
-        let known = self.suspects.get(&digest).map_or(0, |suspect| suspect.observations.len());
+        let observed = self.suspects.get(&digest).map_or(0, |suspect| suspect.observations.len());
         let counted = self.attribute(digest).map_or(0, Attribution::counted);
-        CrashCount { known, counted }
+        CrashCount { observed, counted }
     }
 
     /// Returns the remaining quarantine of a request, or `None` if it may run.
--- a/crates/core/src/serving/jobs/dispatch/mod.rs
+++ b/crates/core/src/serving/jobs/dispatch/mod.rs
@@ -194,7 +194,7 @@
     }
 
     /// Handles the end of a run. Returns whether there is a result to commit (see [`Dispatcher::uncommitted_results`]).
-    pub fn run_ended(
+    pub fn finish_run(
         &mut self,
         key: &ItemKey,
         end: &RunEnd,
@@ -254,7 +254,7 @@
     }
 
     /// Records that progress was proposed. The next increment starts after it.
-    pub fn progress_proposed(&mut self, progress: &ItemProgress) {
+    pub fn record_proposed_progress(&mut self, progress: &ItemProgress) {
         if let Some(item) = self.items.get_mut(&progress.key) {
             let bytes = progress.after.bytes + progress.text.len();
             item.logged = LoggedOutput { bytes, last_event: progress.last_event };
@@ -272,7 +272,7 @@
     }
 
     /// Records that failed runs were proposed.
-    pub fn failures_proposed(&mut self, failures: &[ItemFailures]) {
+    pub fn record_proposed_failures(&mut self, failures: &[ItemFailures]) {
         for item in failures {
             if self.failures(&item.key) == item.failures {
                 self.failed.remove(&item.key);
--- a/crates/core/src/serving/jobs/table.rs
+++ b/crates/core/src/serving/jobs/table.rs
@@ -69,7 +69,7 @@
 
     /// Returns whether a caller may read and end the job.
     pub fn is_visible_to(&self, caller: &CallerIdentity) -> bool {
-        caller.may_see(self.submission.tenant.as_ref())
+        caller.may_access(self.submission.tenant.as_ref())
     }
 
     /// Returns whether no item of the job will run any more.
--- a/crates/core/src/serving/leader/load_schedule.rs
+++ b/crates/core/src/serving/leader/load_schedule.rs
@@ -2,7 +2,7 @@
 
 use crate::identity::NodeId;
 use crate::serving::jobs::directory::StorageDirectory;
-use crate::serving::relay::choice::{RelayChoice, rank_aggregators};
+use crate::serving::relay::choice::{RelaySelector, rank_aggregators};
 use crate::serving::workers::LoadReport;
 use crate::time::{Millis, Timestamp};
 
@@ -28,7 +28,7 @@
 /// not answer is avoided for a while.
 #[derive(Clone, Debug)]
 pub struct LoadSchedule {
-    aggregators: RelayChoice,
+    aggregators: RelaySelector,
     /// Whether there are so many gateways that loads are first aggregated per zone.
     uses_zone_aggregators: bool,
     interval: Millis,
@@ -37,7 +37,7 @@
 impl Default for LoadSchedule {
     fn default() -> Self {
         let interval = LoadReport::default().interval();
-        Self { aggregators: RelayChoice::default(), uses_zone_aggregators: false, interval }
+        Self { aggregators: RelaySelector::default(), uses_zone_aggregators: false, interval }
     }
 }
 
@@ -48,23 +48,23 @@
         if !self.uses_zone_aggregators {
             return LoadPartner::Leader;
         }
-        let aggregator = self.aggregators.usable(now, &rank_aggregators(storage, zone, own));
+        let aggregator = self.aggregators.first_usable(now, &rank_aggregators(storage, zone, own));
         aggregator.map_or(LoadPartner::Leader, LoadPartner::Aggregator)
     }
 
     /// Records an answer, which contains the loads of all other gateways.
-    pub fn answered(&mut self, partner: LoadPartner, gathered: &LoadReport) {
+    pub fn record_answer(&mut self, partner: LoadPartner, gathered: &LoadReport) {
         if let LoadPartner::Aggregator(aggregator) = partner {
-            self.aggregators.answered(aggregator);
+            self.aggregators.record_answer(aggregator);
         }
         self.uses_zone_aggregators = gathered.uses_zone_aggregators();
         self.interval = gathered.interval();
     }
 
     /// Records a missing or invalid answer.
-    pub fn failed(&mut self, partner: LoadPartner, now: Timestamp) {
+    pub fn record_failure(&mut self, partner: LoadPartner, now: Timestamp) {
         if let LoadPartner::Aggregator(aggregator) = partner {
-            self.aggregators.failed(aggregator, AGGREGATOR_BACKOFF, now);
+            self.aggregators.record_failure(aggregator, AGGREGATOR_BACKOFF, now);
         }
     }
 
--- a/crates/core/src/serving/leader/search.rs
+++ b/crates/core/src/serving/leader/search.rs
@@ -152,7 +152,7 @@
     }
 
     /// Records the outcome of sending the request to a node.
-    pub fn tried(&mut self, node: NodeId, outcome: TryOutcome) -> SearchDecision {
+    pub fn record_outcome(&mut self, node: NodeId, outcome: TryOutcome) -> SearchDecision {
         match outcome {
             TryOutcome::Answered(JobsAnswer::Indeterminate) => {
                 self.may_have_arrived = true;
--- a/crates/core/src/serving/online/request_state.rs
+++ b/crates/core/src/serving/online/request_state.rs
@@ -15,7 +15,7 @@
 use crate::error::{ErrorKind, Ran, Refusal};
 use crate::retry_budget::RetryBudget;
 use crate::serving::configuration::{Route, RouteKind};
-use crate::serving::request::RequestFacts;
+use crate::serving::request::RequestAttributes;
 use crate::serving::workers::{Choice, WorkerId};
 use crate::time::{Millis, Timestamp};
 
@@ -86,19 +86,19 @@
 
 impl RequestState {
     /// Creates the state of a request that was not sent to any worker yet.
-    pub fn new(route: Arc<Route>, facts: &RequestFacts, arrived_at: Timestamp) -> Self {
-        let allowed = facts.deadline.map_or(route.timeout, |wait| wait.min(route.timeout));
-        let has_deadline = facts.deadline.is_some();
+    pub fn new(route: Arc<Route>, attributes: &RequestAttributes, arrived_at: Timestamp) -> Self {
+        let allowed = attributes.deadline.map_or(route.timeout, |wait| wait.min(route.timeout));
+        let has_deadline = attributes.deadline.is_some();
         Self {
             route,
             timing: RequestTiming { arrived_at, ends_at: arrived_at + allowed, has_deadline },
-            is_reconnect: facts.last_event.is_some(),
+            is_reconnect: attributes.last_event.is_some(),
             counts: AttemptCounts::default(),
             tried: TriedWorkers::default(),
             attempts: 0,
             is_quarantined: false,
             has_alternative: true,
-            progress: StreamProgress::after(facts.last_event),
+            progress: StreamProgress::after(attributes.last_event),
         }
     }
 
@@ -179,13 +179,13 @@
     }
 
     /// Records that the request is being sent to a worker.
-    pub fn attempt_started(&mut self, worker: &WorkerId) {
+    pub fn record_attempt_start(&mut self, worker: &WorkerId) {
         self.attempts += 1;
         self.tried.round.push(worker.clone());
     }
 
     /// Records an attempt that ended without a complete answer. The retry budget is charged if the worker was too slow.
-    pub fn attempt_ended(&mut self, worker: &WorkerId, end: AttemptEnd, budget: &mut RetryBudget) {
+    pub fn record_attempt_end(&mut self, worker: &WorkerId, end: AttemptEnd, budget: &mut RetryBudget) {
         if end == AttemptEnd::Silent {
             budget.withdraw();
         }
--- a/crates/core/src/serving/quota/limiter.rs
+++ b/crates/core/src/serving/quota/limiter.rs
@@ -160,7 +160,7 @@
 
     /// Records that a report received no valid answer in time. Until the next answer, requests do not wait for the
     /// leader, and this gateway uses its own share of each limit once the last level has expired.
-    pub fn report_failed(&mut self) {
+    pub fn record_report_failure(&mut self) {
         self.is_disconnected = true;
     }
 
--- a/crates/core/src/serving/relay/choice.rs
+++ b/crates/core/src/serving/relay/choice.rs
@@ -26,13 +26,13 @@
 
 /// Relays that are skipped for a while after failures or stale answers.
 #[derive(Clone, Debug, Default)]
-pub struct RelayChoice {
+pub struct RelaySelector {
     cooldowns: BTreeMap<NodeId, Cooldown>,
 }
 
-impl RelayChoice {
+impl RelaySelector {
     /// Returns the first relay to query, of those ranked by [`rank_relays`], that is not in its cooldown.
-    pub fn usable(&self, now: Timestamp, relays: &[NodeId]) -> Option<NodeId> {
+    pub fn first_usable(&self, now: Timestamp, relays: &[NodeId]) -> Option<NodeId> {
         let is_cooling_down = |relay: &NodeId| self.cooldowns.get(relay).is_some_and(|cooldown| now < cooldown.until);
         relays.iter().take(MAX_RELAYS_TRIED).find(|relay| !is_cooling_down(relay)).copied()
     }
@@ -44,7 +44,7 @@
     }
 
     /// Records a usable answer of a relay, which ends its cooldown.
-    pub fn answered(&mut self, relay: NodeId) {
+    pub fn record_answer(&mut self, relay: NodeId) {
         self.cooldowns.remove(&relay);
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Records that a relay did not answer. Its cooldown starts at `span` and doubles with each consecutive failure.
-    pub fn failed(&mut self, relay: NodeId, span: Millis, now: Timestamp) {
+    pub fn record_failure(&mut self, relay: NodeId, span: Millis, now: Timestamp) {
         let failures = self.cooldowns.get(&relay).map_or(0, |cooldown| cooldown.failures);
         let backoff = Backoff::new(span, Millis(span.0 * MAX_COOLDOWN_FACTOR));
         let until = now + backoff.wait(failures);
--- a/crates/core/src/serving/relay/first_view.rs
+++ b/crates/core/src/serving/relay/first_view.rs
@@ -58,7 +58,7 @@
         }
         match usable {
             _ if waited >= relay_timeout => WatchStep::ListStore,
-            Some(relay) => WatchStep::AskRelay { relay, hold: Millis(0), timeout: CONTENTS_TIMEOUT },
+            Some(relay) => WatchStep::QueryRelay { relay, hold: Millis(0), timeout: CONTENTS_TIMEOUT },
             None => WatchStep::Wait(RELAY_RETRY_DELAY),
         }
     }
--- a/crates/core/src/serving/relay/message.rs
+++ b/crates/core/src/serving/relay/message.rs
@@ -40,10 +40,10 @@
     }
 
     /// Returns when the relay's view was last confirmed, by the clock of the node that sent the request at
-    /// `asked_at`. Only the time for which the relay held the request is taken into account, so that any other delay
+    /// `requested_at`. Only the time for which the relay held the request is taken into account, so that any other delay
     /// makes the view appear older, never younger.
-    pub fn confirmed_at(&self, asked_at: Timestamp) -> Timestamp {
-        asked_at + self.held - self.age
+    pub fn confirmed_at(&self, requested_at: Timestamp) -> Timestamp {
+        requested_at + self.held - self.age
     }
 }
 
--- a/crates/core/src/serving/relay/mirror.rs
+++ b/crates/core/src/serving/relay/mirror.rs
@@ -119,7 +119,7 @@
     /// history does not reach back that far; `None` before the first list.
     pub fn changes_since(&self, since: Revision) -> Option<ChangeSet> {
         let at = self.at?;
-        if !self.knows_changes_since(since) {
+        if !self.has_changes_since(since) {
             return self.all_items();
         }
         let next = KeyAt { revision: Revision(since.0.saturating_add(1)), key: Arc::from("") };
@@ -136,7 +136,7 @@
     }
 
     /// Returns whether a view that is complete up to `since` can be updated incrementally.
-    pub fn knows_changes_since(&self, since: Revision) -> bool {
+    pub fn has_changes_since(&self, since: Revision) -> bool {
         since >= self.removals_known_after
     }
 
--- a/crates/core/src/serving/relay/outage.rs
+++ b/crates/core/src/serving/relay/outage.rs
@@ -20,9 +20,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FailedCall {
     /// Start of the call.
-    pub begun: Timestamp,
+    pub started_at: Timestamp,
     /// Time of the failure.
-    pub ended: Timestamp,
+    pub failed_at: Timestamp,
     /// Whether the call timed out; otherwise it was refused or its connection broke.
     pub timed_out: bool,
 }
@@ -31,7 +31,7 @@
     /// Returns the earliest time at which the store may have become unreachable for this call: a call that timed out
     /// may have been lost right after its start.
     pub(super) fn unreachable_since(self) -> Timestamp {
-        if self.timed_out { self.begun } else { self.ended }
+        if self.timed_out { self.started_at } else { self.failed_at }
     }
 }
 
--- a/crates/core/src/serving/relay/policy.rs
+++ b/crates/core/src/serving/relay/policy.rs
@@ -4,7 +4,7 @@
 //! intervals come from [`super::bounds`].
 
 use super::bounds::WatchBounds;
-use super::choice::RelayChoice;
+use super::choice::RelaySelector;
 use super::first_view::{FirstView, RELAY_RETRY_DELAY};
 use super::item::Revision;
 use super::message::ChangesAnswer;
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchStep {
     /// Query a relay.
-    AskRelay {
+    QueryRelay {
         /// Relay to query.
         relay: NodeId,
         /// Maximum time for which the relay may hold the request.
@@ -83,7 +83,7 @@
     /// Time since the view was last confirmed to be complete; `None` before the first list.
     pub age: Option<Millis>,
     /// Time of the last request from another node.
-    pub asked_at: Option<Timestamp>,
+    pub last_request_at: Option<Timestamp>,
 }
 
 impl ViewState {
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug)]
 pub struct WatchPolicy {
     bounds: WatchBounds,
-    relays: RelayChoice,
+    relays: RelaySelector,
     tier: RelayTier,
     first_view: FirstView,
     /// Changes may have been missed, so the next call to the store must list everything.
@@ -114,7 +114,7 @@
     pub fn new(bounds: WatchBounds) -> Self {
         Self {
             bounds,
-            relays: RelayChoice::default(),
+            relays: RelaySelector::default(),
             tier: RelayTier::Leaf,
             first_view: FirstView::default(),
             must_list: true,
@@ -132,7 +132,7 @@
     /// Returns the node's role, given the relays that it could query.
     pub fn role(&self, view: ViewState, relays: &[NodeId]) -> WatchRole {
         let idle_timeout = self.bounds.relay_idle_timeout();
-        if view.asked_at.is_some_and(|asked| view.now.since(asked) < idle_timeout) {
+        if view.last_request_at.is_some_and(|requested| view.now.since(requested) < idle_timeout) {
             let forwards = self.tier == RelayTier::Forwarder && !relays.is_empty();
             if forwards { WatchRole::Forwarder } else { WatchRole::Relay }
         } else if relays.is_empty() {
@@ -146,7 +146,7 @@
     pub fn next(&self, view: ViewState, relays: &[NodeId]) -> WatchStep {
         let role = self.role(view, relays);
         let store_step = self.store_step(view, role);
-        let relay = self.relays.usable(view.now, relays);
+        let relay = self.relays.first_usable(view.now, relays);
         let Some(age) = view.age else { return self.initial_step(view, relays, relay, store_step) };
         if !matches!(role, WatchRole::Follower | WatchRole::Forwarder) {
             return store_step;
@@ -154,9 +154,9 @@
         let remaining = Millis(self.bounds.max_age().0.saturating_sub(age.0));
         let is_backing_off = matches!(store_step, WatchStep::Wait(_));
         match relay {
-            Some(relay) if remaining > Millis(0) => self.ask_relay(relay, remaining),
+            Some(relay) if remaining > Millis(0) => self.query_relay(relay, remaining),
             // The store is failing, so a relay may take its full time.
-            Some(relay) if is_backing_off => self.ask_relay(relay, self.bounds.max_age()),
+            Some(relay) if is_backing_off => self.query_relay(relay, self.bounds.max_age()),
             None if is_backing_off => self.wait_until_usable(view.now, relays, store_step),
             _ => store_step,
         }
@@ -190,9 +190,9 @@
         WatchStep::Wait(wait.min(first.max(Millis(1))))
     }
 
-    fn ask_relay(&self, relay: NodeId, remaining: Millis) -> WatchStep {
+    fn query_relay(&self, relay: NodeId, remaining: Millis) -> WatchStep {
         let hold = self.bounds.max_hold();
-        WatchStep::AskRelay { relay, hold, timeout: remaining.min(hold + RELAY_ANSWER_MARGIN) }
+        WatchStep::QueryRelay { relay, hold, timeout: remaining.min(hold + RELAY_ANSWER_MARGIN) }
     }
 
     fn store_step(&self, view: ViewState, role: WatchRole) -> WatchStep {
@@ -209,10 +209,10 @@
     }
 
     /// Records a relay's answer. Returns whether the relay's view is fresh; the answer may be applied either way.
-    pub fn relay_answered(&mut self, relay: NodeId, answer: &ChangesAnswer, now: Timestamp) -> bool {
+    pub fn record_relay_answer(&mut self, relay: NodeId, answer: &ChangesAnswer, now: Timestamp) -> bool {
         let is_fresh = answer.age < self.bounds.max_relay_age();
         if is_fresh {
-            self.relays.answered(relay);
+            self.relays.record_answer(relay);
             self.must_list = false;
             self.store_failures = 0;
             self.store_backoff_until = Timestamp::default();
@@ -224,18 +224,18 @@
     }
 
     /// Records that a relay did not answer.
-    pub fn relay_failed(&mut self, relay: NodeId, now: Timestamp) {
-        self.relays.failed(relay, self.bounds.contact, now);
+    pub fn record_relay_failure(&mut self, relay: NodeId, now: Timestamp) {
+        self.relays.record_failure(relay, self.bounds.contact, now);
     }
 
     /// Records that a relay returned no first view. It is retried soon, since it may be starting too.
-    pub fn first_view_failed(&mut self, relay: NodeId, now: Timestamp) {
+    pub fn record_first_view_failure(&mut self, relay: NodeId, now: Timestamp) {
         self.relays.avoid(relay, RELAY_RETRY_DELAY, now);
     }
 
     /// Records an answer of the store and returns the duration of the outage that it ends. Relays that did not answer
     /// may have been disconnected together with the store, so their cooldowns end.
-    pub fn store_answered(&mut self, now: Timestamp) -> Millis {
+    pub fn record_store_answer(&mut self, now: Timestamp) -> Millis {
         self.must_list = false;
         self.store_failures = 0;
         self.store_backoff_until = Timestamp::default();
@@ -251,13 +251,13 @@
     }
 
     /// Records that the store no longer has the history that was requested.
-    pub fn history_dropped(&mut self) {
+    pub fn record_compacted_history(&mut self) {
         self.must_list = true;
     }
 
     /// Records a failed call to the store. `jitter` is a random number from 0 to 1 that spreads the retries of
     /// different nodes. Returns whether it is the first of consecutive failures.
-    pub fn store_failed(&mut self, role: WatchRole, view: ViewState, call: FailedCall, jitter: f64) -> bool {
+    pub fn record_store_failure(&mut self, role: WatchRole, view: ViewState, call: FailedCall, jitter: f64) -> bool {
         // A follower calls the store only after its relays' views have become stale as well.
         let is_follower = matches!(role, WatchRole::Follower | WatchRole::Forwarder);
         let since = if is_follower { view.confirmed_at() } else { call.unreachable_since() };
@@ -267,20 +267,20 @@
         let max_backoff = self.bounds.max_store_backoff(role).min(MAX_STORE_BACKOFF);
         let backoff = Backoff::new(INITIAL_STORE_BACKOFF, max_backoff);
         let wait = backoff.wait(self.store_failures).0 as f64 * (MIN_JITTER + jitter);
-        self.store_backoff_until = call.ended + Millis(wait as u64);
+        self.store_backoff_until = call.failed_at + Millis(wait as u64);
         self.store_failures += 1;
         self.store_failures == 1
     }
 
-    /// Returns when a view is confirmed to have been complete by a watch that was started at `begun` with the given
+    /// Returns when a view is confirmed to have been complete by a watch that was started at `started_at` with the given
     /// wait. Without changes, the store answers only once the wait is over.
-    pub fn watch_confirmed_at(begun: Timestamp, wait: Millis, has_changes: bool, now: Timestamp) -> Timestamp {
-        let has_waited = !has_changes && now.since(begun) >= wait;
-        if has_waited { begun + wait } else { begun }
+    pub fn watch_confirmed_at(started_at: Timestamp, wait: Millis, has_changes: bool, now: Timestamp) -> Timestamp {
+        let has_waited = !has_changes && now.since(started_at) >= wait;
+        if has_waited { started_at + wait } else { started_at }
     }
 
     /// Returns the duration of the current outage; 0 if there is none.
-    pub fn away(&self, now: Timestamp) -> Millis {
+    pub fn outage_duration(&self, now: Timestamp) -> Millis {
         self.outage.map_or(Millis(0), |outage| outage.duration(now))
     }
 
--- a/crates/core/src/serving/request.rs
+++ b/crates/core/src/serving/request.rs
@@ -27,7 +27,7 @@
 
 /// The attributes that a request states in its headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RequestFacts {
+pub struct RequestAttributes {
     /// The caller's id for this attempt.
     pub id: Arc<str>,
     /// How long the caller waits for the answer, counted from when the request was read.
--- a/crates/core/src/serving/workers/health.rs
+++ b/crates/core/src/serving/workers/health.rs
@@ -47,7 +47,7 @@
 
 impl WorkerTable {
     /// Records a successful response, with the time to its first event. Ends the worker's ejection.
-    pub fn succeeded(&mut self, incarnation: &WorkerIncarnation, elapsed: Millis, now: Timestamp) {
+    pub fn record_success(&mut self, incarnation: &WorkerIncarnation, elapsed: Millis, now: Timestamp) {
         let elapsed = elapsed.0 as f64;
         let ratio = elapsed / self.mean_first_event_ms.value().max(MIN_MEAN_FIRST_EVENT_MS);
         let relative_latency = ratio.clamp(MIN_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
@@ -63,8 +63,8 @@
 
     /// Records the time to the first event of a stream from the selected worker. The sample updates the service times
     /// only if the worker had a free slot, since it would otherwise include queueing time.
-    pub fn first_event(&mut self, service: &str, choice: &Choice, elapsed: Millis, now: Timestamp) {
-        self.succeeded(&choice.incarnation(), elapsed, now);
+    pub fn record_first_event(&mut self, service: &str, choice: &Choice, elapsed: Millis, now: Timestamp) {
+        self.record_success(&choice.incarnation(), elapsed, now);
         if choice.load < choice.slots {
             self.service_times(service).record_first_event(elapsed);
         }
@@ -76,7 +76,7 @@
     }
 
     /// Updates the worker's state after an attempt that ended without a complete response.
-    pub fn attempt_ended(&mut self, incarnation: &WorkerIncarnation, end: AttemptEnd, now: Timestamp) {
+    pub fn record_attempt_end(&mut self, incarnation: &WorkerIncarnation, end: AttemptEnd, now: Timestamp) {
         match end {
             AttemptEnd::NotRun { other_instance: false } => self.mark_full(incarnation, now),
             AttemptEnd::NotRun { other_instance: true } => {
@@ -87,17 +87,22 @@
                 }
             }
             AttemptEnd::NotConnected => {
-                self.failed(incarnation, false, now);
+                self.record_failure(incarnation, false, now);
             }
             AttemptEnd::Failed { .. } | AttemptEnd::Broken | AttemptEnd::Silent => {
-                self.failed(incarnation, true, now);
+                self.record_failure(incarnation, true, now);
             }
         }
     }
 
     /// Records a failed attempt and ejects the worker. Returns the duration of the ejection, which is longer if the
     /// worker could not be reached, or `None` if the worker is unknown.
-    pub fn failed(&mut self, incarnation: &WorkerIncarnation, was_reached: bool, now: Timestamp) -> Option<Millis> {
+    pub fn record_failure(
+        &mut self,
+        incarnation: &WorkerIncarnation,
+        was_reached: bool,
+        now: Timestamp,
+    ) -> Option<Millis> {
         let entry = self.entry_mut(incarnation)?;
         entry.consecutive_failures += 1;
         let base = if was_reached { BASE_EJECTION } else { BASE_UNREACHABLE_EJECTION };
--- a/crates/core/src/serving/workers/loads.rs
+++ b/crates/core/src/serving/workers/loads.rs
@@ -30,7 +30,7 @@
 
 impl WorkerTable {
     /// Records that a request was sent to a worker.
-    pub fn started(
+    pub fn record_start(
         &mut self,
         incarnation: &WorkerIncarnation,
         prefix: &[PrefixBlock],
@@ -46,21 +46,21 @@
     }
 
     /// Records that a request at a worker ended, with any outcome.
-    pub fn ended(&mut self, incarnation: &WorkerIncarnation) {
+    pub fn record_end(&mut self, incarnation: &WorkerIncarnation) {
         if let Some(entry) = self.entry_mut(incarnation) {
             entry.in_flight = entry.in_flight.saturating_sub(1);
         }
     }
 
-    /// Records that a batch item was sent to a worker, in addition to [`WorkerTable::started`].
-    pub fn batch_started(&mut self, incarnation: &WorkerIncarnation) {
+    /// Records that a batch item was sent to a worker, in addition to [`WorkerTable::record_start`].
+    pub fn record_batch_start(&mut self, incarnation: &WorkerIncarnation) {
         if let Some(entry) = self.entry_mut(incarnation) {
             entry.batch_in_flight += 1;
         }
     }
 
-    /// Records that a batch item at a worker ended, in addition to [`WorkerTable::ended`].
-    pub fn batch_ended(&mut self, incarnation: &WorkerIncarnation) {
+    /// Records that a batch item at a worker ended, in addition to [`WorkerTable::record_end`].
+    pub fn record_batch_end(&mut self, incarnation: &WorkerIncarnation) {
         if let Some(entry) = self.entry_mut(incarnation) {
             entry.batch_in_flight = entry.batch_in_flight.saturating_sub(1);
         }
@@ -72,7 +72,7 @@
     }
 
     /// Records a load reported by the worker itself.
-    pub fn reported(&mut self, incarnation: &WorkerIncarnation, load: WorkerLoad, now: Timestamp) {
+    pub fn record_load(&mut self, incarnation: &WorkerIncarnation, load: WorkerLoad, now: Timestamp) {
         if let Some(entry) = self.entry_mut(incarnation) {
             entry.report = Some(ReportedLoad { load, in_flight_at_report: entry.in_flight, at: now });
         }
--- a/crates/core/src/serving/workers/table.rs
+++ b/crates/core/src/serving/workers/table.rs
@@ -63,11 +63,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerChange {
     /// A worker was added or became available again.
-    Seen(WorkerId),
+    Available(WorkerId),
     /// A worker started draining.
     Draining(WorkerId),
     /// A worker's record was removed.
-    Gone(WorkerId),
+    Removed(WorkerId),
     /// A worker's record may have expired while the store was unreachable.
     Missing(WorkerId),
 }
@@ -101,7 +101,7 @@
         }
         let Some(entry) = self.workers.get_mut(&id) else {
             let change =
-                if record.draining { WorkerChange::Draining(id.clone()) } else { WorkerChange::Seen(id.clone()) };
+                if record.draining { WorkerChange::Draining(id.clone()) } else { WorkerChange::Available(id.clone()) };
             self.workers.insert(id, WorkerEntry::new(record));
             return Some(change);
         };
@@ -116,7 +116,7 @@
         match (previous, entry.presence) {
             (Presence::Draining | Presence::Drained { .. }, _) => None,
             (_, Presence::Draining) => Some(WorkerChange::Draining(id)),
-            (Presence::Removed { .. } | Presence::Missing { .. }, _) => Some(WorkerChange::Seen(id)),
+            (Presence::Removed { .. } | Presence::Missing { .. }, _) => Some(WorkerChange::Available(id)),
             _ => None,
         }
     }
@@ -136,7 +136,7 @@
             Presence::Drained { .. } | Presence::Removed { .. } => return None,
         };
         entry.presence = Presence::Removed { since: now, usable_until };
-        Some(WorkerChange::Gone(id.clone()))
+        Some(WorkerChange::Removed(id.clone()))
     }
 
     /// Marks a worker whose record was missing when the store became reachable again. The worker stays usable until
--- a/crates/core/tests/cold_start_simulation.rs
+++ b/crates/core/tests/cold_start_simulation.rs
@@ -150,8 +150,8 @@
             gateway.wanted = gateway.table.wanted_permits(&query, now, &mut self.random);
         }
         let choice = gateway.table.choose(&query, now, &mut self.random).expect("warm workers are available");
-        gateway.table.started(&choice.incarnation(), &[], 0, now);
-        gateway.table.ended(&choice.incarnation());
+        gateway.table.record_start(&choice.incarnation(), &[], 0, now);
+        gateway.table.record_end(&choice.incarnation());
         if choice.id.0.starts_with("back") {
             self.arrivals.entry(choice.id).or_default().push(now);
         }
--- a/crates/core/tests/crash_ledger.rs
+++ b/crates/core/tests/crash_ledger.rs
@@ -7,7 +7,7 @@
 use stallmoor_core::serving::crashes::{
     CRASH_THRESHOLD, CrashLedger, CrashReport, RequestContent, RequestDigest, RequestKeys,
 };
-use stallmoor_core::serving::request::{PromptPart, RequestFacts, hash_prefix};
+use stallmoor_core::serving::request::{PromptPart, RequestAttributes, hash_prefix};
 use stallmoor_core::serving::workers::WorkerId;
 use stallmoor_core::time::{Millis, UnixMillis};
 
@@ -19,7 +19,7 @@
         identity: &CallerIdentity::Unchecked,
         method: "POST",
         target: "/a",
-        facts: &RequestFacts::default(),
+        attributes: &RequestAttributes::default(),
         body: body.as_bytes(),
     })
 }
@@ -36,12 +36,13 @@
 fn third_crash_quarantines_request() {
     let mut ledger = CrashLedger::default();
     let fatal = digest("fatal");
-    assert_eq!(ledger.crashed(fatal, worker(1), 0, at(0)), None);
+    assert_eq!(ledger.record_local_crash(fatal, worker(1), 0, at(0)), None);
     assert!(!ledger.is_near_quarantine(fatal));
-    assert_eq!(ledger.crashed(fatal, worker(2), 0, at(10)), None);
+    assert_eq!(ledger.record_local_crash(fatal, worker(2), 0, at(10)), None);
     assert!(ledger.is_near_quarantine(fatal));
     assert_eq!(ledger.quarantined_for(fatal, at(10)), None);
-    let quarantine = ledger.crashed(fatal, worker(3), 0, at(20)).expect("the third crash quarantines the request");
+    let quarantine =
+        ledger.record_local_crash(fatal, worker(3), 0, at(20)).expect("the third crash quarantines the request");
     assert_eq!((quarantine.crashes, quarantine.until), (3, at(20 + 5 * MINUTE)));
     assert_eq!(ledger.quarantined_for(fatal, at(20)), Some(Millis(5 * MINUTE)));
     assert_eq!(ledger.quarantined_for(fatal, at(20 + 5 * MINUTE)), None, "the quarantine has ended");
@@ -54,12 +55,12 @@
     let fatal = digest("fatal");
     let mut now = 0;
     for (crash, span) in [0, 0, 5, 10, 20, 40, 60, 60].into_iter().enumerate() {
-        ledger.crashed(fatal, worker(crash as u64), 0, at(now));
+        ledger.record_local_crash(fatal, worker(crash as u64), 0, at(now));
         assert_eq!(ledger.quarantined_for(fatal, at(now)).unwrap_or_default(), Millis(span * MINUTE));
         now += span * MINUTE + 1;
     }
     assert_eq!(ledger.quarantined_for(fatal, at(now)), None);
-    ledger.crashed(digest("other"), worker(0), 0, at(now + 2 * HOUR));
+    ledger.record_local_crash(digest("other"), worker(0), 0, at(now + 2 * HOUR));
     assert!(!ledger.is_near_quarantine(fatal), "the history expires after the retention period");
 }
 
@@ -68,11 +69,11 @@
     let mut ledger = CrashLedger::default();
     let fatal = digest("fatal");
     for millis in [0, 250, 999, 3_000, 3_100] {
-        ledger.crashed(fatal, worker(1), 0, at(millis));
+        ledger.record_local_crash(fatal, worker(1), 0, at(millis));
     }
     assert!(ledger.is_near_quarantine(fatal), "two distinct crashes of one worker");
     assert_eq!(ledger.quarantined_for(fatal, at(3_100)), None);
-    ledger.crashed(fatal, worker(1), 0, at(6_000));
+    ledger.record_local_crash(fatal, worker(1), 0, at(6_000));
     assert!(
         ledger.quarantined_for(fatal, at(6_000)).is_some(),
         "crashes of a single restarting worker lead to a quarantine"
@@ -84,13 +85,13 @@
     let (mut local, mut remote) = (CrashLedger::default(), CrashLedger::default());
     let popular = digest("popular");
     for crash in 0..3 {
-        local.crashed(popular, worker(crash), 0, at(crash));
+        local.record_local_crash(popular, worker(crash), 0, at(crash));
     }
     let quarantines = remote.merge(&local.report(), false, at(10));
     assert_eq!(quarantines.len(), 1, "the quarantine is reported once");
     assert!(remote.merge(&local.report(), false, at(11)).is_empty());
     // An attempt that was still running elsewhere completes.
-    remote.completed(popular, at(500));
+    remote.record_local_completion(popular, at(500));
     assert_eq!(remote.quarantined_for(popular, at(500)), None);
     local.merge(&remote.report(), false, at(600));
     assert_eq!(local.quarantined_for(popular, at(600)), None);
@@ -101,11 +102,11 @@
 fn recent_completion_exempts_request() {
     let (mut local, mut remote) = (CrashLedger::default(), CrashLedger::default());
     let (popular, fatal) = (digest("popular"), digest("fatal"));
-    remote.completed(popular, at(0));
+    remote.record_local_completion(popular, at(0));
     // Both requests run on every worker, and all workers crash at the same time.
     for crash in 0..4 {
-        local.crashed(popular, worker(crash), 0, at(9_000 + crash));
-        local.crashed(fatal, worker(crash), 0, at(9_000 + crash));
+        local.record_local_crash(popular, worker(crash), 0, at(9_000 + crash));
+        local.record_local_crash(fatal, worker(crash), 0, at(9_000 + crash));
     }
     assert!(local.quarantined_for(popular, at(9_010)).is_some(), "this node cannot distinguish them");
     remote.merge(&local.report(), false, at(9_020));
@@ -115,7 +116,7 @@
     assert_eq!(local.quarantined_for(popular, at(9_030)), None, "the completion is reported to the other node");
     // Crashes after the grace period count again.
     for crash in 4..7 {
-        remote.crashed(popular, worker(crash), 0, at(20_000));
+        remote.record_local_crash(popular, worker(crash), 0, at(20_000));
     }
     assert!(remote.quarantined_for(popular, at(20_000)).is_some());
 }
@@ -124,12 +125,12 @@
 fn recent_completions_of_many_requests_are_retained() {
     let mut ledger = CrashLedger::default();
     let popular = digest("popular");
-    ledger.completed(popular, at(0));
+    ledger.record_local_completion(popular, at(0));
     for other in 0..200_u64 {
-        ledger.completed(digest(&other.to_string()), at(other * 49));
+        ledger.record_local_completion(digest(&other.to_string()), at(other * 49));
     }
     for crash in 0..3 {
-        ledger.crashed(popular, worker(crash), 0, at(9_900));
+        ledger.record_local_crash(popular, worker(crash), 0, at(9_900));
     }
     assert_eq!(ledger.quarantined_for(popular, at(9_900)), None);
 }
@@ -137,10 +138,10 @@
 #[test]
 fn completion_without_crashes_is_not_stored() {
     let mut ledger = CrashLedger::default();
-    ledger.completed(digest("sound"), at(0));
+    ledger.record_local_completion(digest("sound"), at(0));
     assert!(ledger.is_empty());
-    ledger.crashed(digest("victim"), worker(1), 0, at(0));
-    ledger.completed(digest("victim"), at(5));
+    ledger.record_local_crash(digest("victim"), worker(1), 0, at(0));
+    ledger.record_local_completion(digest("victim"), at(5));
     assert_eq!(ledger.report(), CrashReport::default(), "a single cleared crash is not reported");
 }
 
@@ -149,7 +150,7 @@
     let mut ledger = CrashLedger::default();
     let (long, fatal) = (digest("long"), digest("fatal at its fortieth event"));
     for crash in 0..3 {
-        ledger.crashed(long, worker(crash), 20 * crash, at(crash * 2_000));
+        ledger.record_local_crash(long, worker(crash), 20 * crash, at(crash * 2_000));
         assert_eq!(
             ledger.quarantined_for(long, at(crash * 2_000)),
             None,
@@ -157,7 +158,7 @@
         );
     }
     for (crash, progress) in [40, 39, 41].into_iter().enumerate() {
-        ledger.crashed(fatal, worker(100 + crash as u64), progress, at(20_000));
+        ledger.record_local_crash(fatal, worker(100 + crash as u64), progress, at(20_000));
     }
     assert!(ledger.quarantined_for(fatal, at(20_000)).is_some());
 }
@@ -172,7 +173,7 @@
         for (crash, point) in points.into_iter().enumerate() {
             let now = at(crash as u64 * 300);
             assert_eq!(ledger.quarantined_for(fatal, now), None, "{points:?}: {crash}");
-            ledger.crashed(fatal, worker(crash as u64), point, now);
+            ledger.record_local_crash(fatal, worker(crash as u64), point, now);
         }
         assert!(ledger.quarantined_for(fatal, at(1_200)).is_some(), "{points:?}");
     }
@@ -183,13 +184,13 @@
     let mut ledger = CrashLedger::default();
     let (fatal, long) = (digest("fatal"), digest("long"));
     for crash in 0..5 {
-        ledger.crashed(fatal, worker(crash), 0, at(crash * 2_000));
-        ledger.crashed(long, worker(crash), 20 * crash, at(crash * 2_000 + 30));
+        ledger.record_local_crash(fatal, worker(crash), 0, at(crash * 2_000));
+        ledger.record_local_crash(long, worker(crash), 20 * crash, at(crash * 2_000 + 30));
         assert_eq!(ledger.quarantined_for(long, at(crash * 2_000 + 30)), None, "another request explains the crashes");
     }
     assert!(ledger.quarantined_for(fatal, at(8_000)).is_some());
-    ledger.crashed(fatal, worker(5), 0, at(10_000));
-    ledger.crashed(long, worker(5), 100, at(10_000));
+    ledger.record_local_crash(fatal, worker(5), 0, at(10_000));
+    ledger.record_local_crash(long, worker(5), 100, at(10_000));
     assert!(ledger.quarantined_for(long, at(10_000)).is_some(), "the total number of crashes is limited");
 }
 
@@ -199,9 +200,9 @@
     let (fatal, long) = (digest("fatal"), digest("long"));
     for crash in 0..4 {
         let now = at(crash * 2_000);
-        ledger.crashed(long, worker(crash), 30 * crash, now);
-        ledger.crashed(fatal, worker(crash), [4, 9, 13, 18][crash as usize], now);
-        ledger.crashed(fatal, worker(10 + crash), 7 * crash, at(crash * 2_000 + 500));
+        ledger.record_local_crash(long, worker(crash), 30 * crash, now);
+        ledger.record_local_crash(fatal, worker(crash), [4, 9, 13, 18][crash as usize], now);
+        ledger.record_local_crash(fatal, worker(10 + crash), 7 * crash, at(crash * 2_000 + 500));
     }
     assert!(ledger.quarantined_for(fatal, at(8_000)).is_some());
 }
@@ -211,19 +212,19 @@
     let mut ledger = CrashLedger::default();
     let (fatal, victim) = (digest("fatal"), digest("victim"));
     for crash in 0..3 {
-        ledger.crashed(victim, worker(crash), 0, at(crash * 3_000));
+        ledger.record_local_crash(victim, worker(crash), 0, at(crash * 3_000));
     }
     assert!(ledger.quarantined_for(victim, at(6_000)).is_some(), "no other request was affected");
     for crash in 0..3 {
-        ledger.crashed(fatal, worker(crash), 0, at(crash * 3_000 + 100));
+        ledger.record_local_crash(fatal, worker(crash), 0, at(crash * 3_000 + 100));
     }
     assert!(ledger.quarantined_for(victim, at(6_100)).is_some(), "the evidence against both requests is equal");
     // Another worker crashes while it runs only the fatal request.
-    ledger.crashed(fatal, worker(3), 0, at(9_000));
+    ledger.record_local_crash(fatal, worker(3), 0, at(9_000));
     assert_eq!(ledger.quarantined_for(victim, at(9_000)), None);
     assert!(ledger.quarantined_for(fatal, at(9_000)).is_some());
     for crash in 4..7 {
-        ledger.crashed(victim, worker(crash), 0, at(10_000));
+        ledger.record_local_crash(victim, worker(crash), 0, at(10_000));
     }
     assert!(ledger.quarantined_for(victim, at(10_000)).is_some(), "no other request explains these crashes");
 }
@@ -231,9 +232,9 @@
 #[test]
 fn restarted_node_keeps_reporting_its_earlier_crashes() {
     let mut before = CrashLedger::default();
-    before.crashed(digest("fatal"), worker(1), 0, at(0));
+    before.record_local_crash(digest("fatal"), worker(1), 0, at(0));
     let mut after = CrashLedger::default();
-    after.crashed(digest("fatal"), worker(2), 0, at(5_000));
+    after.record_local_crash(digest("fatal"), worker(2), 0, at(5_000));
     after.merge(&before.report(), true, at(5_001));
     assert_eq!(after.report().crashes.len(), 2);
 }
@@ -242,8 +243,8 @@
 fn ledger_size_is_bounded() {
     let mut ledger = CrashLedger::default();
     for number in 0..3_000_u64 {
-        ledger.crashed(digest(&number.to_string()), worker(number), 0, at(number));
-        ledger.crashed(digest("one"), worker(number), 0, at(number * 2_000));
+        ledger.record_local_crash(digest(&number.to_string()), worker(number), 0, at(number));
+        ledger.record_local_crash(digest("one"), worker(number), 0, at(number * 2_000));
     }
     let report = ledger.report();
     assert!(report.crashes.len() <= 2_048 + 32, "{}", report.crashes.len());
@@ -251,14 +252,14 @@
 
 #[test]
 fn digests_depend_on_body_and_prompt() {
-    let facts = |model: &str, prompt_tokens| {
+    let attributes = |model: &str, prompt_tokens| {
         let parts = [PromptPart { id: Arc::from("aa"), tokens: 60 }];
-        RequestFacts { prefix: hash_prefix(model, &parts), prompt_tokens, ..RequestFacts::default() }
+        RequestAttributes { prefix: hash_prefix(model, &parts), prompt_tokens, ..RequestAttributes::default() }
     };
-    let (prompt, other_model, longer) = (facts("m", 60), facts("n", 60), facts("m", 70));
-    let without_prompt = RequestFacts::default();
+    let (prompt, other_model, longer) = (attributes("m", 60), attributes("n", 60), attributes("m", 70));
+    let without_prompt = RequestAttributes::default();
     let [a, b] = ["a", "b"].map(|name| CallerIdentity::Tenant(TenantName::new(name)));
-    let base = RequestContent { identity: &a, method: "POST", target: "/x", facts: &prompt, body: b"body" };
+    let base = RequestContent { identity: &a, method: "POST", target: "/x", attributes: &prompt, body: b"body" };
     let own = RequestKeys::of(&base);
     let other_requests = [
         RequestContent { identity: &b, ..base },
@@ -270,7 +271,7 @@
         assert_ne!(other.prompt, own.prompt);
     }
     for other_prompt in [&other_model, &longer, &without_prompt] {
-        let other = RequestKeys::of(&RequestContent { facts: other_prompt, ..base });
+        let other = RequestKeys::of(&RequestContent { attributes: other_prompt, ..base });
         assert_eq!(other.content, own.content, "the body digest does not depend on the prompt");
         assert_ne!(other.prompt, own.prompt);
     }
@@ -278,7 +279,7 @@
     assert_eq!(other_body.prompt, own.prompt);
     assert_ne!(other_body.content, own.content);
     assert_eq!(own.digests().count(), 2);
-    assert_eq!(RequestKeys::of(&RequestContent { facts: &without_prompt, ..base }).digests().count(), 1);
+    assert_eq!(RequestKeys::of(&RequestContent { attributes: &without_prompt, ..base }).digests().count(), 1);
     assert_eq!(own.content.to_string().parse(), Ok(own.content));
     // Digests must be the same in all versions.
     assert_eq!(own.prompt.expect("the head identifies the prompt").to_string(), "3592a0f1d2936224");
@@ -289,12 +290,13 @@
 #[test]
 fn completion_clears_prompt_digest_but_not_other_body() {
     let parts = [PromptPart { id: Arc::from("aa"), tokens: 60 }];
-    let facts = RequestFacts { prefix: hash_prefix("m", &parts), prompt_tokens: 90, ..RequestFacts::default() };
+    let attributes =
+        RequestAttributes { prefix: hash_prefix("m", &parts), prompt_tokens: 90, ..RequestAttributes::default() };
     let content = |body| RequestContent {
         identity: &CallerIdentity::Unchecked,
         method: "POST",
         target: "/x",
-        facts: &facts,
+        attributes: &attributes,
         body,
     };
     let (fatal, harmless) = (RequestKeys::of(&content(b"fatal")), RequestKeys::of(&content(b"sound")));
@@ -302,10 +304,10 @@
     for crash in 0..CRASH_THRESHOLD as u64 {
         let now = at(crash * 300);
         for digest in fatal.digests() {
-            ledger.crashed(digest, worker(crash), 0, now);
+            ledger.record_local_crash(digest, worker(crash), 0, now);
         }
         for digest in harmless.digests() {
-            ledger.completed(digest, at(crash * 300 + 100));
+            ledger.record_local_completion(digest, at(crash * 300 + 100));
         }
     }
     let is_quarantined = |keys: RequestKeys| keys.digests().any(|key| ledger.quarantined_for(key, at(900)).is_some());
@@ -322,14 +324,14 @@
     let report = serde_json::from_str(&format!(r#"{{"crashes":[{crashes}]}}"#)).expect("the report parses");
     let mut ledger = CrashLedger::default();
     ledger.merge(&report, false, at(0));
-    ledger.crashed(digest("fatal"), worker(4), 7, at(0));
+    ledger.record_local_crash(digest("fatal"), worker(4), 7, at(0));
     assert!(ledger.quarantined_for(digest("fatal"), at(0)).is_some());
 }
 
 #[test]
 fn stored_report_format_is_unchanged() {
     let mut ledger = CrashLedger::default();
-    ledger.crashed(digest("fatal"), worker(1), 0, at(0));
+    ledger.record_local_crash(digest("fatal"), worker(1), 0, at(0));
     let stored = serde_json::to_string(&ledger.report()).expect("the report serializes");
     let text = format!(
         r#"{{"crashes":[{{"digest":"{}","worker":"w-1","at":1700000000000,"progress":0}}],"completions":[]}}"#,
@@ -373,14 +375,14 @@
             now += 11_000;
             match step {
                 Step::Crash { node, request, worker: number } => {
-                    nodes[node].crashed(requests[usize::from(request)], worker(number), 0, at(now));
+                    nodes[node].record_local_crash(requests[usize::from(request)], worker(number), 0, at(now));
                     crashes_since_completion[usize::from(request)].push(number);
                 }
                 Step::Completion { node, request } => {
                     // A node without crashes of the request does not store completions.
                     let report = nodes[node].report();
                     if report.crashes.iter().any(|crash| crash.digest == requests[usize::from(request)]) {
-                        nodes[node].completed(requests[usize::from(request)], at(now));
+                        nodes[node].record_local_completion(requests[usize::from(request)], at(now));
                         crashes_since_completion[usize::from(request)].clear();
                     }
                 }
--- a/crates/core/tests/durable_failures.rs
+++ b/crates/core/tests/durable_failures.rs
@@ -54,7 +54,7 @@
 /// Fails one run of the next item.
 fn fail_next(dispatcher: &mut Dispatcher, millis: u64) -> ItemKey {
     let (key, output) = dispatcher.take_next(at(millis), UnixMillis(2_000)).expect("an item is ready");
-    dispatcher.run_ended(&key, &RunEnd::Failed, output, MAX_ATTEMPTS, at(millis));
+    dispatcher.finish_run(&key, &RunEnd::Failed, output, MAX_ATTEMPTS, at(millis));
     key
 }
 
@@ -75,7 +75,7 @@
         runs += 1;
         if let Some(failed) = dispatcher.unlogged_failures() {
             let command = JobCommand::Failures(failed.clone());
-            dispatcher.failures_proposed(&failed);
+            dispatcher.record_proposed_failures(&failed);
             assert_eq!(dispatcher.unlogged_failures(), None);
             table.apply(command);
         }
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -118,8 +118,8 @@
     table.add_permits(&[WorkerCount { worker: id("near"), requests: 1 }], at(5_400));
     let choice = table.choose(&any_query, at(5_010), &mut random()).expect("there is a permit");
     assert_eq!(choice.id, id("near"));
-    table.started(&choice.incarnation(), &[], 0, at(5_010));
-    table.ended(&choice.incarnation());
+    table.record_start(&choice.incarnation(), &[], 0, at(5_010));
+    table.record_end(&choice.incarnation());
     assert_eq!(chosen(&table, 5_020), Some(id("far")), "the permit was consumed");
     table.add_permits(&[WorkerCount { worker: id("near"), requests: 1 }], at(5_400));
     assert_eq!(chosen(&table, 5_400), Some(id("far")), "the permit expired");
@@ -135,11 +135,12 @@
     table.mark_cold(&worker("near", "a").incarnation(), Millis(500), at(2_000));
     assert_eq!(chosen(&table, 2_499), Some(id("far")));
     assert_eq!(chosen(&table, 2_500), Some(id("near")));
-    let ejected = table.failed(&worker("near", "a").incarnation(), false, at(3_000)).expect("the worker is known");
+    let ejected =
+        table.record_failure(&worker("near", "a").incarnation(), false, at(3_000)).expect("the worker is known");
     let recovered_at = 3_000 + ejected.0;
     assert_eq!(chosen(&table, recovered_at + 1), Some(id("far")), "an unreachable worker may have restarted");
     assert_eq!(chosen(&table, recovered_at + 3_000), Some(id("near")));
-    table.attempt_ended(&worker("near", "a").incarnation(), AttemptEnd::Broken, at(10_000));
+    table.record_attempt_end(&worker("near", "a").incarnation(), AttemptEnd::Broken, at(10_000));
     assert_eq!(chosen(&table, 11_000), Some(id("near")), "a reachable worker has not restarted");
 }
 
@@ -181,8 +182,8 @@
     table.upsert(worker("near", "a"));
     table.upsert(worker("other", "a"));
     let reported = |slowdown| WorkerLoad { running: 2, waiting: 0, slowdown: Slowdown(slowdown) };
-    table.reported(&worker("near", "a").incarnation(), reported(400), at(0));
-    table.reported(&worker("other", "a").incarnation(), reported(100), at(0));
+    table.record_load(&worker("near", "a").incarnation(), reported(400), at(0));
+    table.record_load(&worker("other", "a").incarnation(), reported(100), at(0));
     for _ in 0..20 {
         assert_eq!(chosen(&table, 10), Some(id("other")));
     }
--- a/crates/core/tests/fleet_growth.rs
+++ b/crates/core/tests/fleet_growth.rs
@@ -228,7 +228,7 @@
         }
     }
     assert_eq!(mirror.present().count(), SMALL.workers);
-    let oldest = (0..revision).find(|since| mirror.knows_changes_since(Revision(*since)));
+    let oldest = (0..revision).find(|since| mirror.has_changes_since(Revision(*since)));
     let changes = mirror
         .changes_since(Revision(oldest.expect("the latest changes are retained")))
         .expect("the mirror has a view");
@@ -295,24 +295,24 @@
         let mut lists = 0;
         for (node, zone) in gateways.chain(storage) {
             let mut policy = WatchPolicy::new(bounds);
-            let view = ViewState { now: at(0), at: None, age: None, asked_at: None };
+            let view = ViewState { now: at(0), at: None, age: None, last_request_at: None };
             assert_eq!(policy.next(view, &[]), WatchStep::DiscoverRelays, "the storage nodes are looked up first");
             policy.relays_discovered(at(0));
             let plan = plan_relays(&directory, &zone, node);
             policy.set_tier(plan.tier);
             match policy.next(view, &plan.relays) {
                 WatchStep::ListStore => lists += 1,
-                WatchStep::AskRelay { relay, .. } => assert_eq!(relay, plan.relays[0]),
+                WatchStep::QueryRelay { relay, .. } => assert_eq!(relay, plan.relays[0]),
                 step => panic!("{step:?}"),
             }
             // Its relay is starting too: the relay is retried soon, and the store is listed only after the contact
             // bound.
             if plan.tier != RelayTier::Root {
-                plan.relays.iter().take(3).for_each(|relay| policy.first_view_failed(*relay, at(10)));
+                plan.relays.iter().take(3).for_each(|relay| policy.record_first_view_failure(*relay, at(10)));
                 let view = ViewState { now: at(10), ..view };
                 assert!(matches!(policy.next(view, &plan.relays), WatchStep::Wait(_)));
                 let view = ViewState { now: at(200), ..view };
-                assert!(matches!(policy.next(view, &plan.relays), WatchStep::AskRelay { .. }));
+                assert!(matches!(policy.next(view, &plan.relays), WatchStep::QueryRelay { .. }));
                 let view = ViewState { now: at(6_000), ..view };
                 assert_eq!(policy.next(view, &plan.relays), WatchStep::ListStore);
             }
@@ -325,7 +325,7 @@
 fn a_node_that_finds_no_storage_nodes_retries_and_then_lists_the_store() {
     let bounds = WatchBounds { change: Millis(2_000), contact: Millis(3_000), heartbeat: Millis(1_200) };
     let mut policy = WatchPolicy::new(bounds);
-    let view = |millis| ViewState { now: at(millis), at: None, age: None, asked_at: None };
+    let view = |millis| ViewState { now: at(millis), at: None, age: None, last_request_at: None };
     policy.relays_discovered(at(0));
     assert!(matches!(policy.next(view(0), &[]), WatchStep::Wait(_)));
     assert_eq!(policy.next(view(125), &[]), WatchStep::DiscoverRelays);
@@ -343,8 +343,8 @@
     }
     for index in 0..in_use {
         let incarnation = worker(index).incarnation();
-        table.started(&incarnation, &[], 0, at(0));
-        table.reported(&incarnation, WorkerLoad { running: 1, waiting: 0, slowdown: Slowdown::default() }, at(0));
+        table.record_start(&incarnation, &[], 0, at(0));
+        table.record_load(&incarnation, WorkerLoad { running: 1, waiting: 0, slowdown: Slowdown::default() }, at(0));
     }
     let peer_loads = (0..in_use).map(|index| WorkerCount { worker: worker(in_use + index).id, requests: 2 });
     let peer_loads: Vec<_> = peer_loads.collect();
@@ -367,8 +367,8 @@
     let mut table = WorkerTable::default();
     for index in 0..SMALL.workers {
         table.upsert(worker(index));
-        table.started(&worker(index).incarnation(), &[], 0, at(0));
-        table.ended(&worker(index).incarnation());
+        table.record_start(&worker(index).incarnation(), &[], 0, at(0));
+        table.record_end(&worker(index).incarnation());
     }
     table.set_shared_loads(&[WorkerCount { worker: worker(7).id, requests: 1 }], at(100));
     assert_eq!(table.active_count(), 1);
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -175,7 +175,7 @@
 }
 
 fn clock(now: u64) -> Clock {
-    Clock { now: Timestamp::from_millis(1_000_000 + now), civil: UnixMillis(1_700_000_000_000 + now) }
+    Clock { now: Timestamp::from_millis(1_000_000 + now), wall_time: UnixMillis(1_700_000_000_000 + now) }
 }
 
 fn bundle() -> Bundle {
--- a/crates/core/tests/jobs_rules.rs
+++ b/crates/core/tests/jobs_rules.rs
@@ -174,7 +174,7 @@
     dispatcher.restart(&table);
     let (first, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("an item is ready");
     // Sets the estimate of a complete run to 2,000 ms.
-    assert!(dispatcher.run_ended(&first, &RunEnd::Completed, output(200), 3, at(2_000)));
+    assert!(dispatcher.finish_run(&first, &RunEnd::Completed, output(200), 3, at(2_000)));
     dispatcher.remove(&first);
     accept(&mut table, "hopeless", 1, 0, 6_000);
     accept(&mut table, "possible", 1, 0, 9_000);
@@ -193,14 +193,14 @@
     let mut dispatcher = Dispatcher::default();
     dispatcher.restart(&table);
     let (item, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("the item is ready");
-    assert!(!dispatcher.run_ended(&item, &RunEnd::BrokenOff, output(17), 2, at(100)));
+    assert!(!dispatcher.finish_run(&item, &RunEnd::BrokenOff, output(17), 2, at(100)));
     assert!(dispatcher.take_next(at(101), UnixMillis(101)).is_none(), "the item is delayed");
     let (_, resumed) = dispatcher.take_next(at(1_000), UnixMillis(1_000)).expect("the item is ready again");
     assert_eq!(resumed.last_event, Some(17));
-    assert!(!dispatcher.run_ended(&item, &RunEnd::Failed, resumed, 2, at(1_100)));
+    assert!(!dispatcher.finish_run(&item, &RunEnd::Failed, resumed, 2, at(1_100)));
     let (_, resumed) = dispatcher.take_next(at(3_000), UnixMillis(3_000)).expect("the item is ready again");
     assert!(
-        dispatcher.run_ended(&item, &RunEnd::Failed, resumed, 2, at(3_100)),
+        dispatcher.finish_run(&item, &RunEnd::Failed, resumed, 2, at(3_100)),
         "the item is abandoned after the second failure"
     );
     let given_up = JobCommand::Finish {
@@ -223,7 +223,7 @@
         let (item, resumed) = dispatcher.take_next(at(now), UnixMillis(now)).expect("the item is ready");
         assert_eq!(resumed.last_event.unwrap_or(0), (pause - 1) * 10);
         now += 200;
-        assert!(!dispatcher.run_ended(&item, &RunEnd::Paused, output(pause * 10), 3, at(now)));
+        assert!(!dispatcher.finish_run(&item, &RunEnd::Paused, output(pause * 10), 3, at(now)));
         assert!(dispatcher.take_next(at(now), UnixMillis(now)).is_none(), "the capacity is left to an online request");
         now += 40;
     }
@@ -237,7 +237,7 @@
     dispatcher.restart(&table);
     let (first, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("an item is ready");
     // Sets the estimate of a complete run to 2,000 ms.
-    assert!(dispatcher.run_ended(&first, &RunEnd::Completed, output(200), 3, at(2_000)));
+    assert!(dispatcher.finish_run(&first, &RunEnd::Completed, output(200), 3, at(2_000)));
     for (name, due) in [("urgent", 8_000), ("hopeless", 6_000), ("spare", 20_000), ("nearly-done", 8_000)] {
         accept(&mut table, name, 1, 0, due);
         dispatcher.add_job(table.job(&key(name)).expect("the job was accepted"));
@@ -268,7 +268,7 @@
     dispatcher.restart(&table);
     for wait in [40, 80, 160] {
         let (item, resumed) = dispatcher.take_next(at(wait * 10), UnixMillis(0)).expect("the item is ready");
-        assert!(!dispatcher.run_ended(&item, &RunEnd::NotRun, resumed, 3, at(wait * 10)));
+        assert!(!dispatcher.finish_run(&item, &RunEnd::NotRun, resumed, 3, at(wait * 10)));
         assert!(dispatcher.take_next(at(wait * 10 + wait - 1), UnixMillis(0)).is_none());
     }
 }
@@ -281,13 +281,13 @@
     dispatcher.restart(&table);
     let (first, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("the first item is ready");
     let (second, _) = dispatcher.take_next(at(0), UnixMillis(0)).expect("the second item is ready");
-    assert!(dispatcher.run_ended(&first, &RunEnd::Impossible, PartialOutput::default(), 3, at(10)));
+    assert!(dispatcher.finish_run(&first, &RunEnd::Impossible, PartialOutput::default(), 3, at(10)));
     assert_eq!(
         dispatcher.remove_job(&key("j")),
         vec![second.clone()],
         "running items are returned so that they can be stopped"
     );
-    assert!(!dispatcher.run_ended(&second, &RunEnd::Completed, output(5), 3, at(20)));
+    assert!(!dispatcher.finish_run(&second, &RunEnd::Completed, output(5), 3, at(20)));
     assert_eq!(dispatcher.open_count(), 0);
 }
 
@@ -485,7 +485,7 @@
         output.push(&format!("piece {number}"), Some(number));
     }
     let logged = first.progress_of(&item, &output).expect("enough events for a progress record");
-    first.progress_proposed(&logged);
+    first.record_proposed_progress(&logged);
     assert_eq!(first.progress_of(&item, &output), None, "there is no new output");
     table.apply(JobCommand::Progress(vec![logged]));
     let mut second = Dispatcher::default();
@@ -493,7 +493,7 @@
     let (item, mut output) = second.take_next(at(0), UnixMillis(0)).expect("the item is ready");
     assert_eq!(output.last_event, Some(30), "the item resumes after the last logged event");
     output.push("piece 31", Some(31));
-    assert!(second.run_ended(&item, &RunEnd::Completed, output, 3, at(100)));
+    assert!(second.finish_run(&item, &RunEnd::Completed, output, 3, at(100)));
     let finished = second.uncommitted_results().pop().expect("there is a result to commit");
     assert_eq!(table.apply(finished), JobOutcome::Committed);
     let complete: Vec<String> = (1..=31).map(|number| format!("piece {number}")).collect();
--- a/crates/core/tests/leader_rules.rs
+++ b/crates/core/tests/leader_rules.rs
@@ -65,7 +65,7 @@
     for _ in 0..5 {
         let (node, _) = sent_to(search.next(None, &storage, ZONE, at(0)));
         order.push(node.0);
-        let decision = search.tried(node, TryOutcome::NotSent);
+        let decision = search.record_outcome(node, TryOutcome::NotSent);
         assert_eq!(decision, SearchDecision::Retry { leader: None, wait: Millis(10) });
     }
     assert_eq!(order, [2, 4, 1, 3, 2]);
@@ -94,7 +94,7 @@
         if round < 7 && founders.contains(&node) {
             tried_founders.insert(node);
         }
-        search.tried(node, TryOutcome::Refused(GroupRefusal::Busy));
+        search.record_outcome(node, TryOutcome::Refused(GroupRefusal::Busy));
     }
     assert_eq!(tried_founders.len(), founders.len(), "each founder is tried within seven attempts");
     assert_eq!(tried_nodes.len(), storage.len(), "every node is tried");
@@ -105,12 +105,12 @@
     let storage = storage();
     let mut search = LeaderSearch::new(&load_request(), at(60_000));
     assert_eq!(sent_to(search.next(Some(NodeId(3)), &storage, ZONE, at(0))).0, NodeId(3));
-    let decision = search.tried(NodeId(3), not_leader(Some(NodeId(1))));
+    let decision = search.record_outcome(NodeId(3), not_leader(Some(NodeId(1))));
     assert_eq!(decision, SearchDecision::Retry { leader: Some(NodeId(1)), wait: Millis(0) });
-    let decision = search.tried(NodeId(1), not_leader(Some(NodeId(1))));
+    let decision = search.record_outcome(NodeId(1), not_leader(Some(NodeId(1))));
     assert_eq!(decision, SearchDecision::Retry { leader: None, wait: Millis(60) }, "a redirect to itself is ignored");
     assert_eq!(
-        search.tried(NodeId(1), TryOutcome::Refused(GroupRefusal::Busy)),
+        search.record_outcome(NodeId(1), TryOutcome::Refused(GroupRefusal::Busy)),
         SearchDecision::Retry { leader: None, wait: Millis(60) },
     );
     // A leader without a storage record is treated as unknown.
@@ -146,13 +146,13 @@
 fn rejection_after_an_attempt_that_may_have_arrived_is_indeterminate() {
     let refusal = || TryOutcome::Answered(JobsAnswer::NoRoom);
     let mut search = LeaderSearch::new(&load_request(), at(1_000));
-    assert_eq!(search.tried(NodeId(1), refusal()), SearchDecision::Done(JobsAnswer::NoRoom));
+    assert_eq!(search.record_outcome(NodeId(1), refusal()), SearchDecision::Done(JobsAnswer::NoRoom));
     for uncertain in [TryOutcome::NoAnswer, TryOutcome::Answered(JobsAnswer::Indeterminate)] {
         let mut search = LeaderSearch::new(&load_request(), at(1_000));
-        assert!(matches!(search.tried(NodeId(1), uncertain), SearchDecision::Retry { leader: None, .. }));
-        assert_eq!(search.tried(NodeId(2), refusal()), SearchDecision::Done(JobsAnswer::Indeterminate));
+        assert!(matches!(search.record_outcome(NodeId(1), uncertain), SearchDecision::Retry { leader: None, .. }));
+        assert_eq!(search.record_outcome(NodeId(2), refusal()), SearchDecision::Done(JobsAnswer::Indeterminate));
         let accepted = TryOutcome::Answered(JobsAnswer::Accepted);
-        assert_eq!(search.tried(NodeId(2), accepted), SearchDecision::Done(JobsAnswer::Accepted));
+        assert_eq!(search.record_outcome(NodeId(2), accepted), SearchDecision::Done(JobsAnswer::Accepted));
         let timed_out = SearchStep::TimedOut(NoLeader { may_have_arrived: true });
         assert_eq!(search.next(None, &storage(), ZONE, at(1_000)), timed_out);
     }
@@ -189,9 +189,9 @@
     let mut schedule = LoadSchedule::default();
     let partner = |schedule: &LoadSchedule, now| schedule.partner(&storage, ZONE, GATEWAY, at(now));
     assert_eq!(partner(&schedule, 0), LoadPartner::Leader);
-    schedule.answered(LoadPartner::Leader, &aggregated(99, 99));
+    schedule.record_answer(LoadPartner::Leader, &aggregated(99, 99));
     assert_eq!(partner(&schedule, 0), LoadPartner::Leader);
-    schedule.answered(LoadPartner::Leader, &aggregated(100, 100));
+    schedule.record_answer(LoadPartner::Leader, &aggregated(100, 100));
     assert_eq!(partner(&schedule, 0), LoadPartner::Aggregator(ranked[0]));
 }
 
@@ -200,19 +200,19 @@
     let storage = storage();
     let ranked = rank_aggregators(&storage, ZONE, GATEWAY);
     let mut schedule = LoadSchedule::default();
-    schedule.answered(LoadPartner::Leader, &aggregated(100, 100));
+    schedule.record_answer(LoadPartner::Leader, &aggregated(100, 100));
     let partner = |schedule: &LoadSchedule, now| schedule.partner(&storage, ZONE, GATEWAY, at(now));
-    schedule.failed(LoadPartner::Aggregator(ranked[0]), at(0));
+    schedule.record_failure(LoadPartner::Aggregator(ranked[0]), at(0));
     assert_eq!(partner(&schedule, 999), LoadPartner::Aggregator(ranked[1]));
     assert_eq!(partner(&schedule, 1_000), LoadPartner::Aggregator(ranked[0]));
-    schedule.failed(LoadPartner::Aggregator(ranked[0]), at(1_000));
+    schedule.record_failure(LoadPartner::Aggregator(ranked[0]), at(1_000));
     assert_eq!(partner(&schedule, 2_999), LoadPartner::Aggregator(ranked[1]));
     assert_eq!(partner(&schedule, 3_000), LoadPartner::Aggregator(ranked[0]));
     for relay in &ranked[..3] {
-        schedule.failed(LoadPartner::Aggregator(*relay), at(3_000));
+        schedule.record_failure(LoadPartner::Aggregator(*relay), at(3_000));
     }
     assert_eq!(partner(&schedule, 3_500), LoadPartner::Leader, "at most three aggregators are tried");
-    schedule.answered(LoadPartner::Aggregator(ranked[0]), &aggregated(100, 40));
+    schedule.record_answer(LoadPartner::Aggregator(ranked[0]), &aggregated(100, 40));
     assert_eq!(partner(&schedule, 3_500), LoadPartner::Aggregator(ranked[0]));
 }
 
@@ -220,9 +220,9 @@
 fn interval_is_unchanged_by_a_missing_answer_and_longer_for_an_idle_node() {
     let mut schedule = LoadSchedule::default();
     assert_eq!(schedule.wait_after(&busy()), Millis(40));
-    schedule.answered(LoadPartner::Leader, &aggregated(90, 90));
+    schedule.record_answer(LoadPartner::Leader, &aggregated(90, 90));
     assert_eq!(schedule.wait_after(&busy()), Millis(100));
-    schedule.failed(LoadPartner::Leader, at(0));
+    schedule.record_failure(LoadPartner::Leader, at(0));
     assert_eq!(schedule.wait_after(&busy()), Millis(100));
     assert_eq!(schedule.wait_after(&LoadReport::default()), Millis(600));
 }
--- a/crates/core/tests/online_request.rs
+++ b/crates/core/tests/online_request.rs
@@ -17,7 +17,7 @@
 use stallmoor_core::serving::online::stream_progress::{AcceptedEvents, StreamProgress};
 use stallmoor_core::serving::online::timeouts::AwaitedEvent;
 use stallmoor_core::serving::regions::AllowedRegions;
-use stallmoor_core::serving::request::RequestFacts;
+use stallmoor_core::serving::request::RequestAttributes;
 use stallmoor_core::serving::workers::connection_limit::connection_limit;
 use stallmoor_core::serving::workers::{Availability, Choice, WorkerId};
 use stallmoor_core::time::{Millis, Timestamp};
@@ -61,11 +61,11 @@
 }
 
 fn state(kind: RouteKind) -> RequestState {
-    state_of(route(kind), &RequestFacts::default())
+    state_of(route(kind), &RequestAttributes::default())
 }
 
-fn state_of(route: Route, facts: &RequestFacts) -> RequestState {
-    RequestState::new(Arc::new(route), facts, at(0))
+fn state_of(route: Route, attributes: &RequestAttributes) -> RequestState {
+    RequestState::new(Arc::new(route), attributes, at(0))
 }
 
 fn choice(queue_position: u32) -> Choice {
@@ -108,14 +108,14 @@
 
 #[test]
 fn deadline_is_the_earlier_of_route_timeout_and_caller_deadline() {
-    let facts = |deadline| RequestFacts { deadline, ..RequestFacts::default() };
-    let sooner = state_of(route(RESUMABLE), &facts(Some(Millis(900))));
+    let attributes = |deadline| RequestAttributes { deadline, ..RequestAttributes::default() };
+    let sooner = state_of(route(RESUMABLE), &attributes(Some(Millis(900))));
     assert_eq!(sooner.remaining(at(100)), Millis(800));
     assert_eq!(sooner.worker_deadline(at(100)), Some(Millis(800)));
-    let later = state_of(route(RESUMABLE), &facts(Some(Millis(9_000))));
+    let later = state_of(route(RESUMABLE), &attributes(Some(Millis(9_000))));
     assert_eq!(later.remaining(at(100)), Millis(4_900));
     assert_eq!(later.worker_deadline(at(100)), Some(Millis(4_900)));
-    let without_deadline = state_of(route(RESUMABLE), &facts(None));
+    let without_deadline = state_of(route(RESUMABLE), &attributes(None));
     assert_eq!(without_deadline.worker_deadline(at(100)), None);
     assert_eq!(without_deadline.remaining(at(9_000)), Millis(0));
 }
@@ -134,7 +134,7 @@
 fn head_timeout_is_the_maximum_of_half_the_objective_four_means_and_sixty_milliseconds() {
     let budget = full_budget();
     let timeout = |objective: u64, mean: u64| {
-        let state = state_of(Route { objective: Millis(objective), ..route(RESUMABLE) }, &RequestFacts::default());
+        let state = state_of(Route { objective: Millis(objective), ..route(RESUMABLE) }, &RequestAttributes::default());
         state.head_timeout(&budget, Millis(mean), at(0))
     };
     assert_eq!(timeout(400, 10), Millis(200));
@@ -163,7 +163,7 @@
     assert_eq!(state(RESUMABLE).head_timeout(&empty_budget(), Millis(10), now), all);
     assert_eq!(state(RESUMABLE).event_timeout(&empty_budget(), AwaitedEvent::Next, now), all);
     let mut last = state(RESUMABLE);
-    last.attempt_ended(&id("one"), AttemptEnd::Broken, &mut full_budget());
+    last.record_attempt_end(&id("one"), AttemptEnd::Broken, &mut full_budget());
     assert_eq!(last.head_timeout(&budget, Millis(10), now), all, "the second of two allowed attempts");
     assert_eq!(last.event_timeout(&budget, AwaitedEvent::Next, now), all);
 }
@@ -176,7 +176,7 @@
     assert_eq!(state.event_timeout(&budget, AwaitedEvent::Next, at(4_900)), Millis(100));
     assert_eq!(state.event_timeout(&budget, first(at(0), 10), at(50)), Millis(150));
     assert_eq!(state.event_timeout(&budget, first(at(0), 10), at(199)), Millis(20), "the head arrived late");
-    let without = state_of(Route { gap_target: None, ..route(RESUMABLE) }, &RequestFacts::default());
+    let without = state_of(Route { gap_target: None, ..route(RESUMABLE) }, &RequestAttributes::default());
     assert_eq!(without.event_timeout(&budget, AwaitedEvent::Next, at(0)), Millis(5_000));
 }
 
@@ -195,10 +195,10 @@
     assert!(shed(&new, 3, 301).is_some());
     assert_eq!(shed(&new, 0, 9_000), None, "a slot is free");
     assert_eq!(shed(&state(RouteKind::Repeatable), 3, 9_000), None, "not a stream");
-    let reconnect = RequestFacts { last_event: Some(4), ..RequestFacts::default() };
+    let reconnect = RequestAttributes { last_event: Some(4), ..RequestAttributes::default() };
     assert_eq!(shed(&state_of(route(RESUMABLE), &reconnect), 3, 9_000), None, "the caller already has events");
     let mut tried = state(RESUMABLE);
-    tried.attempt_started(&id("one"));
+    tried.record_attempt_start(&id("one"));
     assert_eq!(shed(&tried, 3, 9_000), None, "already attempted");
 }
 
@@ -221,7 +221,7 @@
 fn only_timeouts_are_charged_to_the_retry_budget() {
     let tokens_after = |end: AttemptEnd| {
         let mut budget = full_budget();
-        state(RESUMABLE).attempt_ended(&id("one"), end, &mut budget);
+        state(RESUMABLE).record_attempt_end(&id("one"), end, &mut budget);
         let mut left = 0;
         while budget.has_token() {
             budget.withdraw();
@@ -247,7 +247,7 @@
 #[test]
 fn refusal_states_whether_the_request_may_have_run() {
     let mut state = state(RouteKind::AtMostOnce);
-    state.attempt_ended(&id("one"), NOT_RUN, &mut full_budget());
+    state.record_attempt_end(&id("one"), NOT_RUN, &mut full_budget());
     let not_run_refusal = state.refusal(RefusalReason::LastAttempt(NOT_RUN));
     assert_eq!(
         (not_run_refusal.kind, not_run_refusal.ran, not_run_refusal.retry_after_ms),
@@ -255,7 +255,7 @@
     );
     assert_eq!(not_run_refusal.detail, "the last attempt ended as NotRun { other_instance: false }");
     assert_eq!(state.refusal(RefusalReason::NoWorker).kind, ErrorKind::NoEngine);
-    state.attempt_ended(&id("two"), AttemptEnd::Silent, &mut full_budget());
+    state.record_attempt_end(&id("two"), AttemptEnd::Silent, &mut full_budget());
     let unknown_refusal = state.refusal(RefusalReason::LastAttempt(AttemptEnd::Silent));
     assert_eq!((unknown_refusal.kind, unknown_refusal.ran), (ErrorKind::EngineLost, Ran::Unknown));
     assert_eq!(state.refusal(RefusalReason::NoWorker).kind, ErrorKind::EngineLost);
@@ -266,8 +266,8 @@
 fn interrupted_stream_is_retried_in_rounds_with_backoff_while_time_remains() {
     let mut state = state(RESUMABLE);
     let mut budget = full_budget();
-    state.attempt_started(&id("ran"));
-    state.attempt_ended(&id("ran"), AttemptEnd::Broken, &mut budget);
+    state.record_attempt_start(&id("ran"));
+    state.record_attempt_end(&id("ran"), AttemptEnd::Broken, &mut budget);
     assert!(state.may_resume());
     let mut rounds = ResumeRounds::default();
     let mut now = at(0);
@@ -275,8 +275,8 @@
     loop {
         for number in 0..6 {
             let worker = id(&format!("full-{number}"));
-            state.attempt_started(&worker);
-            state.attempt_ended(&worker, NOT_RUN, &mut budget);
+            state.record_attempt_start(&worker);
+            state.record_attempt_end(&worker, NOT_RUN, &mut budget);
         }
         assert!(!state.may_retry(), "a round ends after six workers without capacity");
         let Some(wait) = state.next_round(&mut rounds, now) else { break };
@@ -295,8 +295,8 @@
 fn stream_is_not_resumed_after_the_maximum_number_of_runs() {
     let mut state = state(RESUMABLE);
     let mut budget = full_budget();
-    state.attempt_ended(&id("one"), AttemptEnd::Broken, &mut budget);
-    state.attempt_ended(&id("two"), AttemptEnd::Broken, &mut budget);
+    state.record_attempt_end(&id("one"), AttemptEnd::Broken, &mut budget);
+    state.record_attempt_end(&id("two"), AttemptEnd::Broken, &mut budget);
     assert!(!state.may_resume());
     assert_eq!(state.next_round(&mut ResumeRounds::default(), at(0)), None);
 }
@@ -304,13 +304,13 @@
 #[test]
 fn slot_time_is_measured_only_if_one_worker_produced_the_whole_stream() {
     let mut new = state(RESUMABLE);
-    new.attempt_started(&id("one"));
+    new.record_attempt_start(&id("one"));
     assert!(new.was_served_by_one_worker());
-    new.attempt_started(&id("two"));
+    new.record_attempt_start(&id("two"));
     assert!(!new.was_served_by_one_worker());
-    let reconnect = RequestFacts { last_event: Some(4), ..RequestFacts::default() };
+    let reconnect = RequestAttributes { last_event: Some(4), ..RequestAttributes::default() };
     let mut reconnect = state_of(route(RESUMABLE), &reconnect);
-    reconnect.attempt_started(&id("one"));
+    reconnect.record_attempt_start(&id("one"));
     assert!(!reconnect.was_served_by_one_worker());
 }
 
@@ -345,7 +345,7 @@
     let draws = |targets: Vec<RouteTarget>| {
         let route = Route { targets, ..route(RESUMABLE) };
         let mut random = random();
-        let drawn = (0..1_000).map(|_| route.draw_service(&mut random).map(|service| service.to_string()));
+        let drawn = (0..1_000).map(|_| route.select_service(&mut random).map(|service| service.to_string()));
         drawn.collect::<Vec<_>>()
     };
     let count =
--- a/crates/core/tests/quota_simulation.rs
+++ b/crates/core/tests/quota_simulation.rs
@@ -177,7 +177,7 @@
         }
         for gateway in 0..scenario.gateways {
             if unanswered[gateway].is_some_and(|since| now >= since + REPORT_TIMEOUT_MS) {
-                limiters[gateway].report_failed();
+                limiters[gateway].record_report_failure();
             }
             if limiters[gateway].next_report(at(reported_at[gateway])) <= at(now) {
                 reported_at[gateway] = now;
@@ -359,7 +359,7 @@
     let mut limiter = RateLimiter::new(Arc::from("gateway"));
     let request = AdmissionRequest { tenant: &name, limit: limit(100.0, 160.0), has_waited: false };
     assert_eq!(limiter.admit(&request, 0.5, at(0)), Admission::AwaitLevel);
-    limiter.report_failed();
+    limiter.record_report_failure();
     let admitted = (0..20).filter(|_| limiter.admit(&request, 0.5, at(250)) == Admission::Admitted).count();
     assert_eq!(admitted, 10, "a sixteenth of the burst");
 }
--- a/crates/core/tests/record_grace.rs
+++ b/crates/core/tests/record_grace.rs
@@ -20,15 +20,15 @@
 
 /// Returns a view at time `now` that was last confirmed at `confirmed`.
 fn view(now: u64, confirmed: u64) -> ViewState {
-    ViewState { now: at(now), at: Some(Revision(3)), age: Some(Millis(now - confirmed)), asked_at: None }
+    ViewState { now: at(now), at: Some(Revision(3)), age: Some(Millis(now - confirmed)), last_request_at: None }
 }
 
-fn timed_out_call(begun: u64, ended: u64) -> FailedCall {
-    FailedCall { begun: at(begun), ended: at(ended), timed_out: true }
+fn timed_out_call(started_at: u64, failed_at: u64) -> FailedCall {
+    FailedCall { started_at: at(started_at), failed_at: at(failed_at), timed_out: true }
 }
 
-fn refused_call(ended: u64) -> FailedCall {
-    FailedCall { begun: at(ended - 1), ended: at(ended), timed_out: false }
+fn refused_call(failed_at: u64) -> FailedCall {
+    FailedCall { started_at: at(failed_at - 1), failed_at: at(failed_at), timed_out: false }
 }
 
 fn answer(age: u64, away: u64) -> ChangesAnswer {
@@ -46,7 +46,7 @@
 #[test]
 fn no_record_expires_in_a_short_outage() {
     let mut policy = WatchPolicy::new(BOUNDS);
-    policy.store_failed(WatchRole::Relay, view(1_000, 900), refused_call(1_000), 0.0);
+    policy.record_store_failure(WatchRole::Relay, view(1_000, 900), refused_call(1_000), 0.0);
     assert_eq!(policy.record_grace(view(2_799, 900)).expired_usable_until, None);
     assert!(policy.record_grace(view(2_800, 900)).expired_usable_until.is_some());
 }
@@ -54,12 +54,12 @@
 #[test]
 fn the_grace_after_an_outage_ends_a_contact_bound_after_the_last_failed_call() {
     let mut policy = WatchPolicy::new(BOUNDS);
-    policy.store_failed(WatchRole::Relay, view(1_000, 900), refused_call(1_000), 0.0);
-    policy.store_failed(WatchRole::Relay, view(5_000, 900), timed_out_call(4_000, 5_000), 0.0);
+    policy.record_store_failure(WatchRole::Relay, view(1_000, 900), refused_call(1_000), 0.0);
+    policy.record_store_failure(WatchRole::Relay, view(5_000, 900), timed_out_call(4_000, 5_000), 0.0);
     // 4,000 + 3,000, less 250 during which a request may be in flight.
     assert_eq!(policy.record_grace(view(5_200, 900)).expired_usable_until, Some(at(6_750)));
     assert_eq!(policy.record_grace(view(6_750, 900)).expired_usable_until, None, "the deadline has passed");
-    policy.store_failed(WatchRole::Relay, view(6_800, 900), refused_call(6_800), 0.0);
+    policy.record_store_failure(WatchRole::Relay, view(6_800, 900), refused_call(6_800), 0.0);
     // At most the two seconds in which expired records are rewritten.
     assert_eq!(policy.record_grace(view(6_810, 900)).expired_usable_until, Some(at(8_810)));
 }
@@ -67,23 +67,23 @@
 #[test]
 fn an_outage_that_has_ended_grants_no_grace() {
     let mut policy = WatchPolicy::new(BOUNDS);
-    policy.store_failed(WatchRole::Relay, view(1_000, 900), refused_call(1_000), 0.0);
-    assert_eq!(policy.store_answered(at(4_000)), Millis(3_000));
+    policy.record_store_failure(WatchRole::Relay, view(1_000, 900), refused_call(1_000), 0.0);
+    assert_eq!(policy.record_store_answer(at(4_000)), Millis(3_000));
     assert_eq!(policy.record_grace(view(4_100, 4_000)).expired_usable_until, None);
 }
 
 #[test]
 fn an_answer_of_a_disconnected_relay_is_no_sign_of_an_outage() {
     let mut policy = WatchPolicy::new(BOUNDS);
-    assert!(!policy.relay_answered(RELAY, &answer(5_000, 5_000), at(6_000)));
+    assert!(!policy.record_relay_answer(RELAY, &answer(5_000, 5_000), at(6_000)));
     assert_eq!(policy.record_grace(view(6_000, 1_000)).expired_usable_until, None);
-    assert_eq!(policy.away(at(6_000)), Millis(0));
+    assert_eq!(policy.outage_duration(at(6_000)), Millis(0));
 }
 
 #[test]
 fn an_outage_of_a_follower_starts_when_its_view_was_last_confirmed() {
     let mut policy = WatchPolicy::new(BOUNDS);
-    policy.store_failed(WatchRole::Follower, view(2_600, 1_000), refused_call(2_600), 0.0);
+    policy.record_store_failure(WatchRole::Follower, view(2_600, 1_000), refused_call(2_600), 0.0);
     assert!(policy.record_grace(view(2_800, 1_000)).expired_usable_until.is_some());
 }
 
@@ -98,15 +98,15 @@
 #[test]
 fn relays_that_failed_in_an_outage_are_queried_again_after_it() {
     let mut policy = WatchPolicy::new(BOUNDS);
-    policy.store_answered(at(0));
+    policy.record_store_answer(at(0));
     for failure in 0..4 {
-        policy.relay_failed(RELAY, at(failure * 500));
+        policy.record_relay_failure(RELAY, at(failure * 500));
     }
     let queries_relay =
-        |policy: &WatchPolicy| matches!(policy.next(view(9_000, 8_950), &[RELAY]), WatchStep::AskRelay { .. });
+        |policy: &WatchPolicy| matches!(policy.next(view(9_000, 8_950), &[RELAY]), WatchStep::QueryRelay { .. });
     assert!(!queries_relay(&policy), "its cooldown has not ended");
-    policy.store_failed(WatchRole::Follower, view(8_000, 900), refused_call(8_000), 0.0);
-    policy.store_answered(at(8_950));
+    policy.record_store_failure(WatchRole::Follower, view(8_000, 900), refused_call(8_000), 0.0);
+    policy.record_store_answer(at(8_950));
     assert!(queries_relay(&policy));
 }
 
@@ -121,10 +121,10 @@
         let mut policy = WatchPolicy::new(BOUNDS);
         let (mut now, mut unreachable_since) = (1_000, 0);
         for (pause, took, timed_out) in calls {
-            let (begun, ended) = (now + pause, now + pause + took);
-            (now, unreachable_since) = (ended, if timed_out { begun } else { ended });
-            let call = FailedCall { begun: at(begun), ended: at(ended), timed_out };
-            policy.store_failed(WatchRole::Follower, view(now, 900), call, 0.5);
+            let (started_at, failed_at) = (now + pause, now + pause + took);
+            (now, unreachable_since) = (failed_at, if timed_out { started_at } else { failed_at });
+            let call = FailedCall { started_at: at(started_at), failed_at: at(failed_at), timed_out };
+            policy.record_store_failure(WatchRole::Follower, view(now, 900), call, 0.5);
         }
         let read = now + delay;
         let grace = policy.record_grace(view(read, 900));
--- a/crates/core/tests/relay_answers.rs
+++ b/crates/core/tests/relay_answers.rs
@@ -4,7 +4,7 @@
 
 use stallmoor_core::identity::NodeId;
 use stallmoor_core::serving::relay::bounds::WatchBounds;
-use stallmoor_core::serving::relay::choice::RelayChoice;
+use stallmoor_core::serving::relay::choice::RelaySelector;
 use stallmoor_core::serving::relay::item::{KeyState, MetadataItem, Revision};
 use stallmoor_core::serving::relay::message::{ChangeSet, ChangesAnswer};
 use stallmoor_core::serving::relay::outage::FailedCall;
@@ -68,13 +68,13 @@
 
 #[test]
 fn the_cooldown_of_a_failed_relay_doubles_up_to_eight_times_the_first() {
-    let mut relays = RelayChoice::default();
+    let mut relays = RelaySelector::default();
     let mut now = at(0);
     for expected in [3_000, 6_000, 12_000, 24_000, 24_000] {
-        relays.failed(RELAY, Millis(3_000), now);
+        relays.record_failure(RELAY, Millis(3_000), now);
         assert_eq!(relays.time_until_usable(now, &[RELAY]), Some(Millis(expected)));
         now = now + Millis(expected);
-        assert_eq!(relays.usable(now, &[RELAY]), Some(RELAY));
+        assert_eq!(relays.first_usable(now, &[RELAY]), Some(RELAY));
     }
 }
 
@@ -86,8 +86,13 @@
         let mut now = at(0);
         let mut waits = Vec::new();
         for _ in 0..failures {
-            let view = ViewState { now, at: None, age: None, asked_at: None };
-            policy.store_failed(role, view, FailedCall { begun: now, ended: now, timed_out: false }, 0.5);
+            let view = ViewState { now, at: None, age: None, last_request_at: None };
+            policy.record_store_failure(
+                role,
+                view,
+                FailedCall { started_at: now, failed_at: now, timed_out: false },
+                0.5,
+            );
             let WatchStep::Wait(wait) = policy.next(view, &[]) else { panic!("the store is called without a backoff") };
             waits.push(wait.0);
             now = now + wait;
--- a/crates/core/tests/relay_simulation/main.rs
+++ b/crates/core/tests/relay_simulation/main.rs
@@ -77,9 +77,9 @@
 
 #[test]
 fn a_node_without_relays_watches_the_store_with_a_long_wait() {
-    let view = ViewState { now: at(0), at: Some(Revision(3)), age: Some(Millis(0)), asked_at: None };
+    let view = ViewState { now: at(0), at: Some(Revision(3)), age: Some(Millis(0)), last_request_at: None };
     let mut policy = WatchPolicy::new(BOUNDS);
     assert_eq!(policy.next(view, &[]), WatchStep::ListStore, "the view may be incomplete");
-    policy.store_answered(at(0));
+    policy.record_store_answer(at(0));
     assert_eq!(policy.next(view, &[]), WatchStep::WatchStore { since: Revision(3), wait: Millis(3_500) });
 }
--- a/crates/core/tests/relay_simulation/world.rs
+++ b/crates/core/tests/relay_simulation/world.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingCall {
     call: Call,
-    begun: u64,
+    started_at: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -68,7 +68,7 @@
     mirror: Mirror,
     /// Each worker has a service of its own, so that it is chosen whenever it is usable.
     workers: WorkerTable,
-    asked_at: Option<Timestamp>,
+    last_request_at: Option<Timestamp>,
     pending: Option<PendingCall>,
     paused_until: u64,
     pub faults: Faults,
@@ -198,9 +198,9 @@
     }
 
     fn view(&self, node: usize) -> ViewState {
-        let Node { mirror, asked_at, .. } = &self.nodes[node];
+        let Node { mirror, last_request_at, .. } = &self.nodes[node];
         let now = at(self.now);
-        ViewState { now, at: mirror.at(), age: mirror.age(now), asked_at: *asked_at }
+        ViewState { now, at: mirror.at(), age: mirror.age(now), last_request_at: *last_request_at }
     }
 
     /// Returns the relays of a node in the order in which it queries them. With forwarders, all other nodes query
@@ -245,7 +245,7 @@
             }
             WatchStep::ListStore => Call::List,
             WatchStep::WatchStore { since, wait } => Call::Watch { since: since.0, wait: wait.0 },
-            WatchStep::AskRelay { relay, hold, timeout } => {
+            WatchStep::QueryRelay { relay, hold, timeout } => {
                 // Without a view, everything since the beginning is requested.
                 let since = view.at.unwrap_or_default().0;
                 Call::Query { relay: relay.0 as usize - 1, since, hold: hold.0, timeout: timeout.0 }
@@ -254,22 +254,24 @@
         if !matches!(call, Call::Query { .. }) {
             self.nodes[node].store_calls += 1;
         }
-        self.nodes[node].pending = Some(PendingCall { call, begun: self.now });
+        self.nodes[node].pending = Some(PendingCall { call, started_at: self.now });
     }
 
     fn resolve_call(&mut self, node: usize) {
-        let Some(PendingCall { call, begun }) = self.nodes[node].pending else { return };
-        let elapsed = self.now - begun;
+        let Some(PendingCall { call, started_at }) = self.nodes[node].pending else { return };
+        let elapsed = self.now - started_at;
         if elapsed < 2 * ONE_WAY_DELAY {
             return;
         }
         let done = match call {
-            Call::List => self.resolve_store(node, begun, None),
-            Call::Watch { since, wait } => self.resolve_store(node, begun, Some((since, wait))),
-            Call::Query { relay, since, hold, timeout } => self.resolve_query(node, begun, relay, since, hold, timeout),
+            Call::List => self.resolve_store(node, started_at, None),
+            Call::Watch { since, wait } => self.resolve_store(node, started_at, Some((since, wait))),
+            Call::Query { relay, since, hold, timeout } => {
+                self.resolve_query(node, started_at, relay, since, hold, timeout)
+            }
         };
         let may_abandon = !matches!(call, Call::List) && self.role(node) == WatchRole::Relay;
-        let was_queried = self.nodes[node].asked_at.is_some_and(|asked| asked > at(begun));
+        let was_queried = self.nodes[node].last_request_at.is_some_and(|requested| requested > at(started_at));
         // A node that becomes a relay abandons a call that may take much longer to complete.
         let becomes_relay = was_queried && matches!(call, Call::Query { .. });
         if done || (may_abandon && becomes_relay) {
@@ -281,9 +283,9 @@
         self.nodes[node].policy.role(self.view(node), &self.relays_of(node))
     }
 
-    fn resolve_store(&mut self, node: usize, begun: u64, watch: Option<(u64, u64)>) -> bool {
+    fn resolve_store(&mut self, node: usize, started_at: u64, watch: Option<(u64, u64)>) -> bool {
         let (now, revision, role) = (self.now, self.revision, self.role(node));
-        let elapsed = now - begun;
+        let elapsed = now - started_at;
         let timeout = watch.map_or(CALL_TIMEOUT, |(_, wait)| wait + WATCH_MARGIN);
         let wait = watch.map_or(0, |(_, wait)| wait);
         let (listed, changes) = (self.listed(), self.changes_after(watch.map_or(u64::MAX, |(since, _)| since)));
@@ -295,12 +297,12 @@
             if !is_refused && elapsed < timeout {
                 return false;
             }
-            let call = FailedCall { begun: at(begun), ended: at(now), timed_out: !is_refused };
-            entry.policy.store_failed(role, view, call, jitter);
+            let call = FailedCall { started_at: at(started_at), failed_at: at(now), timed_out: !is_refused };
+            entry.policy.record_store_failure(role, view, call, jitter);
             return true;
         }
         if watch.is_some_and(|(since, _)| since < self.history_dropped_to) {
-            entry.policy.history_dropped();
+            entry.policy.record_compacted_history();
             return true;
         }
         let has_changes = watch.is_none_or(|(since, _)| since < revision);
@@ -308,38 +310,46 @@
             return false;
         }
         let grace = entry.policy.record_grace(view);
-        entry.policy.store_answered(at(now));
+        entry.policy.record_store_answer(at(now));
         let changed = match watch {
             None => entry.mirror.replace(listed, Revision(revision), grace.missing_keys()),
             Some(_) => entry.mirror.advance(changes, Revision(revision)),
         };
         entry.apply(&changed, &grace, at(now));
-        entry.mirror.confirm(at(if has_changes { begun } else { begun + wait }));
+        entry.mirror.confirm(at(if has_changes { started_at } else { started_at + wait }));
         if has_changes && watch.is_some() {
             entry.paused_until = now + entry.policy.pause(role).0;
         }
         true
     }
 
-    fn resolve_query(&mut self, node: usize, begun: u64, relay: usize, since: u64, hold: u64, timeout: u64) -> bool {
+    fn resolve_query(
+        &mut self,
+        node: usize,
+        started_at: u64,
+        relay: usize,
+        since: u64,
+        hold: u64,
+        timeout: u64,
+    ) -> bool {
         let now = self.now;
-        let elapsed = now - begun;
+        let elapsed = now - started_at;
         let faults = self.nodes[relay].faults;
         if elapsed >= timeout {
             let has_view = self.view(node).at.is_some();
             let policy = &mut self.nodes[node].policy;
             if has_view {
-                policy.relay_failed(id(relay), at(now))
+                policy.record_relay_failure(id(relay), at(now))
             } else {
-                policy.first_view_failed(id(relay), at(now))
+                policy.record_first_view_failure(id(relay), at(now))
             }
             return true;
         }
         if now < faults.frozen_until || now < faults.unreachable_until {
             return false;
         }
-        if self.nodes[relay].asked_at.is_none_or(|asked| asked < at(begun)) {
-            self.nodes[relay].asked_at = Some(at(begun + ONE_WAY_DELAY));
+        if self.nodes[relay].last_request_at.is_none_or(|requested| requested < at(started_at)) {
+            self.nodes[relay].last_request_at = Some(at(started_at + ONE_WAY_DELAY));
         }
         let Some(age) = self.nodes[relay].mirror.age(at(now)) else { return false };
         let relay_at = self.nodes[relay].mirror.at().expect("a view with an age has a revision");
@@ -348,20 +358,20 @@
             return false;
         }
         let held = Millis(elapsed - 2 * ONE_WAY_DELAY);
-        let away = self.nodes[relay].policy.away(at(now));
+        let away = self.nodes[relay].policy.outage_duration(at(now));
         let Some(changes) = self.nodes[relay].mirror.changes_since(Revision(since)) else { return false };
         let answer = ChangesAnswer { changes, age, away, held };
         let view = self.view(node);
         let entry = &mut self.nodes[node];
         let grace = entry.policy.record_grace(view);
-        entry.policy.relay_answered(id(relay), &answer, at(now));
+        entry.policy.record_relay_answer(id(relay), &answer, at(now));
         let ChangesAnswer { changes, .. } = answer;
         let changed = match changes.base {
             Some(_) => entry.mirror.advance(changes.items, changes.at),
             None => entry.mirror.replace(changes.items, changes.at, MissingKeys::Removed),
         };
         entry.apply(&changed, &grace, at(now));
-        let confirmed = (at(begun) + held).as_millis().saturating_sub(age.0);
+        let confirmed = (at(started_at) + held).as_millis().saturating_sub(age.0);
         entry.mirror.confirm(Timestamp::from_millis(confirmed));
         true
     }
@@ -439,7 +449,7 @@
             policy: WatchPolicy::new(BOUNDS),
             mirror: Mirror::default(),
             workers: WorkerTable::default(),
-            asked_at: None,
+            last_request_at: None,
             pending: None,
             paused_until: 0,
             faults: Faults::default(),
--- a/crates/core/tests/worker_choice.rs
+++ b/crates/core/tests/worker_choice.rs
@@ -118,7 +118,7 @@
     assert_eq!(table.mark_missing(&id("three"), at(2_000), at(0)), Some(WorkerChange::Missing(id("three"))));
     assert_eq!(table.ready_count(SERVICE, at(1_999)), 2);
     assert!(choose(&table, 1_999).is_some());
-    assert_eq!(table.upsert(worker("one", "a")), Some(WorkerChange::Seen(id("one"))));
+    assert_eq!(table.upsert(worker("one", "a")), Some(WorkerChange::Available(id("one"))));
     assert_eq!(
         table.mark_missing(&id("three"), at(3_000), at(1_000)),
         None,
@@ -166,13 +166,13 @@
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
     table.upsert(worker("three", "b"));
-    table.failed(&incarnation("one"), true, at(0));
+    table.record_failure(&incarnation("one"), true, at(0));
     assert_eq!(choose(&table, 100), Some(id("three")));
     assert_eq!(choose(&table, 400), Some(id("one")), "the local zone is preferred");
-    let first = table.failed(&incarnation("one"), true, at(400)).expect("the worker is known");
-    let second = table.failed(&incarnation("one"), true, at(400)).expect("the worker is known");
+    let first = table.record_failure(&incarnation("one"), true, at(400)).expect("the worker is known");
+    let second = table.record_failure(&incarnation("one"), true, at(400)).expect("the worker is known");
     assert!(second > first);
-    table.succeeded(&incarnation("one"), Millis(30), at(500));
+    table.record_success(&incarnation("one"), Millis(30), at(500));
     assert_eq!(choose(&table, 501), Some(id("one")));
 }
 
@@ -184,14 +184,14 @@
     for name in ["one", "three", "seven77"] {
         table.upsert(worker(name, "a"));
     }
-    table.started(&incarnation("three"), &prefix, 100_000, at(0));
-    table.ended(&incarnation("three"));
+    table.record_start(&incarnation("three"), &prefix, 100_000, at(0));
+    table.record_end(&incarnation("three"));
     let chosen =
         |table: &WorkerTable| table.choose(&query(&prefix, &[]), at(10), &mut random()).expect("a worker is available");
     assert_eq!(chosen(&table).id, id("three"));
     assert_eq!(chosen(&table).cached_tokens, 6_100);
     for _ in 0..10 {
-        table.started(&incarnation("three"), &[], 100_000, at(10));
+        table.record_start(&incarnation("three"), &[], 100_000, at(10));
     }
     assert_ne!(chosen(&table).id, id("three"));
 }
@@ -203,7 +203,11 @@
     table.upsert(worker("three", "a"));
     table.set_shared_loads(&[WorkerCount { worker: id("one"), requests: 6 }], at(0));
     assert_eq!(choose(&table, 10), Some(id("three")));
-    table.reported(&incarnation("three"), WorkerLoad { running: 8, waiting: 4, slowdown: Slowdown::default() }, at(10));
+    table.record_load(
+        &incarnation("three"),
+        WorkerLoad { running: 8, waiting: 4, slowdown: Slowdown::default() },
+        at(10),
+    );
     assert_eq!(choose(&table, 15), Some(id("one")), "the load reported by the worker is newer");
     table.set_shared_loads(&[WorkerCount { worker: id("one"), requests: 6 }], at(20));
     assert_eq!(choose(&table, 25), Some(id("three")), "the peer loads are newer");
@@ -261,9 +265,9 @@
     assert_eq!(table.local_report(at(50)), vec![], "peer ejections are not forwarded");
     assert_eq!(choose(&table, 600), Some(id("one")), "the reported ejection expired");
     apply(&mut table, 2, None, 700);
-    table.succeeded(&incarnation("one"), Millis(50), at(710));
+    table.record_success(&incarnation("one"), Millis(50), at(710));
     assert_eq!(choose(&table, 720), Some(id("one")), "a local success ends the ejection");
-    table.failed(&incarnation("one"), false, at(800));
+    table.record_failure(&incarnation("one"), false, at(800));
     assert_eq!(table.local_report(at(810)).iter().map(|report| report.ejected_by).collect::<Vec<_>>(), vec![1]);
 }
 
@@ -369,7 +373,7 @@
         table.upsert(worker("other", "a"));
         let mut started = 0;
         while let Some(choice) = table.choose_for_batch(&query(&[], &[]), online_per_s, at(0), &mut random()) {
-            table.started(&choice.incarnation(), &[], 0, at(0));
+            table.record_start(&choice.incarnation(), &[], 0, at(0));
             started += 1;
             assert!(started <= 16);
         }
@@ -398,8 +402,8 @@
     table.upsert(worker("one", "a"));
     let mut started = 0;
     while let Some(choice) = table.choose_for_batch(&query(&[], &[]), 0, at(0), &mut random()) {
-        table.started(&choice.incarnation(), &[], 0, at(0));
-        table.batch_started(&choice.incarnation());
+        table.record_start(&choice.incarnation(), &[], 0, at(0));
+        table.record_batch_start(&choice.incarnation());
         started += 1;
         assert!(started <= 8);
     }
@@ -422,7 +426,7 @@
         table.service_times(SERVICE).record_slot_time(Millis(800));
         table.set_shared_loads(&[WorkerCount { worker: id("one"), requests: load }], at(0));
         let choice = table.choose(&query(&[], &[]), at(0), &mut random()).expect("a worker is available");
-        table.first_event(SERVICE, &choice, Millis(30), at(100));
+        table.record_first_event(SERVICE, &choice, Millis(30), at(100));
         table.set_shared_loads(&[], at(100));
         let choice = table.choose(&query(&[], &[]), at(100), &mut random()).expect("a worker is available");
         table.expected_time_to_first_event(SERVICE, &choice)
@@ -437,7 +441,7 @@
         let mut table = WorkerTable::default();
         table.upsert(worker("one", "a"));
         table.upsert(worker("three", "b"));
-        table.attempt_ended(&incarnation("one"), end, at(0));
+        table.record_attempt_end(&incarnation("one"), end, at(0));
         choose(&table, millis)
     };
     for end in [AttemptEnd::Broken, AttemptEnd::Silent, AttemptEnd::Failed { status: 500 }] {
@@ -468,16 +472,20 @@
     let mut table = WorkerTable::default();
     let (before, after) = (worker_started_at("one", 5_000), worker_started_at("one", 9_000));
     table.upsert(before.clone());
-    table.started(&before.incarnation(), &[], 0, at(0));
-    table.reported(&before.incarnation(), WorkerLoad { running: 8, waiting: 8, slowdown: Slowdown::default() }, at(0));
+    table.record_start(&before.incarnation(), &[], 0, at(0));
+    table.record_load(
+        &before.incarnation(),
+        WorkerLoad { running: 8, waiting: 8, slowdown: Slowdown::default() },
+        at(0),
+    );
     for _ in 0..4 {
-        table.failed(&before.incarnation(), true, at(0));
+        table.record_failure(&before.incarnation(), true, at(0));
     }
     table.upsert(WorkerRecord { draining: true, ..before.clone() });
     assert_eq!(choose(&table, 1), None);
     assert_eq!(
         table.upsert(after.clone()),
-        Some(WorkerChange::Seen(id("one"))),
+        Some(WorkerChange::Available(id("one"))),
         "the worker restarted under the same id"
     );
     let choice = table.choose(&query(&[], &[]), at(1), &mut random()).expect("the worker accepts requests");
@@ -487,16 +495,16 @@
         "the new incarnation has no load and is not ejected"
     );
     // Ends of requests to the previous incarnation, and its record, do not affect this one.
-    table.started(&after.incarnation(), &[], 0, at(2));
-    table.ended(&before.incarnation());
-    table.failed(&before.incarnation(), true, at(2));
-    table.attempt_ended(&before.incarnation(), AttemptEnd::NotRun { other_instance: true }, at(2));
+    table.record_start(&after.incarnation(), &[], 0, at(2));
+    table.record_end(&before.incarnation());
+    table.record_failure(&before.incarnation(), true, at(2));
+    table.record_attempt_end(&before.incarnation(), AttemptEnd::NotRun { other_instance: true }, at(2));
     assert_eq!(table.upsert(before), None);
     let choice = table.choose(&query(&[], &[]), at(3), &mut random()).expect("the worker accepts requests");
     assert_eq!((choice.load, choice.started_at), (1, after.started_at));
-    table.failed(&after.incarnation(), true, at(3));
+    table.record_failure(&after.incarnation(), true, at(3));
     assert_eq!(
-        table.failed(&after.incarnation(), true, at(3)),
+        table.record_failure(&after.incarnation(), true, at(3)),
         Some(Millis(600)),
         "failures are counted per incarnation"
     );
@@ -506,10 +514,10 @@
 fn worker_without_start_time_keeps_one_incarnation() {
     let mut table = WorkerTable::default();
     table.upsert(worker("one", "a"));
-    table.started(&incarnation("one"), &[], 0, at(0));
+    table.record_start(&incarnation("one"), &[], 0, at(0));
     // A record that newly includes the start time describes the same worker.
     table.upsert(worker_started_at("one", 5_000));
-    table.ended(&incarnation("one"));
+    table.record_end(&incarnation("one"));
     let choice = table.choose(&query(&[], &[]), at(1), &mut random()).expect("the worker accepts requests");
     assert_eq!((choice.load, choice.started_at), (0, Some(UnixMillis(5_000))));
     table.upsert(worker("one", "a"));
--- a/crates/gateway/src/adapter/dialect.rs
+++ b/crates/gateway/src/adapter/dialect.rs
@@ -10,7 +10,7 @@
 use stallmoor_core::serving::configuration::tenant::{ApiKey, CallerIdentity, TenantName};
 use stallmoor_core::serving::jobs::command::{JobItem, JobKey, Submission};
 use stallmoor_core::serving::jobs::table::ResultPage;
-use stallmoor_core::serving::request::RequestFacts;
+use stallmoor_core::serving::request::RequestAttributes;
 use stallmoor_core::serving::workers::{WorkerId, WorkerLoad};
 use stallmoor_core::time::{Millis, UnixMillis};
 
@@ -69,7 +69,7 @@
 
 /// Metadata of a worker's answer, parsed from its status and headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct AnswerAttributes {
     /// Id of the request that the answer belongs to.
     pub request_id: Option<Arc<str>>,
     /// Whether the worker states that it did not run the request.
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// Fails if a required header is missing or a header is malformed.
-    fn request_facts(&self, headers: &HeaderMap) -> Result<RequestFacts, BadRequest>;
+    fn request_facts(&self, headers: &HeaderMap) -> Result<RequestAttributes, BadRequest>;
 
     /// Parses the submission of a batch job.
     ///
@@ -115,7 +115,7 @@
     /// Fails if the body is not a valid job.
     fn submission(
         &self,
-        facts: &RequestFacts,
+        attributes: &RequestAttributes,
         route: &Route,
         tenant: Option<&TenantName>,
         body: &Bytes,
@@ -127,13 +127,13 @@
     fn attempt_headers(&self, headers: &HeaderMap, context: &AttemptContext<'_>) -> HeaderMap;
 
     /// Returns the properties of a batch item's request.
-    fn item_facts(&self, item: &JobItem) -> RequestFacts;
+    fn item_facts(&self, item: &JobItem) -> RequestAttributes;
 
     /// Builds the headers of a worker request for a batch item.
     fn item_headers(&self, item: &JobItem, host: &str, context: &AttemptContext<'_>) -> HeaderMap;
 
     /// Parses the metadata of a worker's answer.
-    fn answer_facts(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
+    fn answer_facts(&self, status: StatusCode, headers: &HeaderMap) -> AnswerAttributes;
 
     /// Builds the headers of the answer to the caller from the worker's headers.
     fn answer_headers(&self, headers: &HeaderMap) -> HeaderMap;
--- a/crates/gateway/src/adapter/metadata.rs
+++ b/crates/gateway/src/adapter/metadata.rs
@@ -19,7 +19,7 @@
     /// A worker's record was added or changed.
     Worker(WorkerRecord),
     /// A worker's record was removed.
-    WorkerGone {
+    WorkerRemoved {
         /// Id of the worker.
         worker: WorkerId,
         /// Time until which the worker may be used if its service has no other.
@@ -62,7 +62,7 @@
         absence: Millis,
     },
     /// The store is unreachable.
-    StoreLost {
+    StoreUnreachable {
         /// Description of the failure.
         detail: String,
     },
@@ -74,7 +74,7 @@
     pub fn without_record(worker: WorkerId, state: &KeyState, grace: &RecordGrace) -> Self {
         match (state, grace.expired_usable_until) {
             (KeyState::Lapsed, Some(until)) => Self::WorkerMissing { worker, until },
-            _ => Self::WorkerGone { worker, usable_until: grace.removed_usable_until },
+            _ => Self::WorkerRemoved { worker, usable_until: grace.removed_usable_until },
         }
     }
 }
--- a/crates/gateway/src/batch/job_calls.rs
+++ b/crates/gateway/src/batch/job_calls.rs
@@ -13,7 +13,7 @@
 use stallmoor_core::serving::jobs::request::{JobsAnswer, JobsRequest};
 use stallmoor_core::serving::leader::search::NoLeader;
 use stallmoor_core::serving::regions::AllowedRegions;
-use stallmoor_core::serving::request::RequestFacts;
+use stallmoor_core::serving::request::RequestAttributes;
 use stallmoor_core::time::{Millis, Timestamp};
 
 use crate::adapter::dialect::{Dialect, JobCall};
@@ -38,7 +38,7 @@
 /// An admitted request to submit a batch job.
 pub struct JobSubmission<'a> {
     /// Properties parsed from the headers.
-    pub facts: &'a RequestFacts,
+    pub attributes: &'a RequestAttributes,
     /// Route that the request matched.
     pub route: &'a Route,
     /// Version of the configuration that defines the route.
@@ -64,16 +64,16 @@
 impl JobCalls {
     /// Submits a job to the leader of the job table.
     pub async fn submit(&self, request: JobSubmission<'_>, arrived_at: Timestamp) -> Response<AnswerBody> {
-        let JobSubmission { facts, route, version, identity, regions, body } = request;
+        let JobSubmission { attributes, route, version, identity, regions, body } = request;
         if let Some(refused) = self.refuse_outside_regions(regions) {
             return refusal::answer(&refused);
         }
         let received_at = self.view.clock.wall_time();
-        let submission = match self.dialect.submission(facts, route, identity.tenant(), body, received_at) {
+        let submission = match self.dialect.submission(attributes, route, identity.tenant(), body, received_at) {
             Ok(submission) => Submission { configuration_version: version, ..submission },
             Err(error) => return refusal::from_kind(ErrorKind::MalformedRequest, &error.detail),
         };
-        let timeout = facts.deadline.unwrap_or(SUBMIT_TIMEOUT).min(SUBMIT_TIMEOUT).min(route.timeout);
+        let timeout = attributes.deadline.unwrap_or(SUBMIT_TIMEOUT).min(SUBMIT_TIMEOUT).min(route.timeout);
         let key = submission.key.clone();
         let items = submission.items.len() as u64;
         let result = self.client.send_request(JobsRequest::Submit(submission), arrived_at + timeout).await;
@@ -148,7 +148,7 @@
             Field::number("age_ms", self.view.clock.now().since(arrived_at).0),
         ];
         record(LogEvent::JobAccepted, &fields);
-        measures::submitted(match result {
+        measures::count_submission(match result {
             Ok(JobsAnswer::Accepted | JobsAnswer::Ended) => "accepted",
             Ok(JobsAnswer::OverQuota { .. }) => "over_quota",
             Ok(JobsAnswer::NoRoom) => "no_room",
--- a/crates/gateway/src/callers/server.rs
+++ b/crates/gateway/src/callers/server.rs
@@ -24,7 +24,7 @@
     self, AdmittedRoute, CONFIGURATION_TIMEOUT, RequestAddress, admit_job_call,
 };
 use stallmoor_core::serving::regions::AllowedRegions;
-use stallmoor_core::serving::request::RequestFacts;
+use stallmoor_core::serving::request::RequestAttributes;
 use stallmoor_core::time::Timestamp;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -50,7 +50,7 @@
     /// Normal operation.
     Serving,
     /// The node reports itself as not ready but still accepts requests.
-    Leaving,
+    NotReady,
     /// Each connection is closed after its current request.
     Closing,
 }
@@ -116,7 +116,7 @@
     async fn handle(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let arrived_at = self.workers.view.clock.now();
         let mut response = self.answer(request, arrived_at).await;
-        if *self.stop.borrow() >= StopPhase::Leaving {
+        if *self.stop.borrow() >= StopPhase::NotReady {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
@@ -127,9 +127,11 @@
         match self.admit(request, arrived_at).await {
             Ok(Admitted::Call(call, caller)) => self.jobs.call(call, caller, arrived_at).await,
             Ok(Admitted::Job(job)) => {
-                let AdmittedJob { facts, route, version, identity, regions, body } = &job;
+                let AdmittedJob { attributes, route, version, identity, regions, body } = &job;
                 let (version, route) = (*version, &**route);
-                self.jobs.submit(JobSubmission { facts, route, version, identity, regions, body }, arrived_at).await
+                self.jobs
+                    .submit(JobSubmission { attributes, route, version, identity, regions, body }, arrived_at)
+                    .await
             }
             Ok(Admitted::Online(request)) => match self.limits.admit(&request.identity).await {
                 Ok(()) => online::serve(self.workers.clone(), *request).await,
@@ -158,14 +160,14 @@
             return Ok(Admitted::Call(call, admit_job_call(&configuration, address)?));
         }
         let AdmittedRoute { route, identity, regions } = admission::admit(&configuration, address)?;
-        let facts = dialect.request_facts(&parts.headers).map_err(malformed)?;
+        let attributes = dialect.request_facts(&parts.headers).map_err(malformed)?;
         let body = read_body(body, configuration.bounds.body_bytes).await?;
         if route.kind == RouteKind::Batch {
             let version = configuration.version;
-            return Ok(Admitted::Job(AdmittedJob { facts, route, version, identity, regions, body }));
+            return Ok(Admitted::Job(AdmittedJob { attributes, route, version, identity, regions, body }));
         }
         let Parts { method, uri: target, headers, .. } = parts;
-        let request = OnlineRequest { method, target, headers, body, facts, route, identity, regions, arrived_at };
+        let request = OnlineRequest { method, target, headers, body, attributes, route, identity, regions, arrived_at };
         Ok(Admitted::Online(Box::new(request)))
     }
 
@@ -193,7 +195,7 @@
 
 /// An admitted batch job; owns what [`JobSubmission`] borrows.
 struct AdmittedJob {
-    facts: RequestFacts,
+    attributes: RequestAttributes,
     route: Arc<Route>,
     version: u64,
     identity: CallerIdentity,
--- a/crates/gateway/src/fleet/fleet_view.rs
+++ b/crates/gateway/src/fleet/fleet_view.rs
@@ -168,7 +168,8 @@
         for digest in crash.keys.digests() {
             let (quarantine, count) = {
                 let mut crashes = self.crashes();
-                let quarantine = crashes.crashed(digest, crash.worker.clone(), crash.progress, self.clock.wall_time());
+                let quarantine =
+                    crashes.record_local_crash(digest, crash.worker.clone(), crash.progress, self.clock.wall_time());
                 (quarantine, crashes.count(digest))
             };
             let fields = [
@@ -176,7 +177,7 @@
                 Field::text("request", &crash.request),
                 Field::text("digest", digest),
                 Field::number("events", crash.progress),
-                Field::number("known", count.known as u64),
+                Field::number("known", count.observed as u64),
                 Field::number("counted", count.counted as u64),
             ];
             record(LogEvent::WorkerCrashed, &fields);
@@ -189,7 +190,7 @@
     pub fn record_completion(&self, request: &str, keys: RequestKeys) {
         let now = self.clock.wall_time();
         for digest in keys.digests() {
-            let Some(before) = self.crashes().completed(digest, now) else { continue };
+            let Some(before) = self.crashes().record_local_completion(digest, now) else { continue };
             self.crash_report_needed.notify_one();
             log_crashes_cleared(request, digest, before);
         }
@@ -247,7 +248,7 @@
                 let change = self.workers().apply_record(worker.clone(), self.clock.now());
                 log_worker_change(change, Some(Field::text("address", worker.address)));
             }
-            FleetUpdate::WorkerGone { worker, usable_until } => self.remove_worker(worker, *usable_until),
+            FleetUpdate::WorkerRemoved { worker, usable_until } => self.remove_worker(worker, *usable_until),
             FleetUpdate::WorkerMissing { worker, until } => self.mark_worker_missing(worker, *until),
             FleetUpdate::ZoneEvacuation { zone, evacuated } => self.set_zone_evacuation(zone, *evacuated),
             FleetUpdate::Synced => self.is_synced.store(true, Ordering::Relaxed),
@@ -262,7 +263,7 @@
             FleetUpdate::StoreRecovered { absence } => {
                 record(LogEvent::PlatformRecovered, &[Field::number("absence_ms", absence.0)]);
             }
-            FleetUpdate::StoreLost { detail } => {
+            FleetUpdate::StoreUnreachable { detail } => {
                 record(LogEvent::PlatformUnavailable, &[Field::text("detail", detail)])
             }
             FleetUpdate::DrainMachine { .. } => {}
@@ -277,7 +278,7 @@
             return;
         }
         record(LogEvent::ConfigurationInForce, &[Field::number("version", configuration.version)]);
-        measures::configuration_in_force(configuration.version);
+        measures::set_configuration_version(configuration.version);
         self.workers().set_cold_starts(configuration.cold_starts());
         *current = Some(configuration.clone());
     }
@@ -340,7 +341,7 @@
     let fields = [
         Field::text("request", request),
         Field::text("digest", digest),
-        Field::number("known", before.known as u64),
+        Field::number("known", before.observed as u64),
         Field::number("counted", before.counted as u64),
     ];
     record(LogEvent::CrashesCleared, &fields);
@@ -364,9 +365,9 @@
 fn log_worker_change(change: Option<WorkerChange>, detail: Option<Field>) {
     let (event, id) = match change {
         None => return,
-        Some(WorkerChange::Seen(id)) => (LogEvent::WorkerSeen, id),
+        Some(WorkerChange::Available(id)) => (LogEvent::WorkerSeen, id),
         Some(WorkerChange::Draining(id)) => (LogEvent::WorkerDraining, id),
-        Some(WorkerChange::Gone(id)) => (LogEvent::WorkerGone, id),
+        Some(WorkerChange::Removed(id)) => (LogEvent::WorkerGone, id),
         Some(WorkerChange::Missing(id)) => (LogEvent::WorkerMissing, id),
     };
     let fields: Vec<Field> = std::iter::once(Field::text("worker", id)).chain(detail).collect();
--- a/crates/gateway/src/fleet/metadata_view.rs
+++ b/crates/gateway/src/fleet/metadata_view.rs
@@ -86,7 +86,7 @@
     pub fn state(&self) -> ViewState {
         let now = self.clock.now();
         let state = self.lock();
-        ViewState { now, at: state.mirror.at(), age: state.mirror.age(now), asked_at: state.last_request_at }
+        ViewState { now, at: state.mirror.at(), age: state.mirror.age(now), last_request_at: state.last_request_at }
     }
 
     /// Waits until a request from another node arrives.
@@ -150,8 +150,8 @@
     /// # Errors
     ///
     /// The same as [`MetadataView::answer`].
-    pub async fn follow(&self, request: ChangesRequest) -> Result<GroupAnswerBody, GroupRefusal> {
-        if self.lock().mirror.knows_changes_since(request.since) {
+    pub async fn answer_follower(&self, request: ChangesRequest) -> Result<GroupAnswerBody, GroupRefusal> {
+        if self.lock().mirror.has_changes_since(request.since) {
             return self.answer(request).await.map(GroupAnswerBody::Changes);
         }
         let received_at = self.clock.now();
