--- a/crates/gateway/src/fleet/metadata_watch.rs
+++ b/crates/gateway/src/fleet/metadata_watch.rs
@@ -64,9 +64,11 @@
             let RelayPlan { tier, relays } = plan_relays(&self.fleet.storage(), &self.fleet.zone, self.id);
             self.policy.set_tier(tier);
             self.set_role(self.policy.role(state, &relays));
-            measures::view_age(state.age.unwrap_or_default());
+            measures::set_view_age(state.age.unwrap_or_default());
             match self.policy.next(state, &relays) {
-                WatchStep::AskRelay { relay, hold, timeout } => self.query_relay(relay, state.at, hold, timeout).await,
+                WatchStep::QueryRelay { relay, hold, timeout } => {
+                    self.query_relay(relay, state.at, hold, timeout).await
+                }
                 WatchStep::DiscoverRelays => self.discover_relays().await,
                 WatchStep::ListStore => self.list_store().await,
                 WatchStep::WatchStore { since, wait } => self.watch_store(since, wait).await,
@@ -75,7 +77,7 @@
                     let _ = self.run_until_requested(tokio::time::sleep(as_duration(span))).await;
                 }
             }
-            self.view.set_unreachable_for(self.policy.away(self.fleet.clock.now()));
+            self.view.set_unreachable_for(self.policy.outage_duration(self.fleet.clock.now()));
         }
     }
 
@@ -121,22 +123,22 @@
 
     /// Reads the records of storage nodes, which can then serve as relays for everything else in the store.
     async fn discover_relays(&mut self) {
-        let begun = self.fleet.clock.now();
-        measures::store_call("seek");
+        let started_at = self.fleet.clock.now();
+        measures::count_store_call("seek");
         match self.store.storage_records().await {
             Ok(records) => {
                 for item in records {
                     self.fleet.apply(&FleetUpdate::InternalItem(item));
                 }
-                self.policy.relays_discovered(begun);
+                self.policy.relays_discovered(started_at);
             }
-            Err(failure) => self.store_failed(failure, begun),
+            Err(failure) => self.record_store_failure(failure, started_at),
         }
     }
 
     fn apply_answer(&mut self, relay: NodeId, answer: ChangesAnswer, requested_at: Timestamp) {
         let grace = self.policy.record_grace(self.view.state());
-        let is_fresh = self.policy.relay_answered(relay, &answer, self.fleet.clock.now());
+        let is_fresh = self.policy.record_relay_answer(relay, &answer, self.fleet.clock.now());
         let confirmed = answer.confirmed_at(requested_at);
         let ChangesAnswer { changes, age, away, .. } = answer;
         let changed = match changes.base {
@@ -158,9 +160,9 @@
 
     fn handle_relay_failure(&mut self, relay: NodeId, now: Timestamp, reason: &str) {
         if self.view.state().at.is_none() {
-            return self.policy.first_view_failed(relay, now);
+            return self.policy.record_first_view_failure(relay, now);
         }
-        self.policy.relay_failed(relay, now);
+        self.policy.record_relay_failure(relay, now);
         if self.followed_relay == Some(relay) {
             self.log_relay_left(relay, reason);
         }
@@ -174,17 +176,17 @@
     }
 
     async fn list_store(&mut self) {
-        let begun = self.fleet.clock.now();
-        measures::store_call("list");
+        let started_at = self.fleet.clock.now();
+        measures::count_store_call("list");
         match self.store.list().await {
             Ok(ItemSnapshot { items, at }) => {
                 let grace = self.policy.record_grace(self.view.state());
-                self.store_answered();
-                let changed = self.view.replace(items, at, grace.missing_keys(), begun);
+                self.record_store_answer();
+                let changed = self.view.replace(items, at, grace.missing_keys(), started_at);
                 self.publish(&changed, &grace);
                 self.report_synced();
             }
-            Err(failure) => self.store_failed(failure, begun),
+            Err(failure) => self.record_store_failure(failure, started_at),
         }
     }
 
@@ -197,41 +199,41 @@
     }
 
     async fn watch_store(&mut self, since: Revision, wait: Millis) {
-        let begun = self.fleet.clock.now();
-        measures::store_call("watch");
+        let started_at = self.fleet.clock.now();
+        measures::count_store_call("watch");
         let store = self.store.clone();
         let Some(result) = self.run_until_requested(store.changes(since, wait)).await else { return };
         match result {
             Ok(ItemSnapshot { items, at }) => {
                 let grace = self.policy.record_grace(self.view.state());
-                self.store_answered();
+                self.record_store_answer();
                 let has_changes = !items.is_empty();
                 let now = self.fleet.clock.now();
-                let confirmed = WatchPolicy::watch_confirmed_at(begun, wait, has_changes, now);
+                let confirmed = WatchPolicy::watch_confirmed_at(started_at, wait, has_changes, now);
                 let changed = self.view.advance(items, at, confirmed);
                 self.publish(&changed, &grace);
                 if has_changes {
                     tokio::time::sleep(as_duration(self.policy.pause(self.role))).await;
                 }
             }
-            Err(ReadFailure::HistoryGone) => self.policy.history_dropped(),
-            Err(failure) => self.store_failed(failure, begun),
+            Err(ReadFailure::HistoryGone) => self.policy.record_compacted_history(),
+            Err(failure) => self.record_store_failure(failure, started_at),
         }
     }
 
-    fn store_answered(&mut self) {
-        let absence = self.policy.store_answered(self.fleet.clock.now());
+    fn record_store_answer(&mut self) {
+        let absence = self.policy.record_store_answer(self.fleet.clock.now());
         if absence > Millis(0) {
             self.send(FleetUpdate::StoreRecovered { absence });
         }
     }
 
-    fn store_failed(&mut self, failure: ReadFailure, begun: Timestamp) {
-        let ended = self.fleet.clock.now();
-        let call = FailedCall { begun, ended, timed_out: failure == ReadFailure::TimedOut };
+    fn record_store_failure(&mut self, failure: ReadFailure, started_at: Timestamp) {
+        let failed_at = self.fleet.clock.now();
+        let call = FailedCall { started_at, failed_at, timed_out: failure == ReadFailure::TimedOut };
         let spread = self.fleet.random().random::<f64>();
-        if self.policy.store_failed(self.role, self.view.state(), call, spread) {
-            self.send(FleetUpdate::StoreLost { detail: format!("{failure:?}") });
+        if self.policy.record_store_failure(self.role, self.view.state(), call, spread) {
+            self.send(FleetUpdate::StoreUnreachable { detail: format!("{failure:?}") });
         }
     }
 
--- a/crates/gateway/src/leader/client.rs
+++ b/crates/gateway/src/leader/client.rs
@@ -53,7 +53,7 @@
                 SearchStep::TimedOut(failure) => return Err(failure),
             };
             let outcome = self.try_node(target, request.clone(), timeout).await;
-            match search.tried(target.node, outcome) {
+            match search.record_outcome(target.node, outcome) {
                 SearchDecision::Done(answer) => {
                     log_unexpected(target.address, &request, &answer);
                     self.set_leader(Some(target.node));
--- a/crates/gateway/src/leader/load_exchange.rs
+++ b/crates/gateway/src/leader/load_exchange.rs
@@ -24,11 +24,11 @@
         let partner = schedule.partner(&view.storage(), &view.zone, id, view.clock.now());
         match exchange.exchange(partner, local_load.clone()).await {
             Some(loads) => {
-                schedule.answered(partner, &loads);
+                schedule.record_answer(partner, &loads);
                 view.workers().apply_report(&loads, view.clock.now());
                 view.record_gateway_count(loads.nodes + 1);
             }
-            None => schedule.failed(partner, view.clock.now()),
+            None => schedule.record_failure(partner, view.clock.now()),
         }
         tokio::time::sleep(Duration::from_millis(schedule.wait_after(&local_load).0)).await;
     }
--- a/crates/gateway/src/leader/rate_limits.rs
+++ b/crates/gateway/src/leader/rate_limits.rs
@@ -103,14 +103,14 @@
             // The age of the levels counts from the arrival of the answer.
             Ok(JobsAnswer::Quota(levels)) => limits.limiter().apply(&report, &levels, clock.now()),
             // This gateway's share of the limits applies. The client has logged an unexpected answer.
-            Ok(_) | Err(_) => limits.limiter().report_failed(),
+            Ok(_) | Err(_) => limits.limiter().record_report_failure(),
         }
         limits.reports_done.send_modify(|count| *count += 1);
     }
 }
 
 fn rate_refusal(tenant: &TenantName, over_limit: OverLimit) -> Refusal {
-    measures::rate_refused();
+    measures::count_rate_refusal();
     let age = over_limit.age.map_or_else(|| "never told".to_owned(), |age| format!("told {} ms ago", age.0));
     let detail = format!("the tenant {tenant} has {:.2} requests left at this gateway, {age}", over_limit.remaining);
     Refusal::new(ErrorKind::RateExceeded, detail).with_retry_after(over_limit.retry_after.0)
--- a/crates/gateway/src/observe/log_writer.rs
+++ b/crates/gateway/src/observe/log_writer.rs
@@ -33,7 +33,7 @@
 /// # Errors
 ///
 /// Fails if a logger is already installed or the writer thread cannot be spawned.
-pub fn set_up(level: LevelFilter) -> io::Result<()> {
+pub fn install_logger(level: LevelFilter) -> io::Result<()> {
     let (lines, queued) = sync_channel(MAX_QUEUED_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
     let dropped_count = dropped.clone();
--- a/crates/gateway/src/observe/measures.rs
+++ b/crates/gateway/src/observe/measures.rs
@@ -63,7 +63,7 @@
 static RECORDER: OnceLock<PrometheusHandle> = OnceLock::new();
 
 /// Installs the metrics recorder. Without this call, recording a metric is a no-op.
-pub fn start() {
+pub fn install_recorder() {
     RECORDER.get_or_init(|| {
         let builder = PrometheusBuilder::new();
         // `set_buckets` only fails for an empty list.
@@ -97,7 +97,7 @@
 }
 
 /// Counts a finished request by outcome, and records its duration and, if known, its time to first event.
-pub fn request_ended(route: &str, end: &str, first_event: Option<Millis>, elapsed: Millis) {
+pub fn record_request(route: &str, end: &str, first_event: Option<Millis>, elapsed: Millis) {
     counter!(REQUESTS, "route" => route.to_owned(), "end" => end.to_owned()).increment(1);
     histogram!(DURATION, "route" => route.to_owned()).record(seconds(elapsed));
     if let Some(first_event) = first_event {
@@ -106,58 +106,58 @@
 }
 
 /// Counts an attempt at a worker that ended without a complete answer.
-pub fn attempt_failed(end: &'static str) {
+pub fn count_failed_attempt(end: &'static str) {
     counter!(ATTEMPTS, "end" => end).increment(1);
 }
 
 /// Counts a request that was refused because its tenant's rate limit was exhausted.
-pub fn rate_refused() {
+pub fn count_rate_refusal() {
     counter!(RATE_REFUSALS).increment(1);
 }
 
 /// Counts a batch job submission by result.
-pub fn submitted(result: &'static str) {
+pub fn count_submission(result: &'static str) {
     counter!(SUBMISSIONS, "result" => result).increment(1);
 }
 
 /// Counts a call from this node to the metadata store.
-pub fn store_call(call: &'static str) {
+pub fn count_store_call(call: &'static str) {
     counter!(STORE_CALLS, "call" => call).increment(1);
 }
 
 /// Counts a message sent to another node, and its bytes.
-pub fn peer_sent(message: &'static str, bytes: usize) {
+pub fn count_peer_message(message: &'static str, bytes: usize) {
     counter!(PEER_MESSAGES, "message" => message).increment(1);
     counter!(PEER_BYTES, "message" => message).increment(bytes as u64);
 }
 
 /// Sets the age of this node's view of the metadata store.
-pub fn view_age(age: Millis) {
+pub fn set_view_age(age: Millis) {
     gauge!(VIEW_AGE).set(seconds(age));
 }
 
 /// Sets the version of the active configuration.
-pub fn configuration_in_force(version: u64) {
+pub fn set_configuration_version(version: u64) {
     gauge!(CONFIGURATION).set(version as f64);
 }
 
 /// Sets whether this node leads the job table.
-pub fn leads(leads: bool) {
+pub fn set_is_leader(leads: bool) {
     gauge!(LEADS).set(if leads { 1.0 } else { 0.0 });
 }
 
 /// Counts a finished run of a batch item by outcome.
-pub fn run_ended(end: &'static str) {
+pub fn count_run(end: &'static str) {
     counter!(RUNS, "end" => end).increment(1);
 }
 
 /// Sets the number of items without a result.
-pub fn open_items(count: usize) {
+pub fn set_open_items(count: usize) {
     gauge!(OPEN_ITEMS).set(count as f64);
 }
 
 /// Sets the number of tenants whose rate limit is exhausted.
-pub fn exhausted_tenants(count: usize) {
+pub fn set_exhausted_tenants(count: usize) {
     gauge!(EXHAUSTED_TENANTS).set(count as f64);
 }
 
--- a/crates/gateway/src/online/mod.rs
+++ b/crates/gateway/src/online/mod.rs
@@ -25,7 +25,7 @@
 use stallmoor_core::serving::online::attempt::AttemptEnd;
 use stallmoor_core::serving::online::request_state::{RefusalReason, RequestState};
 use stallmoor_core::serving::regions::AllowedRegions;
-use stallmoor_core::serving::request::RequestFacts;
+use stallmoor_core::serving::request::RequestAttributes;
 use stallmoor_core::serving::workers::{Choice, WorkerIncarnation, WorkerQuery};
 use stallmoor_core::time::{Millis, Timestamp};
 use tokio::task::JoinHandle;
@@ -47,7 +47,7 @@
     /// Complete body.
     pub body: Bytes,
     /// Properties parsed from the headers.
-    pub facts: RequestFacts,
+    pub attributes: RequestAttributes,
     /// Route that the request matched.
     pub route: Arc<Route>,
     /// Authenticated identity of the caller.
@@ -77,12 +77,12 @@
 
 /// Serves a request and returns its response, whose body may still be streaming.
 pub async fn serve(client: Arc<WorkerClient>, request: OnlineRequest) -> Response<AnswerBody> {
-    let drawn = request.route.draw_service(&mut *client.view.random()).cloned();
+    let drawn = request.route.select_service(&mut *client.view.random()).cloned();
     let Some(service) = drawn else {
         return refusal::from_kind(ErrorKind::NoEngine, "the route leads to no service");
     };
     client.view.retry_budget().deposit();
-    let state = RequestState::new(request.route.clone(), &request.facts, request.arrived_at);
+    let state = RequestState::new(request.route.clone(), &request.attributes, request.arrived_at);
     let keys = request_keys(&request);
     let mut active = ActiveRequest {
         client,
@@ -157,7 +157,7 @@
         if chosen.is_some() || !self.client.view.workers().needs_permit(&self.worker_query(), now) {
             return chosen;
         }
-        self.client.permits.answered().await;
+        self.client.permits.wait_for_answer().await;
         self.choose()
     }
 
@@ -168,7 +168,7 @@
         let mut random = view.random();
         let workers = view.workers();
         if workers.has_cold_workers(now) {
-            self.client.permits.want(workers.wanted_permits(&query, now, &mut *random));
+            self.client.permits.request(workers.wanted_permits(&query, now, &mut *random));
         }
         workers.choose(&query, now, &mut *random)
     }
@@ -177,8 +177,8 @@
         WorkerQuery {
             service: &self.service,
             zone: &self.client.view.zone,
-            prefix: &self.request.facts.prefix,
-            prompt_tokens: self.request.facts.prompt_tokens,
+            prefix: &self.request.attributes.prefix,
+            prompt_tokens: self.request.attributes.prompt_tokens,
             body_bytes: self.request.body.len(),
             tried: self.state.tried(),
             regions: &self.request.regions,
@@ -201,14 +201,14 @@
         let timeout = self.head_timeout();
         self.last_choice = Some(choice.clone());
         self.watch_run(choice.clone());
-        self.state.attempt_started(&worker);
+        self.state.record_attempt_start(&worker);
         if self.state.attempts() > 1 {
             self.log_move();
         }
         let result = self.client.open(self.new_attempt(choice), timeout).await;
         if let Err(end) = &result {
             self.log_attempt(&worker, *end);
-            self.state.attempt_ended(&worker, *end, &mut self.client.view.retry_budget());
+            self.state.record_attempt_end(&worker, *end, &mut self.client.view.retry_budget());
             self.run_ended(*end);
         }
         result
@@ -223,11 +223,11 @@
             identity: &request.identity,
         };
         let headers = self.client.dialect.attempt_headers(&request.headers, &context);
-        let in_flight = self.client.place(&choice, &self.service, &request.facts.prefix, false);
+        let in_flight = self.client.place(&choice, &self.service, &request.attributes.prefix, false);
         Attempt {
             choice,
             service: self.service.clone(),
-            request_id: request.facts.id.clone(),
+            request_id: request.attributes.id.clone(),
             method: request.method.clone(),
             target: request.target.clone(),
             headers,
@@ -238,9 +238,9 @@
 
     /// Records the failure of an attempt whose worker had already started to answer.
     fn end_attempt(&mut self, worker: &WorkerIncarnation, end: AttemptEnd) {
-        self.client.view.workers().attempt_ended(worker, end, self.now());
+        self.client.view.workers().record_attempt_end(worker, end, self.now());
         self.log_attempt(&worker.id, end);
-        self.state.attempt_ended(&worker.id, end, &mut self.client.view.retry_budget());
+        self.state.record_attempt_end(&worker.id, end, &mut self.client.view.retry_budget());
         self.run_ended(end);
     }
 
@@ -248,7 +248,7 @@
         let run = WorkerRun {
             choice,
             service: self.service.clone(),
-            request_id: self.request.facts.id.clone(),
+            request_id: self.request.attributes.id.clone(),
             keys: self.keys,
             progress: self.state.progress.last_event.unwrap_or(0),
         };
@@ -260,16 +260,16 @@
         let Some(run) = self.run.take() else { return };
         match end {
             AttemptEnd::Broken | AttemptEnd::Silent => self.crash_check = run.interrupted(),
-            AttemptEnd::NotConnected | AttemptEnd::NotRun { .. } | AttemptEnd::Failed { .. } => run.ended(),
+            AttemptEnd::NotConnected | AttemptEnd::NotRun { .. } | AttemptEnd::Failed { .. } => run.finish(),
         }
     }
 
     /// Ends the current run after a complete answer, which shows that this request did not cause earlier worker crashes.
     fn run_completed(&mut self) {
         if let Some(run) = self.run.take() {
-            run.ended();
+            run.finish();
         }
-        self.client.view.record_completion(&self.request.facts.id, self.keys);
+        self.client.view.record_completion(&self.request.attributes.id, self.keys);
     }
 
     fn head_timeout(&self) -> Duration {
@@ -293,7 +293,7 @@
         if answer.status.is_success() {
             self.run_completed();
         } else if let Some(run) = self.run.take() {
-            run.ended();
+            run.finish();
         }
         let mut response = Response::new(AnswerBody::full(body));
         *response.status_mut() = answer.status;
@@ -307,7 +307,7 @@
         identity: &request.identity,
         method: request.method.as_str(),
         target: request.target.path_and_query().map_or("", |target| target.as_str()),
-        facts: &request.facts,
+        attributes: &request.attributes,
         body: &request.body,
     })
 }
--- a/crates/gateway/src/online/records.rs
+++ b/crates/gateway/src/online/records.rs
@@ -12,14 +12,14 @@
 impl ActiveRequest {
     pub(super) fn log_attempt(&self, worker: &WorkerId, end: AttemptEnd) {
         let fields = [
-            Field::text("request", &self.request.facts.id),
+            Field::text("request", &self.request.attributes.id),
             Field::text("worker", worker),
             Field::text("end", format!("{end:?}")),
             Field::number("events", self.state.progress.events),
             Field::number("age_ms", self.state.age(self.now()).0),
         ];
         record(LogEvent::AttemptEnded, &fields);
-        measures::attempt_failed(end.name());
+        measures::count_failed_attempt(end.name());
     }
 
     /// Inputs to the choice of the worker: load and cached tokens as estimated by this node.
@@ -36,7 +36,7 @@
 
     pub(super) fn log_move(&self) {
         let mut fields = vec![
-            Field::text("request", &self.request.facts.id),
+            Field::text("request", &self.request.attributes.id),
             Field::number("after_event", self.state.progress.last_event.unwrap_or(0)),
             Field::number("attempt", self.state.attempts()),
             Field::number("age_ms", self.state.age(self.now()).0),
@@ -47,7 +47,7 @@
 
     pub(super) fn log_refusal(&self, refused: &Refusal) {
         let fields = [
-            Field::text("request", &self.request.facts.id),
+            Field::text("request", &self.request.attributes.id),
             Field::text("route", &self.request.route.name),
             Field::text("kind", refused.kind.code()),
             Field::text("detail", &refused.detail),
@@ -61,7 +61,7 @@
 
     pub(super) fn log_end(&self, outcome: &str) {
         let mut fields = vec![
-            Field::text("request", &self.request.facts.id),
+            Field::text("request", &self.request.attributes.id),
             Field::text("route", &self.request.route.name),
             Field::text("end", outcome),
             Field::number("events", self.state.progress.events),
@@ -76,6 +76,6 @@
 
     fn record_end_metrics(&self, outcome: &str) {
         let elapsed = self.state.age(self.now());
-        measures::request_ended(&self.request.route.name, outcome, self.first_event_after, elapsed);
+        measures::record_request(&self.request.route.name, outcome, self.first_event_after, elapsed);
     }
 }
--- a/crates/gateway/src/online/stream.rs
+++ b/crates/gateway/src/online/stream.rs
@@ -147,7 +147,7 @@
         let now = self.now();
         let elapsed = now.since(answer.sent_at);
         if let Some(choice) = &self.last_choice {
-            self.client.view.workers().first_event(&self.service, choice, elapsed, now);
+            self.client.view.workers().record_first_event(&self.service, choice, elapsed, now);
         }
     }
 
--- a/crates/gateway/src/peers/peer_link.rs
+++ b/crates/gateway/src/peers/peer_link.rs
@@ -249,7 +249,7 @@
 /// Encodes a message for sending and updates the metrics of sent messages.
 pub fn encode(message: &PeerMessage) -> Vec<u8> {
     let frame = stallmoor_wire::encode(message);
-    measures::peer_sent(message.name(), frame.len());
+    measures::count_peer_message(message.name(), frame.len());
     frame
 }
 
--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -108,7 +108,7 @@
     async fn stop(mut self, times: GatewayStop) {
         let ends_at = tokio::time::Instant::now() + Duration::from_millis(times.ends_after.0);
         // Sending fails only if all receivers of the phase are dropped, so there is nothing left to notify.
-        let _ = self.stop.send(StopPhase::Leaving);
+        let _ = self.stop.send(StopPhase::NotReady);
         tokio::time::sleep(Duration::from_millis(times.drain_period.0)).await;
         self.accepting.abort();
         let _ = self.stop.send(StopPhase::Closing);
--- a/crates/gateway/src/process/parts.rs
+++ b/crates/gateway/src/process/parts.rs
@@ -87,7 +87,7 @@
 /// Starts the metrics endpoint if the settings specify a port for it.
 pub(super) fn start_metrics(settings: &ServingSettings) -> Result<(), ProcessError> {
     if let Some(address) = settings.metrics_address() {
-        measures::start();
+        measures::install_recorder();
         tokio::spawn(measures::serve(open_listener(address)?));
     }
     Ok(())
--- a/crates/gateway/src/process/storage_node.rs
+++ b/crates/gateway/src/process/storage_node.rs
@@ -81,7 +81,7 @@
         let owner = FolderOwner {
             peer_address: settings.peer_address().to_string(),
             adopt: false,
-            fresh_identity: new_node_id(),
+            new_identity: new_node_id(),
         };
         let is_readable = |state: &[u8]| JobTable::decode(state).is_some();
         let mut opened = ReplicaFolder::open(folder, &owner, is_readable).context(DiskSnafu)?;
@@ -122,13 +122,13 @@
     tokio::spawn(registration::register(adapter.metadata(), local_record(settings, id)));
     let tolerated_losses = settings.tolerance.replicas();
     // Unbounded: only one message is ever sent.
-    let (founding_sender, founding) = mpsc::unbounded_channel();
+    let (membership_sender, initial_membership) = mpsc::unbounded_channel();
     tokio::spawn(registration::bootstrap_group(
         components.view.clone(),
         adapter.metadata(),
         id,
         tolerated_losses,
-        founding_sender,
+        membership_sender,
     ));
     let components = StorageComponents {
         node,
@@ -140,7 +140,7 @@
         budget: DiskBudget::new(settings.jobs.disk_bytes()),
         results_kept: settings.jobs.results_kept(),
     };
-    Ok(ServiceSetup { components, inputs: StorageInputs { peers, writes, updates, founding, stop } })
+    Ok(ServiceSetup { components, inputs: StorageInputs { peers, writes, updates, initial_membership, stop } })
 }
 
 /// Returns this node's record for the metadata store.
--- a/crates/gateway/src/storage/disk_writer.rs
+++ b/crates/gateway/src/storage/disk_writer.rs
@@ -77,5 +77,5 @@
     }
     // Finishing a pending snapshot shortens recovery at the next start. Errors are ignored: the log is complete without
     // the snapshot.
-    let _ = log.settle();
+    let _ = log.finish_snapshot();
 }
--- a/crates/gateway/src/storage/item_run.rs
+++ b/crates/gateway/src/storage/item_run.rs
@@ -49,10 +49,10 @@
             // Dropping the watch checks the worker in the background, so the report is not delayed.
             RunEnd::BrokenOff | RunEnd::Paused => drop(watch),
             RunEnd::Completed => {
-                watch.ended();
+                watch.finish();
                 self.record_completion(client);
             }
-            RunEnd::Impossible | RunEnd::Failed | RunEnd::NotRun => watch.ended(),
+            RunEnd::Impossible | RunEnd::Failed | RunEnd::NotRun => watch.finish(),
         }
         (end, self.output().clone())
     }
@@ -142,7 +142,7 @@
     }
 
     fn interrupted(&self, client: &WorkerClient, answer: &OpenAnswer) -> RunEnd {
-        client.view.workers().failed(&answer.worker, true, client.view.clock.now());
+        client.view.workers().record_failure(&answer.worker, true, client.view.clock.now());
         RunEnd::BrokenOff
     }
 }
@@ -153,7 +153,7 @@
         identity,
         method: Method::POST.as_str(),
         target: &item.path,
-        facts: &dialect.item_facts(item),
+        attributes: &dialect.item_facts(item),
         body: &item.body,
     })
 }
--- a/crates/gateway/src/storage/peer_listener.rs
+++ b/crates/gateway/src/storage/peer_listener.rs
@@ -106,7 +106,7 @@
         }
         GroupRequestBody::Follow(body) => {
             let view = view.clone();
-            let answer = async move { Some(view.follow(body).await) };
+            let answer = async move { Some(view.answer_follower(body).await) };
             send_answer(request.id, answers.clone(), answer);
         }
         // These requests are addressed to groups that storage nodes do not host.
--- a/crates/gateway/src/storage/service/item_runner.rs
+++ b/crates/gateway/src/storage/service/item_runner.rs
@@ -13,7 +13,7 @@
     Dispatcher, ItemPacing, ItemStart, RunEnd, RunningItem, StartDecision, decide_start, max_attempts,
 };
 use stallmoor_core::serving::jobs::table::{Job, JobTable};
-use stallmoor_core::serving::request::RequestFacts;
+use stallmoor_core::serving::request::RequestAttributes;
 use stallmoor_core::serving::workers::cold_start::PERMIT_LIFETIME;
 use stallmoor_core::serving::workers::permit_grants::PermitGrants;
 use stallmoor_core::serving::workers::{Choice, WorkerId, WorkerQuery};
@@ -116,7 +116,7 @@
     }
 
     /// Called when an item's result is committed, whichever leader proposed it.
-    pub(super) fn result_committed(&mut self, key: &ItemKey) {
+    pub(super) fn remove_committed(&mut self, key: &ItemKey) {
         self.remove(key);
         self.abort(key);
     }
@@ -128,7 +128,7 @@
     }
 
     /// Called when a job has ended. Aborts its runs.
-    pub(super) fn job_ended(&mut self, job: &JobKey) {
+    pub(super) fn remove_job(&mut self, job: &JobKey) {
         for key in self.dispatcher.remove_job(job) {
             self.abort(&key);
         }
@@ -249,9 +249,10 @@
         permits: &mut PermitGrants,
         now: Timestamp,
     ) -> bool {
-        let facts = self.workers.dialect.item_facts(&start.item);
+        let attributes = self.workers.dialect.item_facts(&start.item);
         let online_per_s = loads.placed_per_s(now);
-        let Some(Placement { service, choice }) = self.choose_worker(&start, &facts, online_per_s, permits, now) else {
+        let Some(Placement { service, choice }) = self.choose_worker(&start, &attributes, online_per_s, permits, now)
+        else {
             self.dispatcher.requeue(key, output);
             return false;
         };
@@ -259,7 +260,7 @@
         self.last_run += 1;
         let run = self.last_run;
         let worker = choice.id.clone();
-        let in_flight = self.workers.place(&choice, &service, &facts.prefix, true);
+        let in_flight = self.workers.place(&choice, &service, &attributes.prefix, true);
         let (output, pause) = (Arc::new(Mutex::new(output)), Arc::new(Notify::new()));
         let run_service = service.clone();
         let ItemStart { item, host, identity, .. } = start;
@@ -286,18 +287,18 @@
     fn choose_worker(
         &self,
         start: &ItemStart,
-        facts: &RequestFacts,
+        attributes: &RequestAttributes,
         online_per_s: u32,
         permits: &mut PermitGrants,
         now: Timestamp,
     ) -> Option<Placement> {
         let view = &self.workers.view;
-        let service = start.route.draw_service(&mut *view.random()).cloned()?;
+        let service = start.route.select_service(&mut *view.random()).cloned()?;
         let query = WorkerQuery {
             service: &service,
             zone: &view.zone,
-            prefix: &facts.prefix,
-            prompt_tokens: facts.prompt_tokens,
+            prefix: &attributes.prefix,
+            prompt_tokens: attributes.prompt_tokens,
             body_bytes: start.item.body.len(),
             tried: &[],
             regions: &start.regions,
@@ -317,7 +318,7 @@
     }
 
     /// Processes the end of a run. Returns whether a result is due.
-    pub(super) fn run_ended(&mut self, report: RunReport, table: &JobTable, now: Timestamp) -> bool {
+    pub(super) fn finish_run(&mut self, report: RunReport, table: &JobTable, now: Timestamp) -> bool {
         let is_current = self.active.get(&report.key).is_some_and(|active| active.run == report.run);
         if !is_current {
             return false;
@@ -330,10 +331,10 @@
             Field::number("events", report.output.last_event.unwrap_or(0)),
         ];
         record(LogEvent::ItemRunEnded, &fields);
-        measures::run_ended(report.end.name());
+        measures::count_run(report.end.name());
         let configuration = self.workers.view.configuration();
         let max_attempts = max_attempts(table.job(&report.key.job), configuration.as_deref());
-        self.dispatcher.run_ended(&report.key, &report.end, report.output, max_attempts, now)
+        self.dispatcher.finish_run(&report.key, &report.end, report.output, max_attempts, now)
     }
 
     /// Returns the commands for results that have not been proposed yet.
@@ -346,7 +347,7 @@
     }
 
     /// Records that a result was proposed.
-    pub(super) fn result_proposed(&mut self, command: &JobCommand) {
+    pub(super) fn record_proposed_result(&mut self, command: &JobCommand) {
         if let JobCommand::Finish { key, .. } = command {
             self.proposed.insert(key.clone());
         }
@@ -372,14 +373,14 @@
     }
 
     /// Records that failed runs were proposed.
-    pub(super) fn failures_proposed(&mut self, failures: &[ItemFailures]) {
-        self.dispatcher.failures_proposed(failures);
+    pub(super) fn record_proposed_failures(&mut self, failures: &[ItemFailures]) {
+        self.dispatcher.record_proposed_failures(failures);
     }
 
     /// Records that progress was proposed.
-    pub(super) fn progress_proposed(&mut self, progress: &[ItemProgress]) {
+    pub(super) fn record_proposed_progress(&mut self, progress: &[ItemProgress]) {
         for item in progress {
-            self.dispatcher.progress_proposed(item);
+            self.dispatcher.record_proposed_progress(item);
         }
     }
 }
--- a/crates/gateway/src/storage/service/membership.rs
+++ b/crates/gateway/src/storage/service/membership.rs
@@ -29,7 +29,7 @@
     planner: MembershipPlanner,
     metadata: Arc<dyn MetadataStore>,
     /// The initial membership, once it is known.
-    founding: Option<GroupMembership>,
+    initial_membership: Option<GroupMembership>,
     /// Unbounded: at most one write of the pair record is in progress.
     pair_reads: mpsc::UnboundedSender<Option<StoredPair>>,
 }
@@ -41,7 +41,7 @@
         metadata: Arc<dyn MetadataStore>,
         pair_reads: mpsc::UnboundedSender<Option<StoredPair>>,
     ) -> Self {
-        Self { id, planner, metadata, founding: None, pair_reads }
+        Self { id, planner, metadata, initial_membership: None, pair_reads }
     }
 
     pub(super) fn id(&self) -> NodeId {
@@ -53,14 +53,16 @@
     }
 
     /// Sets the initial membership, read from the founding record.
-    pub(super) fn set_founding(&mut self, founding: GroupMembership) {
-        self.founding = Some(founding);
+    pub(super) fn set_initial_membership(&mut self, initial_membership: GroupMembership) {
+        self.initial_membership = Some(initial_membership);
     }
 
     /// Returns the membership to bootstrap with, if this node is an initial voter and its log is empty.
     pub(super) fn due_bootstrap(&self, replica: &Replica) -> Option<GroupMembership> {
         let is_empty = replica.log().last_index().0 == 0;
-        self.founding.clone().filter(|founding| is_empty && founding.voters.contains(&self.id))
+        self.initial_membership
+            .clone()
+            .filter(|initial_membership| is_empty && initial_membership.voters.contains(&self.id))
     }
 
     /// Applies a change of the metadata store.
--- a/crates/gateway/src/storage/service/mod.rs
+++ b/crates/gateway/src/storage/service/mod.rs
@@ -96,7 +96,7 @@
                 Some(result) = inputs.writes.recv() => service.on_written(result?),
                 Some(report) = results.runs.recv() => service.on_run_ended(report),
                 Some(update) = inputs.updates.recv() => service.membership.on_update(&update),
-                Some(founding) = inputs.founding.recv() => service.membership.set_founding(founding),
+                Some(initial_membership) = inputs.initial_membership.recv() => service.membership.set_initial_membership(initial_membership),
                 Some(read) = results.pairs.recv() => service.membership.planner().finish_pair_write(read),
                 Some(loads) = results.loads.recv() => service.on_leader_loads(loads),
                 _ = ticks.tick() => service.tick(),
@@ -157,7 +157,7 @@
 
     fn on_run_ended(&mut self, report: RunReport) {
         let now = self.now();
-        if self.items.run_ended(report, self.replica.node().table(), now) {
+        if self.items.finish_run(report, self.replica.node().table(), now) {
             self.propose_results();
         }
     }
@@ -170,7 +170,7 @@
                 JobsChange::Answer { waiter, answer } => self.answers.send(waiter, Ok(answer)),
                 JobsChange::Accepted(job) => self.add_open_items(&job),
                 JobsChange::ResultCommitted(key) => {
-                    self.items.result_committed(&key);
+                    self.items.remove_committed(&key);
                     self.log_result(&key);
                 }
                 JobsChange::ResultDropped(key) => {
@@ -182,7 +182,7 @@
                     record(LogEvent::RecordUnreadable, &[Field::text("detail", detail)]);
                 }
                 JobsChange::Ended(job) => {
-                    self.items.job_ended(&job);
+                    self.items.remove_job(&job);
                     record(LogEvent::JobCancelled, &[Field::text("job", &job)]);
                 }
             }
@@ -225,7 +225,7 @@
         for command in self.items.unproposed_results() {
             // Retried with the next tick.
             let Ok(effects) = self.replica.node_mut().propose(&command, None, now) else { return };
-            self.items.result_proposed(&command);
+            self.items.record_proposed_result(&command);
             self.execute_effects(effects);
         }
     }
@@ -238,7 +238,7 @@
         // Retried after the next progress interval.
         let Ok(effects) = self.replica.node_mut().propose(&command, None, now) else { return };
         if let JobCommand::Progress(progress) = &command {
-            self.items.progress_proposed(progress);
+            self.items.record_proposed_progress(progress);
         }
         self.execute_effects(effects);
     }
@@ -251,7 +251,7 @@
         // Retried with the next tick.
         let Ok(effects) = self.replica.node_mut().propose(&command, None, now) else { return };
         if let JobCommand::Failures(failures) = &command {
-            self.items.failures_proposed(failures);
+            self.items.record_proposed_failures(failures);
         }
         self.execute_effects(effects);
     }
@@ -279,11 +279,11 @@
         self.join_if_due();
         self.maintain_membership();
         if self.is_leader {
-            measures::open_items(self.items.open_count());
+            measures::set_open_items(self.items.open_count());
             let GatewayCount { reachable, known } = self.loads.gateways(now);
             self.quotas.record_gateway_count(reachable, known, now);
             self.quotas.tick(now);
-            measures::exhausted_tenants(self.quotas.exhausted());
+            measures::set_exhausted_tenants(self.quotas.exhausted());
             self.permits.evict_unused(now);
             self.items.pause_evacuated(now);
             self.loads.eject_reported(now);
@@ -298,10 +298,10 @@
     // Members.
 
     fn bootstrap_if_due(&mut self) {
-        let Some(founding) = self.membership.due_bootstrap(self.replica.node().replica()) else { return };
-        record(LogEvent::GroupFounded, &[Field::text("members", format!("{founding:?}"))]);
+        let Some(initial_membership) = self.membership.due_bootstrap(self.replica.node().replica()) else { return };
+        record(LogEvent::GroupFounded, &[Field::text("members", format!("{initial_membership:?}"))]);
         let now = self.now();
-        let effects = self.replica.node_mut().bootstrap(founding, now);
+        let effects = self.replica.node_mut().bootstrap(initial_membership, now);
         self.execute_effects(effects);
     }
 
@@ -359,7 +359,7 @@
             return;
         }
         self.is_leader = is_leader;
-        measures::leads(is_leader);
+        measures::set_is_leader(is_leader);
         let term = node.replica().term().0;
         if is_leader {
             record(LogEvent::LeaderElected, &[Field::number("term", term)]);
--- a/crates/gateway/src/storage/service/startup.rs
+++ b/crates/gateway/src/storage/service/startup.rs
@@ -58,7 +58,7 @@
     /// service.
     pub updates: mpsc::UnboundedReceiver<FleetUpdate>,
     /// The initial membership, sent once when it is known.
-    pub founding: mpsc::UnboundedReceiver<GroupMembership>,
+    pub initial_membership: mpsc::UnboundedReceiver<GroupMembership>,
     /// Set to true to start a planned stop.
     pub stop: watch::Receiver<bool>,
 }
--- a/crates/gateway/src/workers/attempt.rs
+++ b/crates/gateway/src/workers/attempt.rs
@@ -17,7 +17,7 @@
 use stallmoor_core::serving::workers::{Choice, WorkerIncarnation};
 use stallmoor_core::time::Timestamp;
 
-use crate::adapter::dialect::{AnswerFacts, Dialect};
+use crate::adapter::dialect::{AnswerAttributes, Dialect};
 use crate::fleet::fleet_view::FleetView;
 use crate::workers::connections::{ConnectionPool, NoConnection, SendFailure, WorkerConnection, WorkerEndpoint};
 use crate::workers::permits::PermitRequests;
@@ -66,9 +66,9 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         let mut workers = self.view.workers();
-        workers.ended(&self.worker);
+        workers.record_end(&self.worker);
         if self.is_batch {
-            workers.batch_ended(&self.worker);
+            workers.record_batch_end(&self.worker);
         }
     }
 }
@@ -80,7 +80,7 @@
     /// The HTTP headers.
     pub headers: HeaderMap,
     /// Information about the answer and the worker that the adapter extracted from the headers.
-    pub facts: AnswerFacts,
+    pub attributes: AnswerAttributes,
     /// The body, which is still being received.
     pub body: Incoming,
     /// The incarnation of the worker that answers.
@@ -94,7 +94,7 @@
 impl OpenAnswer {
     /// Makes the connection available for reuse. To be called only after the complete body was read.
     pub fn release(mut self) {
-        let keep_alive = self.facts.keep_alive.map(|span| Duration::from_millis(span.0));
+        let keep_alive = self.attributes.keep_alive.map(|span| Duration::from_millis(span.0));
         if !wants_close(&self.headers) {
             self.connection.keep(keep_alive);
         }
@@ -114,9 +114,9 @@
         let now = self.view.clock.now();
         let mut workers = self.view.workers();
         let incarnation = choice.incarnation();
-        workers.started(&incarnation, prefix, cache_tokens, now);
+        workers.record_start(&incarnation, prefix, cache_tokens, now);
         if is_batch {
-            workers.batch_started(&incarnation);
+            workers.record_batch_start(&incarnation);
         }
         drop(workers);
         InFlight { view: self.view.clone(), worker: incarnation, is_batch }
@@ -135,14 +135,14 @@
         match &result {
             Ok(answer) => {
                 let mut workers = self.view.workers();
-                if let Some(load) = answer.facts.load {
-                    workers.reported(&worker, load, now);
+                if let Some(load) = answer.attributes.load {
+                    workers.record_load(&worker, load, now);
                 }
-                if let Some(cold_remaining) = answer.facts.cold_remaining {
+                if let Some(cold_remaining) = answer.attributes.cold_remaining {
                     workers.mark_cold(&worker, cold_remaining, now);
                 }
             }
-            Err(end) => self.view.workers().attempt_ended(&worker, *end, now),
+            Err(end) => self.view.workers().record_attempt_end(&worker, *end, now),
         }
         result
     }
@@ -158,11 +158,11 @@
         *request.headers_mut() = headers;
         let response = send_within(&mut connection, request, timeout).await?;
         let (parts, body) = response.into_parts();
-        let facts = self.dialect.answer_facts(parts.status, &parts.headers);
-        match answer_metadata(parts.status, &facts).check(&request_id) {
+        let attributes = self.dialect.answer_facts(parts.status, &parts.headers);
+        match answer_metadata(parts.status, &attributes).check(&request_id) {
             Ok(()) => {}
             Err(end @ AttemptEnd::NotRun { .. }) => {
-                reuse_after_refusal(&mut connection, &facts, &parts.headers, body).await;
+                reuse_after_refusal(&mut connection, &attributes, &parts.headers, body).await;
                 return Err(end);
             }
             Err(end) => return Err(end),
@@ -170,7 +170,7 @@
         Ok(OpenAnswer {
             status: parts.status,
             headers: parts.headers,
-            facts,
+            attributes,
             body,
             worker: choice.incarnation(),
             sent_at,
@@ -208,24 +208,24 @@
     }
 }
 
-fn answer_metadata(status: StatusCode, facts: &AnswerFacts) -> AnswerMetadata<'_> {
+fn answer_metadata(status: StatusCode, attributes: &AnswerAttributes) -> AnswerMetadata<'_> {
     AnswerMetadata {
         status: status.as_u16(),
-        request_id: facts.request_id.as_deref(),
-        is_signed: facts.is_signed,
-        not_run: facts.not_run,
-        other_instance: facts.other_instance,
+        request_id: attributes.request_id.as_deref(),
+        is_signed: attributes.is_signed,
+        not_run: attributes.not_run,
+        other_instance: attributes.other_instance,
     }
 }
 
 /// Keeps the connection for reuse after a refusal, if the rest of the answer arrives within [`REFUSAL_BODY_TIMEOUT`].
 async fn reuse_after_refusal(
     connection: &mut WorkerConnection,
-    facts: &AnswerFacts,
+    attributes: &AnswerAttributes,
     headers: &HeaderMap,
     body: Incoming,
 ) {
-    let keep_alive = facts.keep_alive.map(|span| Duration::from_millis(span.0));
+    let keep_alive = attributes.keep_alive.map(|span| Duration::from_millis(span.0));
     let remainder = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, body.collect()).await;
     if matches!(remainder, Ok(Ok(_))) && !wants_close(headers) {
         connection.keep(keep_alive);
--- a/crates/gateway/src/workers/crash_check.rs
+++ b/crates/gateway/src/workers/crash_check.rs
@@ -58,7 +58,7 @@
     }
 
     /// Ends the watch without a check: the worker answered or did not start the request.
-    pub fn ended(mut self) {
+    pub fn finish(mut self) {
         self.run = None;
     }
 
--- a/crates/gateway/src/workers/permits.rs
+++ b/crates/gateway/src/workers/permits.rs
@@ -30,7 +30,7 @@
     /// Notified when permits are wanted.
     permits_wanted: Notify,
     /// Counts completed requests to the leader, including failed ones.
-    answered: watch::Sender<u64>,
+    completed_requests: watch::Sender<u64>,
     /// The last request to the leader failed, so requests don't wait for the next answer.
     has_no_leader: AtomicBool,
 }
@@ -40,7 +40,7 @@
         Self {
             wanted: Mutex::default(),
             permits_wanted: Notify::new(),
-            answered: watch::Sender::new(0),
+            completed_requests: watch::Sender::new(0),
             has_no_leader: AtomicBool::new(false),
         }
     }
@@ -48,7 +48,7 @@
 
 impl PermitRequests {
     /// Adds workers to the next request for permits.
-    pub fn want(&self, workers: Vec<WorkerId>) {
+    pub fn request(&self, workers: Vec<WorkerId>) {
         if workers.is_empty() {
             return;
         }
@@ -62,11 +62,11 @@
     }
 
     /// Waits up to [`MAX_PERMIT_WAIT`] for the leader's answer. Returns immediately while the leader is unreachable.
-    pub async fn answered(&self) {
+    pub async fn wait_for_answer(&self) {
         if self.has_no_leader.load(Ordering::Relaxed) {
             return;
         }
-        let mut answers = self.answered.subscribe();
+        let mut answers = self.completed_requests.subscribe();
         // After a timeout, the next selection finds no permits.
         let _ = tokio::time::timeout(Duration::from_millis(MAX_PERMIT_WAIT.0), answers.changed()).await;
     }
@@ -94,7 +94,7 @@
         if let Ok(JobsAnswer::Permits(granted)) = answer {
             view.workers().add_permits(&granted, until);
         }
-        workers.permits.answered.send_modify(|count| *count += 1);
+        workers.permits.completed_requests.send_modify(|count| *count += 1);
         tokio::time::sleep(Duration::from_millis(wait.0)).await;
     }
 }
--- a/crates/gateway/tests/golden_measures.rs
+++ b/crates/gateway/tests/golden_measures.rs
@@ -53,7 +53,7 @@
 
 fn record_everything() {
     for end in REQUEST_ENDS {
-        measures::request_ended("route-a", end, Some(Millis(150)), Millis(400));
+        measures::record_request("route-a", end, Some(Millis(150)), Millis(400));
     }
     let attempts = [
         AttemptEnd::NotConnected,
@@ -63,19 +63,19 @@
         AttemptEnd::Broken,
         AttemptEnd::Silent,
     ];
-    attempts.into_iter().for_each(|end| measures::attempt_failed(end.name()));
+    attempts.into_iter().for_each(|end| measures::count_failed_attempt(end.name()));
     let runs =
         [RunEnd::Completed, RunEnd::Impossible, RunEnd::Failed, RunEnd::BrokenOff, RunEnd::Paused, RunEnd::NotRun];
-    runs.iter().for_each(|end| measures::run_ended(end.name()));
-    SUBMISSION_RESULTS.into_iter().for_each(measures::submitted);
-    STORE_CALLS.into_iter().for_each(measures::store_call);
-    PEER_MESSAGES.into_iter().for_each(|message| measures::peer_sent(message, 64));
-    measures::rate_refused();
-    measures::view_age(Millis(1_500));
-    measures::configuration_in_force(7);
-    measures::leads(true);
-    measures::open_items(3);
-    measures::exhausted_tenants(2);
+    runs.iter().for_each(|end| measures::count_run(end.name()));
+    SUBMISSION_RESULTS.into_iter().for_each(measures::count_submission);
+    STORE_CALLS.into_iter().for_each(measures::count_store_call);
+    PEER_MESSAGES.into_iter().for_each(|message| measures::count_peer_message(message, 64));
+    measures::count_rate_refusal();
+    measures::set_view_age(Millis(1_500));
+    measures::set_configuration_version(7);
+    measures::set_is_leader(true);
+    measures::set_open_items(3);
+    measures::set_exhausted_tenants(2);
 }
 
 /// Sorts lines, since the exporter's order is unspecified.
@@ -87,7 +87,7 @@
 
 #[test]
 fn metrics_text_matches_golden_file() {
-    measures::start();
+    measures::install_recorder();
     record_everything();
     let text = sorted(&measures::render());
     for metric in ALL {
--- a/crates/gateway/tests/measures.rs
+++ b/crates/gateway/tests/measures.rs
@@ -8,11 +8,11 @@
 #[test]
 fn rendered_text_contains_recorded_values() {
     assert!(measures::render().is_empty(), "metrics were recorded before the start");
-    measures::start();
-    measures::request_ended("route-a", "whole", Some(Millis(150)), Millis(400));
-    measures::request_ended("route-a", "whole", None, Millis(400));
-    measures::attempt_failed("silent");
-    measures::leads(true);
+    measures::install_recorder();
+    measures::record_request("route-a", "whole", Some(Millis(150)), Millis(400));
+    measures::record_request("route-a", "whole", None, Millis(400));
+    measures::count_failed_attempt("silent");
+    measures::set_is_leader(true);
     let text = measures::render();
     for line in [
         "stallmoor_gateway_requests_total{route=\"route-a\",end=\"whole\"} 2",
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -20,7 +20,7 @@
     next: Arc<AtomicU64>,
 }
 
-/// A call in progress. Dropping it before the final answer sends [`Event::CallerGone`] to the node.
+/// A call in progress. Dropping it before the final answer sends [`Event::CallerDisconnected`] to the node.
 pub struct CallInProgress {
     caller: CallerId,
     registry: CallerRegistry,
@@ -80,7 +80,7 @@
         self.registry.lock().remove(&self.caller);
         let (events, caller) = (self.events.clone(), self.caller);
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
-            runtime.spawn(async move { events.send(Event::CallerGone(caller)).await });
+            runtime.spawn(async move { events.send(Event::CallerDisconnected(caller)).await });
         }
     }
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -23,7 +23,7 @@
     /// Returns the current monotonic and wall-clock time.
     pub fn read(&self) -> Clock {
         let monotonic = self.origin.elapsed().as_millis() as u64;
-        let civil = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-        Clock { now: Timestamp::from_millis(ORIGIN_MS + monotonic), civil: UnixMillis(civil) }
+        let wall_time = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
+        Clock { now: Timestamp::from_millis(ORIGIN_MS + monotonic), wall_time: UnixMillis(wall_time) }
     }
 }
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -73,7 +73,7 @@
         for effect in effects {
             match effect {
                 Effect::Persist { group, write: log_write } => write.groups.push((*group, log_write.clone())),
-                Effect::PersistConfiguration(in_force) => write.configuration = Some(in_force.clone()),
+                Effect::PersistConfiguration(active) => write.configuration = Some(active.clone()),
                 _ => {}
             }
         }
@@ -109,7 +109,7 @@
                 Effect::Answer { caller, answer } => {
                     let is_final = answer.is_final();
                     if !self.callers.answer(caller, answer) && !is_final {
-                        self.events.try_send(Event::CallerGone(caller));
+                        self.events.try_send(Event::CallerDisconnected(caller));
                     }
                 }
                 Effect::Log { event, detail } => log_event(event, &detail),
--- a/crates/node/src/http/online.rs
+++ b/crates/node/src/http/online.rs
@@ -84,7 +84,7 @@
         let mut text = String::new();
         while let Some(next) = call.next().await {
             match next {
-                CallerAnswer::Piece { text: piece, .. } => text.push_str(&piece),
+                CallerAnswer::Chunk { text: chunk, .. } => text.push_str(&chunk),
                 CallerAnswer::End { tokens, engine } => {
                     return answer::json(StatusCode::OK, &self.completion_json(&text, tokens, &engine.0));
                 }
@@ -117,7 +117,7 @@
     /// Serializes an answer as server-sent events.
     fn event(&self, answer: CallerAnswer) -> Bytes {
         match answer {
-            CallerAnswer::Piece { first, tokens, text } => {
+            CallerAnswer::Chunk { first, tokens, text } => {
                 Bytes::from(format!("data: {}\n\n", self.chunk_json(first, tokens, &text)))
             }
             CallerAnswer::End { tokens, engine } => {
--- a/crates/node/src/running.rs
+++ b/crates/node/src/running.rs
@@ -116,8 +116,8 @@
     let (peer_address, caller_address) = (sockets.peer_address, sockets.caller_address);
 
     let mut random = Xoshiro256PlusPlus::from_os_rng();
-    let fresh_identity = NodeId(random.random::<u64>().max(1));
-    let disk = open_disk(settings.data_folder.as_deref(), peer_address, adopt_data_folder, fresh_identity)?;
+    let new_identity = NodeId(random.random::<u64>().max(1));
+    let disk = open_disk(settings.data_folder.as_deref(), peer_address, adopt_data_folder, new_identity)?;
 
     let clock = SystemClock::new();
     let node_settings = core_settings(settings, disk.id, peer_address, caller_address);
@@ -165,14 +165,14 @@
     folder: Option<&Path>,
     peer_address: SocketAddr,
     adopt: bool,
-    fresh_identity: NodeId,
+    new_identity: NodeId,
 ) -> Result<OpenedDisk, NodeError> {
     let Some(folder) = folder else {
-        return Ok(OpenedDisk { id: fresh_identity, store: None, persisted: PersistedNode::default() });
+        return Ok(OpenedDisk { id: new_identity, store: None, persisted: PersistedNode::default() });
     };
-    let owner = FolderOwner { peer_address: peer_address.to_string(), adopt, fresh_identity };
+    let owner = FolderOwner { peer_address: peer_address.to_string(), adopt, new_identity };
     let opened = Store::open(folder, &owner).context(StorageSnafu)?;
-    if let Some(quarantined_path) = &opened.set_aside {
+    if let Some(quarantined_path) = &opened.damaged_path {
         log_event(LogEvent::StoreCorrupted, &format!("set aside as {}", quarantined_path.display()));
     }
     if opened.formatted {
--- a/crates/storage/src/replica_folder.rs
+++ b/crates/storage/src/replica_folder.rs
@@ -19,7 +19,7 @@
     /// Whether the folder was formatted while opening it, because it was empty or damaged.
     pub formatted: bool,
     /// Path to which a damaged store was moved, if there was one.
-    pub set_aside: Option<PathBuf>,
+    pub damaged_path: Option<PathBuf>,
     replicas: BTreeMap<GroupId, ReplicaLog>,
     /// Stores the identity. Kept open to lock the folder against other processes.
     _store: Store,
@@ -64,7 +64,7 @@
             folder: folder.to_owned(),
             identity: opened.identity,
             formatted: opened.formatted,
-            set_aside: opened.set_aside,
+            damaged_path: opened.damaged_path,
             replicas,
             _store: opened.store,
         })
@@ -72,10 +72,10 @@
 
     fn reformat(folder: &Path, owner: &FolderOwner, is_readable: fn(&[u8]) -> bool) -> Result<Self, StorageError> {
         // The identity is removed first: if a crash interrupts this, the next open discards the remaining replicas.
-        let aside = Store::set_aside(folder)?;
+        let aside = Store::move_damaged(folder)?;
         remove_replicas(folder)?;
         let reformatted = Self::open(folder, owner, is_readable)?;
-        Ok(Self { set_aside: Some(aside), ..reformatted })
+        Ok(Self { damaged_path: Some(aside), ..reformatted })
     }
 
     /// Returns the groups whose replicas are in the folder and have not been taken.
--- a/crates/storage/src/replica_log.rs
+++ b/crates/storage/src/replica_log.rs
@@ -212,7 +212,7 @@
     /// # Errors
     ///
     /// The snapshot or the new log cannot be written.
-    pub fn settle(&mut self) -> Result<(), StorageError> {
+    pub fn finish_snapshot(&mut self) -> Result<(), StorageError> {
         self.finish_generation().context(IoSnafu { folder: &self.folder })
     }
 
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -11,7 +11,7 @@
 use stallmoor_core::identity::{GroupId, NodeId};
 use stallmoor_core::node::PersistedNode;
 use stallmoor_core::node::configuration::bundle::PartContents;
-use stallmoor_core::node::configuration::{InForce, Manifest};
+use stallmoor_core::node::configuration::{ActiveConfiguration, Manifest};
 use stallmoor_core::node::partition::PartitionState;
 use stallmoor_core::replication::{Entry, HardState, LogIndex, LogWrite, PersistedReplica, Snapshot};
 
@@ -39,7 +39,7 @@
     /// Whether to take over a folder that belongs to a node at another address.
     pub adopt: bool,
     /// Identity assigned to the folder if it is formatted.
-    pub fresh_identity: NodeId,
+    pub new_identity: NodeId,
 }
 
 /// Format, identity and owner of a data folder. Written when the folder is formatted.
@@ -62,7 +62,7 @@
     /// Writes to the logs of groups, in order.
     pub groups: Vec<(GroupId, LogWrite)>,
     /// The latest configuration, if it changed.
-    pub configuration: Option<Arc<InForce>>,
+    pub configuration: Option<Arc<ActiveConfiguration>>,
 }
 
 impl StoreWrite {
@@ -83,7 +83,7 @@
     /// Whether the folder was formatted while opening it, because it was empty or damaged.
     pub formatted: bool,
     /// Path to which a damaged store was moved, if there was one.
-    pub set_aside: Option<PathBuf>,
+    pub damaged_path: Option<PathBuf>,
 }
 
 /// The database in a node's data folder.
@@ -134,14 +134,14 @@
             Ok(opened) => Ok(opened),
             Err(OpenFailure::Fatal(error)) => Err(error),
             Err(OpenFailure::Damaged) => {
-                let aside = set_aside(folder)?;
+                let aside = move_damaged(folder)?;
                 Self::format(folder, owner, Some(aside))
             }
         }
     }
 
-    fn format(folder: &Path, owner: &FolderOwner, set_aside: Option<PathBuf>) -> Result<OpenedStore, StorageError> {
-        let identity = owner.fresh_identity;
+    fn format(folder: &Path, owner: &FolderOwner, damaged_path: Option<PathBuf>) -> Result<OpenedStore, StorageError> {
+        let identity = owner.new_identity;
         let database = match Database::create(folder.join(FILE_NAME)) {
             Ok(database) => database,
             Err(error) => return Err(database_error(folder, error)),
@@ -149,7 +149,7 @@
         let store = Self { folder: folder.to_owned(), database };
         store.write_header(&Header { format: FORMAT, identity, owner: owner.peer_address.clone() })?;
         let persisted = PersistedNode::default();
-        Ok(OpenedStore { store, identity, persisted, formatted: true, set_aside })
+        Ok(OpenedStore { store, identity, persisted, formatted: true, damaged_path })
     }
 
     fn open_existing(
@@ -173,7 +173,7 @@
         let header = store.read_header()?;
         store.check_header(&header, owner).map_err(OpenFailure::Fatal)?;
         let persisted = store.read_all(is_readable)?;
-        Ok(OpenedStore { store, identity: header.identity, persisted, formatted: false, set_aside: None })
+        Ok(OpenedStore { store, identity: header.identity, persisted, formatted: false, damaged_path: None })
     }
 
     fn check_header(&self, header: &Header, owner: &FolderOwner) -> Result<(), StorageError> {
@@ -221,9 +221,9 @@
                     entries.insert((group, entry.index.0), &checked::encode(entry)[..])?;
                 }
             }
-            if let Some(in_force) = &batch.configuration {
+            if let Some(active) = &batch.configuration {
                 let stored =
-                    StoredConfiguration { manifest: in_force.manifest.clone(), contents: in_force.contents.clone() };
+                    StoredConfiguration { manifest: active.manifest.clone(), contents: active.contents.clone() };
                 let mut configuration = transaction.open_table(CONFIGURATION)?;
                 configuration.insert(CONFIGURATION_KEY, &checked::encode(&stored)[..])?;
             }
@@ -252,8 +252,8 @@
     }
 
     /// Sets the store in a folder aside, so that the folder is formatted when it is next opened.
-    pub(crate) fn set_aside(folder: &Path) -> Result<PathBuf, StorageError> {
-        set_aside(folder)
+    pub(crate) fn move_damaged(folder: &Path) -> Result<PathBuf, StorageError> {
+        move_damaged(folder)
     }
 
     fn write_header(&self, header: &Header) -> Result<(), StorageError> {
@@ -363,7 +363,7 @@
 }
 
 /// Renames the database file, so that an operator can inspect it, and returns its new path.
-fn set_aside(folder: &Path) -> Result<PathBuf, StorageError> {
+fn move_damaged(folder: &Path) -> Result<PathBuf, StorageError> {
     let mut number = 1;
     loop {
         let target = folder.join(format!("{FILE_NAME}.damaged-{number}"));
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -20,7 +20,7 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use stallmoor_core::identity::{GroupId, NodeId};
 use stallmoor_core::node::configuration::{
-    ApplyId, Bundle, ConfigurationReplica, InForce, Manifest, PartReference, bundle::PartContents,
+    ActiveConfiguration, ApplyId, Bundle, ConfigurationReplica, Manifest, PartReference, bundle::PartContents,
 };
 use stallmoor_core::replication::{
     Entry, EntryPayload, GroupMembership, HardState, LogIndex, LogWrite, PersistedReplica, Snapshot, Term,
@@ -35,7 +35,7 @@
 const UNCOMPACTED: GroupId = GroupId(7);
 
 fn owner(fresh: NodeId) -> FolderOwner {
-    FolderOwner { peer_address: "127.0.0.1:7100".to_owned(), adopt: false, fresh_identity: fresh }
+    FolderOwner { peer_address: "127.0.0.1:7100".to_owned(), adopt: false, new_identity: fresh }
 }
 
 fn membership() -> GroupMembership {
@@ -104,12 +104,12 @@
         let mut log = opened.take(group).expect("take replica");
         for write in writes {
             log.write(&[write]).expect("write to log");
-            log.settle().expect("settle log");
+            log.finish_snapshot().expect("settle log");
         }
     }
 }
 
-fn configuration() -> Arc<InForce> {
+fn configuration() -> Arc<ActiveConfiguration> {
     let fleet: Arc<str> = Arc::from("[fleet]\nname = \"fleet-a\"\n");
     let files = Bundle { files: BTreeMap::from([("fleet.toml".to_owned(), fleet)]) };
     let parts: Vec<PartReference> = files.references();
@@ -119,7 +119,7 @@
     for (digest, content) in contents {
         replica.offer_part(digest, content);
     }
-    replica.in_force().expect("the configuration is in force").clone()
+    replica.active().expect("the configuration is in force").clone()
 }
 
 /// Writes the store of a node with the current code.
@@ -196,7 +196,7 @@
     }
 
     let mut opened = ReplicaFolder::open(unpacked.path(), &owner(NodeId(99)), is_job_table).expect("open folder");
-    assert!(!opened.formatted && opened.set_aside.is_none(), "the golden folder must be readable");
+    assert!(!opened.formatted && opened.damaged_path.is_none(), "the golden folder must be readable");
     assert_eq!(opened.identity, IDENTITY);
     assert_eq!(opened.groups().collect::<Vec<_>>(), vec![COMPACTED, UNCOMPACTED]);
     for (group, writes) in [(COMPACTED, jobs_writes()), (UNCOMPACTED, uncompacted_writes())] {
@@ -213,10 +213,10 @@
     assert_eq!(check_rows("node-store.txt", &store_rows(written.path())), store_rows(unpacked.path()));
 
     let opened = Store::open(unpacked.path(), &owner(NodeId(99))).expect("open folder");
-    assert!(!opened.formatted && opened.set_aside.is_none(), "the golden folder must be readable");
+    assert!(!opened.formatted && opened.damaged_path.is_none(), "the golden folder must be readable");
     assert_eq!(opened.identity, IDENTITY);
     let groups = [(COMPACTED, replica_after(&partition_writes())), (UNCOMPACTED, replica_after(&uncompacted_writes()))];
     assert_eq!(opened.persisted.groups, groups.into());
-    let in_force = configuration();
-    assert_eq!(opened.persisted.configuration, Some((in_force.manifest.clone(), in_force.contents.clone())));
+    let active = configuration();
+    assert_eq!(opened.persisted.configuration, Some((active.manifest.clone(), active.contents.clone())));
 }
--- a/crates/storage/tests/replica_log.rs
+++ b/crates/storage/tests/replica_log.rs
@@ -88,7 +88,7 @@
     let earlier = files(folder.path(), "log").pop().expect("a log file");
     let saved = fs::read(&earlier).expect("read file");
     log.write(&[snapshot(5, 100)]).expect("write to log");
-    log.settle().expect("settle log");
+    log.finish_snapshot().expect("settle log");
     drop(log);
     assert!(!earlier.exists(), "the previous generation must be removed");
     // Power failure before the new files were synced: the previous log still exists and the new one is torn.
@@ -108,7 +108,7 @@
     let mut log = create(folder.path());
     log.write(&[append(1, 9)]).expect("write to log");
     log.write(&[snapshot(5, 100)]).expect("write to log");
-    log.settle().expect("settle log");
+    log.finish_snapshot().expect("settle log");
     drop(log);
     fs::remove_file(files(folder.path(), "snapshot").pop().expect("a snapshot file")).expect("remove file");
     assert!(matches!(ReplicaLog::open(folder.path(), GROUP), Ok(OpenedReplica::Damaged)));
@@ -123,7 +123,7 @@
         log.write(&[append(round * 10 + 1, round * 10 + 10)]).expect("write to log");
         log.write(&[snapshot(round * 10 + 10, STATE)]).expect("write to log");
         assert!(files(folder.path(), "snapshot").len() <= 2);
-        log.settle().expect("settle log");
+        log.finish_snapshot().expect("settle log");
         assert_eq!(files(folder.path(), "snapshot").len(), 1);
         assert_eq!(files(folder.path(), "log").len(), 1);
     }
@@ -197,7 +197,7 @@
                 prop_assert!(matches_model(log.contents(), &model), "{:?} for {:?}", log.contents(), model);
                 model = log.contents().clone();
             } else if matches!(step, Step::Settle) {
-                log.settle().expect("settle log");
+                log.finish_snapshot().expect("settle log");
             } else if let Some(write) = step_write(step, &model) {
                 model.write(&write);
                 log.write(&[write]).expect("write to log");
@@ -211,7 +211,7 @@
 }
 
 fn owner(fresh: u64) -> FolderOwner {
-    FolderOwner { peer_address: "127.0.0.1:7100".to_owned(), adopt: false, fresh_identity: NodeId(fresh) }
+    FolderOwner { peer_address: "127.0.0.1:7100".to_owned(), adopt: false, new_identity: NodeId(fresh) }
 }
 
 fn open_folder(folder: &Path, fresh: u64) -> ReplicaFolder {
@@ -241,7 +241,7 @@
     fs::write(files(folder.path(), "log").pop().expect("a log file"), b"not a log").expect("write file");
     let mut reopened = open_folder(folder.path(), 12);
     assert_eq!(reopened.identity, NodeId(12));
-    assert!(reopened.set_aside.as_ref().is_some_and(|aside| aside.exists()));
+    assert!(reopened.damaged_path.as_ref().is_some_and(|aside| aside.exists()));
     assert!(reopened.take(GROUP).expect("take replica").contents().entries.is_empty());
 }
 
--- a/crates/storage/tests/store.rs
+++ b/crates/storage/tests/store.rs
@@ -16,7 +16,7 @@
 const GROUP: GroupId = GroupId(3);
 
 fn owner(fresh: u64) -> FolderOwner {
-    FolderOwner { peer_address: "127.0.0.1:7100".to_owned(), adopt: false, fresh_identity: NodeId(fresh) }
+    FolderOwner { peer_address: "127.0.0.1:7100".to_owned(), adopt: false, new_identity: NodeId(fresh) }
 }
 
 fn open(folder: &Path, fresh: u64) -> OpenedStore {
@@ -86,7 +86,7 @@
     let reopened = open(folder.path(), 12);
     assert!(reopened.formatted);
     assert_eq!(reopened.identity, NodeId(12), "a node with a damaged store must not vote under its previous identity");
-    assert!(reopened.set_aside.is_some_and(|path| path.exists()));
+    assert!(reopened.damaged_path.is_some_and(|path| path.exists()));
     assert!(reopened.persisted.groups.is_empty());
 }
 
@@ -95,7 +95,7 @@
     let folder = tempfile::tempdir().expect("create temporary folder");
     fs::write(folder.path().join("store.redb"), b"not a database").expect("write file");
     let opened = open(folder.path(), 12);
-    assert!(opened.formatted && opened.set_aside.is_some());
+    assert!(opened.formatted && opened.damaged_path.is_some());
 }
 
 /// Returns a write for a step that is valid for the current contents of the log.
--- a/crates/wire/src/codec/control.rs
+++ b/crates/wire/src/codec/control.rs
@@ -161,10 +161,10 @@
             builder.set_from(from.0);
             builder.init_kind().set_online_notice(*in_flight);
         }
-        CreditMessage::Ask { engine, from, want } => {
+        CreditMessage::Request { engine, from, wanted_streams } => {
             builder.set_engine(&*engine.0);
             builder.set_from(from.0);
-            builder.init_kind().set_ask(*want);
+            builder.init_kind().set_ask(*wanted_streams);
         }
         CreditMessage::Grant { engine, limit, lifetime } => {
             builder.set_engine(&*engine.0);
@@ -181,7 +181,7 @@
     let from = NodeId(reader.get_from());
     Ok(match reader.get_kind().which().context(UnknownKindSnafu)? {
         Which::OnlineNotice(in_flight) => CreditMessage::OnlineNotice { engine, from, in_flight },
-        Which::Ask(want) => CreditMessage::Ask { engine, from, want },
+        Which::Ask(wanted_streams) => CreditMessage::Request { engine, from, wanted_streams },
         Which::Grant(grant) => {
             let grant = grant.context(MalformedSnafu)?;
             let lifetime = Millis(grant.get_lifetime_millis());
--- a/crates/wire/tests/support/mod.rs
+++ b/crates/wire/tests/support/mod.rs
@@ -377,7 +377,7 @@
     let grant = CreditMessage::Grant { engine: engine.clone(), limit: 4, lifetime: Millis(1_500) };
     let messages = vec![
         ("online-notice", PeerMessage::Credit(notice)),
-        ("ask", PeerMessage::Credit(CreditMessage::Ask { engine: engine.clone(), from, want: 5 })),
+        ("ask", PeerMessage::Credit(CreditMessage::Request { engine: engine.clone(), from, wanted_streams: 5 })),
         ("grant", PeerMessage::Credit(grant)),
         ("engines-leaving", PeerMessage::EnginesLeaving(vec![LeavingFact { engine, incarnation: 2 }])),
         ("directory-request", PeerMessage::DirectoryRequest { from }),
