--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -92,8 +92,8 @@
         (last_term, last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
-    /// Returns whether this replica leads or heard from its leader within the election timeout. Votes are then refused,
-    /// so that a disconnected replica that rejoins cannot depose a working leader.
+    /// Returns whether this replica is the leader or was contacted by its leader within the election timeout. Votes are
+    /// then refused, so that a disconnected replica that rejoins cannot depose a working leader.
     pub(super) fn leader_lease_holds(&self, now: Timestamp) -> bool {
         if self.is_leader() {
             return true;
--- a/crates/core/src/replication/repair.rs
+++ b/crates/core/src/replication/repair.rs
@@ -82,8 +82,8 @@
     None
 }
 
-/// Chooses the voter to remove when a replaced member has rejoined and the group has too many. Prefers voters that
-/// share their zone with another one, and among those the lowest-ranked by rendezvous hashing.
+/// Chooses the voter to remove from a group with too many voters, for example after a replaced member has rejoined.
+/// Prefers voters that share their zone with another one, and among those the lowest-ranked by rendezvous hashing.
 fn choose_voter_to_remove(input: &RepairInput<'_>) -> Option<NodeId> {
     let voters: Vec<&StoreCandidate> = rank_candidates(input.candidates, input.group)
         .into_iter()
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -15,10 +15,10 @@
 /// Timeouts and limits of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaSettings {
-    /// The interval between a leader's heartbeats.
+    /// Interval between a leader's heartbeats.
     pub heartbeat_interval: Millis,
-    /// The minimum time without contact to a leader before a replica campaigns. The actual timeout is random, up to
-    /// twice this value.
+    /// Minimum time without contact from a leader before a replica campaigns. The actual timeout is random, up to twice
+    /// this value.
     pub election_timeout: Millis,
     /// Maximum size in bytes of the entries in one append message. A single larger entry is still sent.
     pub max_append_bytes: usize,
@@ -118,7 +118,7 @@
     /// already has entries.
     ///
     /// `membership` must come from the group's founding record. The record is created by a single compare-and-swap, so
-    /// all founders append an identical entry, which therefore counts as committed. A founder that hears from the
+    /// all founders append an identical entry, which therefore counts as committed. A founder that is contacted by the
     /// leader before it reads the record receives the entry by replication.
     ///
     /// One founder, selected by the group's number, campaigns after one heartbeat interval. A new group thus elects a
@@ -215,8 +215,8 @@
         self.flush();
     }
 
-    /// Makes this replica the leader and only voter of a group of two whose other voter is lost. Returns false
-    /// and does nothing unless the group has exactly two voters and this replica is one of them.
+    /// Makes this replica the leader and only voter of a group of two whose other voter is lost. Returns false and does
+    /// nothing unless the group has exactly two voters and this replica is one of them.
     ///
     /// The caller must ensure that the other voter never does the same. No committed entry is lost, because both voters
     /// were needed for each commit.
--- a/crates/core/src/replication/role.rs
+++ b/crates/core/src/replication/role.rs
@@ -15,7 +15,7 @@
         /// The leader of this term, if known.
         leader: Option<NodeId>,
     },
-    /// The replica is finding out whether it would win an election.
+    /// The replica is running a pre-vote to determine whether it would win an election.
     PreCandidate {
         /// The voters that would vote for this replica, including itself.
         votes: BTreeSet<NodeId>,
--- a/crates/core/src/serving/configuration/mod.rs
+++ b/crates/core/src/serving/configuration/mod.rs
@@ -1,7 +1,7 @@
 //! Configuration of a gateway: routes, services and tenants.
 //!
-//! Holds one version of the configuration as typed values. The adapter decodes and validates the operator's records,
-//! and a node replaces its configuration only by a higher version.
+//! Stores one version of the configuration as typed values. The gateway crate decodes and validates the operator's
+//! records, and a node replaces its configuration only by a higher version.
 
 pub mod tenant;
 
--- a/crates/core/src/serving/crashes/evidence.rs
+++ b/crates/core/src/serving/crashes/evidence.rs
@@ -9,8 +9,8 @@
 /// Number of crashes at the same point of the response, without a completion in between, after which a request is
 /// quarantined. Fewer can be coincidental, because a crash affects every request on the worker.
 pub const CRASH_THRESHOLD: usize = 3;
-/// Number of crashes at different points after which a request is quarantined. Higher than [`CRASH_THRESHOLD`], since a
-/// long response that is affected by unrelated crashes looks the same.
+/// Number of crashes at different points after which a request is quarantined. Higher than [`CRASH_THRESHOLD`], since
+/// unrelated crashes during a long response produce the same pattern.
 const SCATTERED_CRASH_THRESHOLD: usize = CRASH_THRESHOLD + 1;
 /// Number of crashes after which a request is quarantined even if other requests explain them.
 const TOTAL_CRASH_THRESHOLD: usize = CRASH_THRESHOLD + 3;
--- a/crates/core/src/serving/crashes/ledger.rs
+++ b/crates/core/src/serving/crashes/ledger.rs
@@ -19,7 +19,7 @@
 const QUARANTINE_BACKOFF: Backoff = Backoff::new(Millis(300_000), MAX_QUARANTINE);
 /// Maximum duration of a quarantine.
 const MAX_QUARANTINE: Millis = Millis(3_600_000);
-/// How long a request is retained after its last crash. Bounds memory.
+/// Time for which a request is retained after its last crash. Bounds memory.
 const CRASH_RETENTION: Millis = Millis(2 * MAX_QUARANTINE.0);
 /// Maximum number of request digests tracked; those whose last crash is oldest are evicted first. Bounds memory.
 const MAX_REQUESTS: usize = 2_048;
@@ -28,7 +28,8 @@
 /// Crashes within this time after a completion of the request are not attributed to it. Exempts requests that many
 /// callers send and that therefore run on every worker that crashes.
 pub(super) const COMPLETION_GRACE_PERIOD: Millis = Millis(10_000);
-/// Origin of a crash or completion. This node reports only what it observed itself.
+
+/// Origin of a crash or completion. A node reports only the crashes and completions that it observed itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
     Local,
@@ -166,8 +167,8 @@
     /// Returns the remaining quarantine of a request, or `None` if it may run.
     pub fn quarantined_for(&self, digest: RequestDigest, now: UnixMillis) -> Option<Millis> {
         let until = self.quarantined_until(digest)?;
-        let left = until.0.saturating_sub(now.0);
-        (left > 0).then_some(Millis(left))
+        let remaining = until.0.saturating_sub(now.0);
+        (remaining > 0).then_some(Millis(remaining))
     }
 
     /// Returns whether one more crash would quarantine the request. If so, the next attempt has to wait until the
@@ -213,7 +214,7 @@
         report
     }
 
-    /// Returns whether the crash is new.
+    /// Records a crash. Returns whether it is new.
     fn record_crash(&mut self, crash: Crash, source: Source) -> bool {
         let suspect = self.suspects.entry(crash.digest).or_insert_with(|| {
             let last = self.recent.last(crash.digest);
@@ -234,7 +235,7 @@
         is_new
     }
 
-    /// Attributes crashes to a request since its last completion.
+    /// Counts the crashes since a request's last completion that are attributed to it.
     ///
     /// A crash affects all requests in the worker's slots. If another affected request has stronger evidence that
     /// suffices for a quarantine, the crash counts for that request only.
@@ -264,7 +265,8 @@
         Some(Quarantine { digest, crashes: self.count(digest).counted, until })
     }
 
-    /// Returns whether the request has crashes. Completions of other requests are not stored.
+    /// Records a completion. Returns whether the request has crashes; completions of requests without crashes are not
+    /// stored.
     fn record_completion(&mut self, completion: Completion, source: Source) -> bool {
         let Some(suspect) = self.suspects.get_mut(&completion.digest) else { return false };
         if suspect.completed.is_none_or(|known| known.at < completion.at) {
--- a/crates/core/src/serving/crashes/mod.rs
+++ b/crates/core/src/serving/crashes/mod.rs
@@ -4,7 +4,7 @@
 //! the other requests of that worker. The crash history of a request is therefore shared between nodes and outlives the
 //! attempt, the gateway and the leader that observed it.
 //!
-//! | module | description |
+//! | module | contents |
 //! |---|---|
 //! | [`digest`] | [`RequestKeys`]: identification of a request that is sent again |
 //! | `evidence` | the crash counts and thresholds that decide on a quarantine |
--- a/crates/core/src/serving/jobs/command.rs
+++ b/crates/core/src/serving/jobs/command.rs
@@ -83,7 +83,7 @@
 }
 
 impl Submission {
-    /// Returns the queue that the job's items count towards.
+    /// Returns the queue that the job's items count toward.
     pub fn queue(&self) -> QueueKey {
         QueueKey { route: self.route.clone(), tenant: self.tenant.clone() }
     }
--- a/crates/core/src/serving/jobs/directory.rs
+++ b/crates/core/src/serving/jobs/directory.rs
@@ -69,7 +69,7 @@
         self.founders = founders;
     }
 
-    /// Returns whether a node was an initial voter of the job table's group. Most current members usually were.
+    /// Returns whether a node was an initial voter of the job table's group. Most current members usually are founders.
     pub fn is_founder(&self, node: NodeId) -> bool {
         self.founders.contains(&node)
     }
--- a/crates/core/src/serving/jobs/dispatch/mod.rs
+++ b/crates/core/src/serving/jobs/dispatch/mod.rs
@@ -1,6 +1,6 @@
 //! Schedules the items of batch jobs and handles the end of their runs. Only the leader of the job table dispatches.
 //!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
 //! | this one | [`Dispatcher`]: the items without a result, in the order in which they run and pause |
 //! | `run_end` | [`RunEnd`]: the meaning of a worker's answer, or of its absence, for an item |
@@ -29,8 +29,8 @@
 use crate::backoff::Backoff;
 use crate::time::{Millis, Timestamp, UnixMillis};
 
-/// The wait after an unsuccessful run, doubled with each consecutive one. Items that would be paused again at once back
-/// off, and recovered workers are still found soon.
+/// The delay after an unsuccessful run, doubled with each consecutive one. The growth limits the number of runs that
+/// are paused again at once; the maximum is short, so that recovered workers are found soon.
 const RUN_BACKOFF: Backoff = Backoff::new(Millis(40), Millis(640));
 
 /// The number of new events after which an item's progress is logged. Limits the size of the log.
@@ -70,8 +70,9 @@
     output: PartialOutput,
     /// The part of the output that is logged or proposed.
     logged: LoggedOutput,
-    /// When the last run started, and the id of the last event before it.
+    /// Start time of the last run.
     started_at: Timestamp,
+    /// The id of the last event before the last run; 0 for none.
     started_after: u64,
 }
 
@@ -164,10 +165,10 @@
     /// Returns the items at one worker to pause so that `count` of them pause, including those that are already
     /// pausing.
     pub fn choose_pauses(&self, at_worker: Vec<RunningItem>, count: usize, wall_time: UnixMillis) -> Vec<ItemKey> {
-        let (leaving, mut staying): (Vec<_>, Vec<_>) = at_worker.into_iter().partition(|item| item.is_pausing);
-        let due = count.saturating_sub(leaving.len());
-        self.pause_order(&mut staying, wall_time);
-        staying.into_iter().take(due).map(|item| item.key).collect()
+        let (pausing, mut continuing): (Vec<_>, Vec<_>) = at_worker.into_iter().partition(|item| item.is_pausing);
+        let due = count.saturating_sub(pausing.len());
+        self.pause_order(&mut continuing, wall_time);
+        continuing.into_iter().take(due).map(|item| item.key).collect()
     }
 
     /// Returns whether any item may run now.
@@ -176,7 +177,7 @@
         !self.ready.is_empty()
     }
 
-    /// Returns an item to the queue that was taken but not sent to a worker.
+    /// Returns to the queue an item that was taken but not sent to a worker.
     pub fn requeue(&mut self, key: &ItemKey, output: PartialOutput) {
         if let Some(open_item) = self.items.get_mut(key) {
             open_item.output = output;
--- a/crates/core/src/serving/jobs/dispatch/pacing.rs
+++ b/crates/core/src/serving/jobs/dispatch/pacing.rs
@@ -2,8 +2,8 @@
 
 use crate::time::{Millis, Timestamp};
 
-/// The time without attempts after no worker had capacity for an item. Each attempt examines all ready items and all
-/// workers, and the caller attempts after every event.
+/// The delay before the next attempt after no worker had capacity for an item. Limits the CPU time of attempts: each
+/// examines all ready items and all workers, and without the delay the caller would make one after every event.
 const NO_CAPACITY_BACKOFF: Millis = Millis(15);
 /// The interval at which the output of running items is logged. Bounds the output that is lost when the leader changes.
 const PROGRESS_INTERVAL: Millis = Millis(1_000);
--- a/crates/core/src/serving/jobs/dispatch/run_end.rs
+++ b/crates/core/src/serving/jobs/dispatch/run_end.rs
@@ -8,7 +8,7 @@
 /// The timeout for each further event of a run.
 pub const EVENT_TIMEOUT: Millis = Millis(1_500);
 
-/// The way in which a run of an item ended.
+/// The outcome of a run of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     /// The output is complete.
--- a/crates/core/src/serving/jobs/dispatch/start.rs
+++ b/crates/core/src/serving/jobs/dispatch/start.rs
@@ -9,7 +9,8 @@
 use crate::serving::regions::AllowedRegions;
 use crate::time::{Millis, UnixMillis};
 
-/// The time after its route's limit at which an item is abandoned, as a margin for differences between clocks.
+/// The time by which an item must exceed its route's time limit to be abandoned, as a margin for differences between
+/// clocks.
 const GIVE_UP_MARGIN: Millis = Millis(10_000);
 /// The maximum number of failed runs of an item whose route was removed.
 const DEFAULT_MAX_ATTEMPTS: u32 = 3;
@@ -38,8 +39,8 @@
     GiveUp,
     /// The configuration of this node is older than that of the submission, so the route may still arrive.
     AwaitConfiguration,
-    /// The table has no such item. Guards against an item that would count as running until leadership changes;
-    /// normally the dispatcher removes an item together with the table.
+    /// The table has no such item. Does not normally occur, because an item is removed from the dispatcher and the
+    /// table together. Without this case, the item would count as running until leadership changes.
     Unknown,
 }
 
--- a/crates/core/src/serving/jobs/load_aggregator.rs
+++ b/crates/core/src/serving/jobs/load_aggregator.rs
@@ -1,10 +1,10 @@
 //! Aggregates the online requests of all gateways at the leader of the job table.
 //!
 //! Each gateway reports its own requests at each worker several times per second and receives those of all others. This
-//! keeps gateways from choosing the same worker, and batch items away from busy workers.
+//! prevents gateways from all choosing the same worker, and batch items from being sent to busy workers.
 //!
 //! In large fleets a storage node in each zone aggregates the reports of the zone: it sends the sums over its gateways
-//! to the leader, and stores what it receives about all other zones like the report of one more node.
+//! to the leader, receives the sums over all other zones, and stores those like the report of one more node.
 //!
 //! The sums over all nodes are updated incrementally. Computing them for each report would take time quadratic in the
 //! number of nodes.
@@ -15,7 +15,7 @@
 use crate::serving::workers::{LoadReport, WorkerCount, WorkerId, WorkerReport};
 use crate::time::{Millis, Timestamp};
 
-/// The time after which a report expires. Bounds how long a stopped gateway still counts.
+/// The time after which a report expires. Bounds the time for which a stopped gateway is still counted.
 const REPORT_LIFETIME: Millis = Millis(1_000);
 /// The interval at which the sums are rebuilt without expired reports. Limits the CPU time of the leader.
 const REBUILD_INTERVAL: Millis = Millis(100);
@@ -151,7 +151,7 @@
     }
 
     /// Returns the sums over all nodes except `node`, plus the requests of `batch`. Loads that the workers reported
-    /// themselves count from every node.
+    /// themselves are included even if `node` forwarded them.
     pub fn report_for(&mut self, node: NodeId, batch: &[WorkerCount], now: Timestamp) -> LoadReport {
         self.refresh(now);
         let own = self.nodes.get(&node).map(|stored| &stored.report.workers);
--- a/crates/core/src/serving/jobs/members.rs
+++ b/crates/core/src/serving/jobs/members.rs
@@ -1,5 +1,5 @@
-//! Membership of the job table's group: replaces lost members, drains machines on request, and keeps a group of two
-//! able to lose one member.
+//! Membership of the job table's group: replaces lost members, drains machines on request, and lets a group of two
+//! tolerate the loss of one member. A spare is a storage node that is not a member.
 //!
 //! Each replica has its own [`MembershipPlanner`]. [`MembershipPlanner::plan`] returns the actions that are due, and
 //! the caller carries them out.
@@ -16,14 +16,14 @@
 };
 use crate::time::{Millis, Timestamp};
 
-/// A member that has not answered for this long is replaced if there is a spare. Long enough for a restart.
+/// The time without contact after which a member is replaced if there is a spare. Long enough for a restart.
 const MEMBER_TIMEOUT: Millis = Millis(2_200);
 /// A spare is added to the group only if it was in contact within this time.
 const SPARE_CONTACT_TIMEOUT: Millis = Millis(1_500);
 /// The interval between two plans. Limits the CPU time of planning.
 const PLAN_INTERVAL: Millis = Millis(100);
-/// A member of a pair is considered lost after this time without contact. Longer than for larger groups, because the
-/// survivor continues alone.
+/// The time without contact after which a member of a pair is considered lost. Longer than for larger groups, because
+/// the survivor continues alone.
 const PAIR_MEMBER_TIMEOUT: Millis = Millis(3_500);
 
 /// The interval between two join requests of a ready spare.
@@ -199,8 +199,8 @@
     ) -> Vec<MembershipAction> {
         let membership = replica.membership();
         let drained = self.drained_nodes(directory);
-        // A successor that is to be drained too would hand leadership back at once, so this node keeps it and replaces
-        // the other members until another successor has caught up.
+        // A successor that is to be drained too would transfer leadership back at once, so this node remains the leader
+        // and replaces the other members until another successor has caught up.
         if drained.contains(&self.own)
             && membership.voters.contains(&self.own)
             && let Some(target) = self.successor_excluding(replica, &drained)
--- a/crates/core/src/serving/jobs/mod.rs
+++ b/crates/core/src/serving/jobs/mod.rs
@@ -1,15 +1,15 @@
 //! Batch jobs, whose items are forwarded to workers unchanged.
 //!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
 //! | [`command`] | commands that change the replicated table, and their outcomes |
 //! | [`table`] | the replicated table: jobs, items, and results at fixed positions |
 //! | [`request`] | requests of other nodes to the leader of the table |
-//! | [`node`] | one replica of the table: the log, the table, and the acknowledgements |
+//! | [`node`] | one replica of the table: the log, the table, and the acknowledgments |
 //! | [`pending_reads`] | reads that wait for a result |
 //! | [`disk_budget`] | whether a job fits on the disk |
 //! | [`retention`] | when finished jobs are removed |
-//! | [`dispatch`] | which item runs next, and the consequences of how a run ended |
+//! | [`dispatch`] | the order in which items run, and the handling of ended runs |
 //! | [`members`] | membership of the table's replication group |
 //! | [`placement`] | the regions in which the table may be stored |
 //! | [`pair`] | failover of a group with two replicas |
--- a/crates/core/src/serving/jobs/node/messages.rs
+++ b/crates/core/src/serving/jobs/node/messages.rs
@@ -12,7 +12,7 @@
 /// An effect that the caller must carry out, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobsEffect {
-    /// Writes to disk durably before any later effect is carried out.
+    /// Writes to disk. The write must be durable before any later effect is carried out.
     Persist(LogWrite),
     /// Sends a message to another replica.
     Send(ReplicationMessage),
--- a/crates/core/src/serving/jobs/node/mod.rs
+++ b/crates/core/src/serving/jobs/node/mod.rs
@@ -1,4 +1,4 @@
-//! One replica of the job table: the replicated log, the table, and the acknowledgements.
+//! One replica of the job table: the replicated log, the table, and the acknowledgments.
 //!
 //! The caller carries out the effects of each call in order. A [`JobsEffect::Persist`] must be durable before any later
 //! effect is carried out; further events may be handled in the meantime, and their effects are queued.
@@ -253,7 +253,7 @@
         changes
     }
 
-    /// Returns the answers whose entries are stored by all responsive replicas, or that have waited long enough.
+    /// Returns the answers whose entries are stored by all responsive replicas or whose deadline has passed.
     pub fn release_answers(&mut self, now: Timestamp) -> Vec<JobsChange> {
         let replica = &self.replica;
         let is_due = |pending: &PendingAnswer| {
--- a/crates/core/src/serving/jobs/pending_reads.rs
+++ b/crates/core/src/serving/jobs/pending_reads.rs
@@ -2,7 +2,7 @@
 //!
 //! [`PendingReads`] stores the waiting reads in order of arrival. The caller polls it after results were committed, a
 //! job ended, leadership may have changed, or time has passed. The number of reads is not limited here, but each read
-//! ends at its deadline, at most the `wait` of [`super::request::JobsRequest::Read`] after it arrived, and holds no
+//! ends at its deadline, at most the `wait` of [`super::request::JobsRequest::Read`] after it arrived, and stores no
 //! page until then.
 
 use super::command::JobKey;
--- a/crates/core/src/serving/jobs/request.rs
+++ b/crates/core/src/serving/jobs/request.rs
@@ -16,7 +16,7 @@
 pub enum JobsRequest {
     /// Submits a job.
     Submit(Submission),
-    /// Reads results from a position on. The leader waits up to `wait` for a result before it answers.
+    /// Reads results starting at a position. The leader waits up to `wait` for a result before it answers.
     Read {
         /// The job to read.
         job: JobKey,
--- a/crates/core/src/serving/jobs/table.rs
+++ b/crates/core/src/serving/jobs/table.rs
@@ -118,7 +118,7 @@
         (!self.with_result[index]).then(|| &self.submission.items[index])
     }
 
-    /// Returns the results from `first` on, limited to `max_bytes` of text but with at least one result if there is
+    /// Returns the results starting at `first`, limited to `max_bytes` of text but with at least one result if there is
     /// any.
     pub fn page(&self, first: u32, max_bytes: usize) -> ResultPage {
         let mut bytes = 0;
@@ -175,8 +175,8 @@
         }
     }
 
-    /// Encodes the table for a snapshot. The counts of failed runs follow the table, where versions that do not know
-    /// them stop reading.
+    /// Encodes the table for a snapshot. The counts of failed runs follow the table; versions that do not know them
+    /// stop reading after the table.
     pub fn encode(&self) -> Arc<[u8]> {
         // Cannot fail: all lengths are known, and a vector grows as needed.
         let mut bytes = postcard::to_stdvec(self).unwrap_or_default();
--- a/crates/core/src/serving/leader/load_schedule.rs
+++ b/crates/core/src/serving/leader/load_schedule.rs
@@ -6,11 +6,11 @@
 use crate::serving::workers::LoadReport;
 use crate::time::{Millis, Timestamp};
 
-/// How long to wait for the answer to an exchange.
+/// Timeout for the answer to a load exchange.
 pub const EXCHANGE_TIMEOUT: Millis = Millis(250);
-/// Interval between exchanges while this node has no load to report, which saves processor time on the leader.
+/// Interval between exchanges while this node has no load to report. Limits the CPU time spent on the leader.
 const IDLE_INTERVAL: Millis = Millis(600);
-/// How long an aggregator is avoided after the first missing answer. Doubles with each further one.
+/// Time for which an aggregator is skipped after the first missing answer. Doubles with each consecutive one.
 const AGGREGATOR_BACKOFF: Millis = Millis(1_000);
 
 /// The peer of a load exchange.
@@ -25,7 +25,7 @@
 /// Determines the peer and the time of this node's next load exchange.
 ///
 /// If an answer is missing, the interval stays unchanged and the loads received earlier expire. An aggregator that did
-/// not answer is avoided for a while.
+/// not answer is skipped for a while.
 #[derive(Clone, Debug)]
 pub struct LoadSchedule {
     aggregators: RelaySelector,
@@ -43,7 +43,7 @@
 
 impl LoadSchedule {
     /// Returns the peer of the next exchange: the leader or, if there are many gateways, the first aggregator in the
-    /// zone's ranking that is not being avoided.
+    /// zone's ranking that is not currently skipped.
     pub fn partner(&self, storage: &StorageDirectory, zone: &str, own: NodeId, now: Timestamp) -> LoadPartner {
         if !self.uses_zone_aggregators {
             return LoadPartner::Leader;
@@ -53,12 +53,12 @@
     }
 
     /// Records an answer, which contains the loads of all other gateways.
-    pub fn record_answer(&mut self, partner: LoadPartner, gathered: &LoadReport) {
+    pub fn record_answer(&mut self, partner: LoadPartner, report: &LoadReport) {
         if let LoadPartner::Aggregator(aggregator) = partner {
             self.aggregators.record_answer(aggregator);
         }
-        self.uses_zone_aggregators = gathered.uses_zone_aggregators();
-        self.interval = gathered.interval();
+        self.uses_zone_aggregators = report.uses_zone_aggregators();
+        self.interval = report.interval();
     }
 
     /// Records a missing or invalid answer.
--- a/crates/core/src/serving/leader/mod.rs
+++ b/crates/core/src/serving/leader/mod.rs
@@ -1,9 +1,9 @@
-//! How a gateway communicates with the leader of the job table: finding it, and scheduling load exchanges.
+//! Communication of a gateway with the leader of the job table: leader discovery and the schedule of load exchanges.
 //!
 //! Storage nodes come from [`super::jobs::directory`], and the ranking of aggregators from [`super::relay::choice`].
-//! The caller makes the calls and waits.
+//! The caller sends the requests and performs the waits.
 //!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
 //! | [`search`] | attempts to deliver a request to the leader until it answers or the request times out |
 //! | [`load_schedule`] | the peer, the interval and the failures of load exchanges |
--- a/crates/core/src/serving/leader/search.rs
+++ b/crates/core/src/serving/leader/search.rs
@@ -8,7 +8,7 @@
 use crate::serving::jobs::request::{JobsAnswer, JobsRequest};
 use crate::time::{Millis, Timestamp};
 
-/// How long to wait for one node's answer, in addition to the wait that the request itself specifies.
+/// Timeout for one node's answer, in addition to the wait that the request itself specifies.
 const ATTEMPT_TIMEOUT: Millis = Millis(900);
 /// Delay after trying a node that knows no leader, for example during an election.
 const NO_LEADER_WAIT: Millis = Millis(60);
@@ -41,10 +41,10 @@
     Send {
         /// The node to send it to.
         target: LeaderTarget,
-        /// How long to wait for the answer.
+        /// Timeout for the answer.
         timeout: Millis,
     },
-    /// Wait and ask for the next step again, since no storage node is known.
+    /// Wait, then call [`LeaderSearch::next`] again. No storage node is known.
     Wait(Millis),
     /// Stop, since the request timed out.
     TimedOut(NoLeader),
@@ -63,7 +63,7 @@
     NoAnswer,
 }
 
-/// What to do after sending the request to a node.
+/// The decision after sending the request to a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SearchDecision {
     /// Return the answer; the node that gave it is the leader.
@@ -102,8 +102,8 @@
         Self { until, request_wait, tries: 0, redirects: 0, may_have_arrived: false }
     }
 
-    /// Continues with the node order after the given number of attempts of earlier searches. Otherwise short searches
-    /// would only ever reach the first few storage nodes.
+    /// Starts at the position in the node order that follows the given number of attempts of earlier searches.
+    /// Otherwise short searches would only ever reach the first few storage nodes.
     pub fn with_previous_tries(self, tries: usize) -> Self {
         Self { tries, ..self }
     }
@@ -121,14 +121,14 @@
         zone: &str,
         now: Timestamp,
     ) -> SearchStep {
-        let left = self.until.since(now);
-        if left == Millis(0) {
+        let remaining = self.until.since(now);
+        if remaining == Millis(0) {
             return SearchStep::TimedOut(NoLeader { may_have_arrived: self.may_have_arrived });
         }
         let target = self.target(leader, storage, zone);
         self.tries += 1;
         match target {
-            Some(target) => SearchStep::Send { target, timeout: (ATTEMPT_TIMEOUT + self.request_wait).min(left) },
+            Some(target) => SearchStep::Send { target, timeout: (ATTEMPT_TIMEOUT + self.request_wait).min(remaining) },
             None => SearchStep::Wait(NO_LEADER_WAIT),
         }
     }
--- a/crates/core/src/serving/mod.rs
+++ b/crates/core/src/serving/mod.rs
@@ -1,6 +1,6 @@
 //! Decision logic of gateways and storage nodes, which pass requests and batch items through unchanged.
 //!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
 //! | [`configuration`] | routes, services, tenants and limits set by the operator |
 //! | [`request`] | the request attributes that decisions depend on |
@@ -8,7 +8,7 @@
 //! | [`online`] | the attempts of an online request and the events of its answer |
 //! | [`crashes`] | requests that crashed workers |
 //! | [`jobs`] | batch jobs: the replicated job table and its members, dispatch of items |
-//! | [`leader`] | communication with the job table's leader: finding it, and exchanging loads |
+//! | [`leader`] | communication with the job table's leader: leader discovery and load exchanges |
 //! | [`quota`] | tenant limits across all gateways |
 //! | [`regions`] | the region of each zone, and where data may be stored |
 //! | [`relay`] | propagation of metadata store changes between nodes |
--- a/crates/core/src/serving/online/admission.rs
+++ b/crates/core/src/serving/online/admission.rs
@@ -12,8 +12,8 @@
 use crate::serving::regions::AllowedRegions;
 use crate::time::Millis;
 
-/// How long a request to a starting node waits for the configuration. Short enough that the caller can still retry
-/// elsewhere.
+/// Maximum time that a request to a starting node waits for the configuration. Short enough that the caller can still
+/// retry elsewhere.
 pub const CONFIGURATION_TIMEOUT: Millis = Millis(60);
 
 /// The parts of a request that admission depends on.
--- a/crates/core/src/serving/online/attempt.rs
+++ b/crates/core/src/serving/online/attempt.rs
@@ -1,18 +1,19 @@
 //! Outcomes of attempts to run a request on a worker, and whether another attempt is allowed.
 //!
-//! A request counts as not run only if the connection was never established, the worker stated it, or no byte of the
-//! request was sent. All code that needs to know whether a request may have run relies on this module.
+//! A request counts as not run only if the connection was never established, no byte of the request was sent, or the
+//! worker stated that it did not run it. All code that needs to know whether a request may have run relies on this
+//! module.
 
 use crate::serving::configuration::RouteKind;
 
-/// How an attempt ended without a complete answer.
+/// The outcome of an attempt that ended without a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// No connection was established, so nothing was sent.
     NotConnected,
     /// The worker did not run the request.
     NotRun {
-        /// Another worker than the addressed one answered.
+        /// Whether a worker other than the addressed one answered.
         other_instance: bool,
     },
     /// The worker answered with a server error.
@@ -55,7 +56,7 @@
     pub is_signed: bool,
     /// Whether the worker states that it did not run the request.
     pub not_run: bool,
-    /// Whether another worker than the addressed one answered.
+    /// Whether a worker other than the addressed one answered.
     pub other_instance: bool,
 }
 
--- a/crates/core/src/serving/online/mod.rs
+++ b/crates/core/src/serving/online/mod.rs
@@ -3,12 +3,12 @@
 //! Routes come from [`configuration`](super::configuration); [`workers`](super::workers) selects the worker of each
 //! attempt.
 //!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
 //! | [`admission`] | route lookup and authentication of callers |
 //! | [`request_state`] | the state of one request: attempts so far, and what may be tried next |
 //! | [`attempt`] | attempt outcomes, and whether the request may have run |
-//! | [`timeouts`] | how long to wait for a worker before trying another one |
+//! | [`timeouts`] | timeouts after which a request switches to another worker |
 //! | [`shedding`] | immediate refusal of new streams that would be late, and their `Retry-After` |
 //! | [`event_stream`] | splitting an answer into complete events |
 //! | [`stream_progress`] | the progress of a stream, and which events are forwarded to the caller |
@@ -24,5 +24,5 @@
 use crate::retry_budget::RetryBudgetLimits;
 
 /// Limits on retries of requests whose worker is slow. At most 3% of requests are retried in the long run, which bounds
-/// the extra load when all workers are slow; up to 8 retries are saved for the requests of a single stalled worker.
+/// the extra load when all workers are slow. Bursts of up to 8 retries cover the requests of a single stalled worker.
 pub const RETRY_LIMITS: RetryBudgetLimits = RetryBudgetLimits { deposit: 0.03, capacity: 8.0, initial: 8.0 };
--- a/crates/core/src/serving/online/request_state.rs
+++ b/crates/core/src/serving/online/request_state.rs
@@ -31,14 +31,14 @@
 /// Maximum delay between two such rounds. Short, so that a free slot is found soon.
 const MAX_RESUME_BACKOFF: Millis = Millis(160);
 
-/// Why a request is refused.
+/// The reason why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
     /// Too little time is left for another attempt.
     NoTime,
     /// There is no worker that was not tried yet.
     NoWorker,
-    /// The last allowed attempt failed this way.
+    /// The last allowed attempt failed with this outcome.
     LastAttempt(AttemptEnd),
     /// The request crashed workers and is quarantined for the given time.
     Quarantined(Millis),
@@ -72,7 +72,7 @@
 pub struct RequestState {
     route: Arc<Route>,
     timing: RequestTiming,
-    /// The caller resumes a stream of which it already received events.
+    /// Whether the caller resumes a stream of which it already received events.
     is_reconnect: bool,
     counts: AttemptCounts,
     tried: TriedWorkers,
@@ -146,15 +146,15 @@
         if self.remaining(now) < MIN_ATTEMPT_TIME { Err(self.refusal(RefusalReason::NoTime)) } else { Ok(()) }
     }
 
-    /// Checks that the request is not quarantined. `left` is the remaining quarantine, if any.
+    /// Checks that the request is not quarantined. `remaining` is the time until the quarantine ends, if any.
     ///
     /// # Errors
     ///
     /// Returns the refusal to send if the request is quarantined.
-    pub fn check_quarantine(&mut self, left: Option<Millis>) -> Result<(), Refusal> {
-        let Some(left) = left else { return Ok(()) };
+    pub fn check_quarantine(&mut self, remaining: Option<Millis>) -> Result<(), Refusal> {
+        let Some(remaining) = remaining else { return Ok(()) };
         self.is_quarantined = true;
-        Err(self.refusal(RefusalReason::Quarantined(left)))
+        Err(self.refusal(RefusalReason::Quarantined(remaining)))
     }
 
     /// Returns whether the request may be shed: only a new stream that would have to queue at the selected worker.
@@ -173,7 +173,7 @@
         shed(choice, times, random)
     }
 
-    /// Records how many candidates there were for the next attempt.
+    /// Records the number of candidates for the next attempt.
     pub fn set_candidate_count(&mut self, candidates: usize) {
         self.has_alternative = candidates > 1;
     }
@@ -227,7 +227,7 @@
         Some(wait)
     }
 
-    /// Returns how long to wait for the head of an answer. The last allowed attempt gets all the remaining time.
+    /// Returns the timeout for the head of an answer. The last allowed attempt gets all the remaining time.
     pub fn head_timeout(&self, budget: &RetryBudget, mean_first: Millis, now: Timestamp) -> Millis {
         let remaining = self.remaining(now);
         if self.may_switch_worker(budget) {
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Returns how long to wait for the next event.
+    /// Returns the timeout for the next event.
     pub fn event_timeout(&self, budget: &RetryBudget, awaited: AwaitedEvent, now: Timestamp) -> Millis {
         let remaining = self.remaining(now);
         let limit = if self.may_switch_worker(budget) { event_timeout(&self.route, awaited, now) } else { None };
@@ -274,9 +274,9 @@
             RefusalReason::LastAttempt(end) => {
                 (ErrorKind::Overloaded, ErrorKind::EngineLost, format!("the last attempt ended as {end:?}"))
             }
-            RefusalReason::Quarantined(left) => {
-                retry_after = left;
-                let detail = format!("workers died of this request; it is kept from others for {} ms", left.0);
+            RefusalReason::Quarantined(remaining) => {
+                retry_after = remaining;
+                let detail = format!("workers died of this request; it is kept from others for {} ms", remaining.0);
                 (ErrorKind::RequestQuarantined, ErrorKind::EngineLost, detail)
             }
         };
--- a/crates/core/src/serving/online/stream_progress.rs
+++ b/crates/core/src/serving/online/stream_progress.rs
@@ -10,7 +10,7 @@
 pub struct AcceptedEvents {
     /// The bytes to forward. They are already counted as forwarded, so they must be sent even if there is a gap.
     pub bytes: Vec<u8>,
-    /// The worker skipped events after these bytes, so nothing more from it can be forwarded.
+    /// Whether the worker skipped events after these bytes. If so, nothing more from it can be forwarded.
     pub has_gap: bool,
 }
 
@@ -24,7 +24,7 @@
     AfterGap,
 }
 
-/// The position of a stream.
+/// The progress of a stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StreamProgress {
     /// The number of the last event that was forwarded, or that the caller received in an earlier request.
--- a/crates/core/src/serving/online/timeouts.rs
+++ b/crates/core/src/serving/online/timeouts.rs
@@ -1,4 +1,4 @@
-//! How long to wait for a worker before trying another one.
+//! Timeouts after which a request switches to another worker.
 //!
 //! A request that may run again switches to another worker early enough for that worker to still be on time. Other
 //! requests get all the time that their caller allows.
@@ -33,14 +33,14 @@
     Next,
 }
 
-/// Returns how long to wait for the head of an answer if the request may switch to another worker.
+/// Returns the timeout for the head of an answer if the request may switch to another worker.
 pub fn first_event_timeout(route: &Route, mean_first: Millis) -> Millis {
     let of_objective = Millis(route.objective.0 * FIRST_EVENT_TIMEOUT_PERCENT / 100);
     of_objective.max(MIN_FIRST_EVENT_TIMEOUT).max(Millis(mean_first.0 * MEAN_MULTIPLE))
 }
 
-/// Returns how long to wait for an event if the request may switch to another worker, or `None` if the route has no
-/// target gap between events.
+/// Returns the timeout for an event if the request may switch to another worker, or `None` if the route has no target
+/// gap between events.
 pub fn event_timeout(route: &Route, awaited: AwaitedEvent, now: Timestamp) -> Option<Millis> {
     let gap = route.gap_target?;
     Some(match awaited {
--- a/crates/core/src/serving/quota/bucket.rs
+++ b/crates/core/src/serving/quota/bucket.rs
@@ -68,7 +68,7 @@
         self.level += requests;
     }
 
-    /// Number of tokens in the bucket; negative while it is in debt.
+    /// Returns the number of tokens in the bucket; negative while it is in debt.
     pub fn level(&self) -> f64 {
         self.level
     }
--- a/crates/core/src/serving/quota/coordinator.rs
+++ b/crates/core/src/serving/quota/coordinator.rs
@@ -21,7 +21,7 @@
 /// long.
 const DETECTION_DELAY: Millis = Millis(1_000);
 /// Maximum debt of a bucket after too many requests were admitted, as the time needed to accrue it. Bounds the time
-/// for which a tenant is shut out.
+/// for which all requests of a tenant are refused.
 const MAX_DEBT_SPAN: Millis = Millis(1_000);
 /// Ratio of reported to previous demand below which the difference is attributed to unreachable gateways. Protects
 /// the limit after a change of the leader.
--- a/crates/core/src/serving/quota/limiter.rs
+++ b/crates/core/src/serving/quota/limiter.rs
@@ -28,7 +28,7 @@
 const REPORT_RETENTION: Millis = Millis(10_000);
 /// Time without requests after which the state of a tenant is dropped.
 const STATE_RETENTION: Millis = Millis(60_000);
-/// Minimum retry delay for refused callers, so that they do not return at once.
+/// Minimum retry delay for refused callers, so that they do not retry immediately.
 const MIN_RETRY_AFTER: Millis = Millis(20);
 /// Maximum retry delay for refused callers.
 const MAX_RETRY_AFTER: Millis = Millis(2_000);
--- a/crates/core/src/serving/quota/tenant_level.rs
+++ b/crates/core/src/serving/quota/tenant_level.rs
@@ -22,7 +22,7 @@
 /// Fraction of its share that a disconnected gateway uses. Protects the limit when demand shifts between gateways
 /// after the last report.
 pub(super) const DISCONNECTED_SHARE_FACTOR: f64 = 0.9;
-/// Fraction of its share after whose use a gateway reports early.
+/// Fraction of a gateway's share that must be used up for an early report.
 const EARLY_REPORT_FRACTION: f64 = 0.5;
 /// Time constant of the smoothed demand, so that shares do not jump with each request.
 const DEMAND_TIME_CONSTANT: Millis = Millis(1_500);
@@ -56,14 +56,14 @@
 impl RecentCount {
     fn record(&mut self, now: Timestamp) {
         match self.steps.back_mut() {
-            Some((begun, count)) if now.since(*begun) < RECENT_RESOLUTION => *count += 1,
+            Some((step_start, count)) if now.since(*step_start) < RECENT_RESOLUTION => *count += 1,
             _ => self.steps.push_back((now, 1)),
         }
         self.evict(now);
     }
 
     fn evict(&mut self, now: Timestamp) {
-        while self.steps.front().is_some_and(|(begun, _)| now.since(*begun) > RECENT_WINDOW) {
+        while self.steps.front().is_some_and(|(step_start, _)| now.since(*step_start) > RECENT_WINDOW) {
             self.steps.pop_front();
         }
     }
--- a/crates/core/src/serving/regions.rs
+++ b/crates/core/src/serving/regions.rs
@@ -1,4 +1,4 @@
-//! Regions: which region each zone belongs to, and where the data of a route or tenant may be stored.
+//! Regions: the region of each zone, and where the data of a route or tenant may be stored.
 //!
 //! The map of zones comes from the settings and does not change while the process runs.
 
--- a/crates/core/src/serving/relay/bounds.rs
+++ b/crates/core/src/serving/relay/bounds.rs
@@ -66,18 +66,18 @@
         percent_of(self.change, MAX_HOLD_PERCENT)
     }
 
-    /// Age from which a relay's view is stale, so that the relay's followers must use another source.
+    /// Returns the age from which a relay's view is stale, so that the relay's followers must use another source.
     pub fn max_relay_age(self) -> Millis {
         percent_of(self.change, MAX_RELAY_AGE_PERCENT)
     }
 
-    /// Age of its view from which a follower calls the store itself.
+    /// Returns the age of its view from which a follower calls the store itself.
     pub fn max_age(self) -> Millis {
         percent_of(self.change, MAX_AGE_PERCENT)
     }
 
-    /// Wait of a watch on the store by a node without relays. Longer than the contact bound, since an answer that the
-    /// store lost is only detected when the wait is over.
+    /// Returns the wait of a watch on the store by a node without relays. Longer than the contact bound, since an
+    /// answer that the store lost is only detected when the wait is over.
     pub(super) fn standalone_wait(self) -> Millis {
         self.contact + STANDALONE_WAIT_MARGIN
     }
@@ -86,7 +86,7 @@
         percent_of(self.change, STANDALONE_PAUSE_PERCENT)
     }
 
-    /// Time after the last request of another node for which a node remains a relay and watches the store.
+    /// Returns the time after the last request of another node for which a node remains a relay and watches the store.
     pub(super) fn relay_idle_timeout(self) -> Millis {
         self.contact
     }
@@ -95,7 +95,7 @@
         percent_of(self.change, STALE_RELAY_COOLDOWN_PERCENT)
     }
 
-    /// Maximum backoff after failed calls to the store, before jitter.
+    /// Returns the maximum backoff after failed calls to the store, before jitter.
     pub(super) fn max_store_backoff(self, role: WatchRole) -> Millis {
         let percent = match role {
             WatchRole::Relay | WatchRole::Forwarder | WatchRole::Standalone => MAX_RELAY_BACKOFF_PERCENT,
@@ -104,7 +104,7 @@
         percent_of(self.contact, percent)
     }
 
-    /// Minimum duration of an outage after which records may have expired.
+    /// Returns the minimum duration of an outage after which records may have expired.
     pub(super) fn min_expiry_outage(self) -> Millis {
         percent_of(self.heartbeat, MIN_EXPIRY_OUTAGE_PERCENT)
     }
--- a/crates/core/src/serving/relay/mirror.rs
+++ b/crates/core/src/serving/relay/mirror.rs
@@ -1,6 +1,6 @@
 //! One node's copy of the metadata store.
 //!
-//! Holds the items, the tombstones of recently removed keys, and the time at which the copy was last confirmed to be
+//! Stores the items, the tombstones of recently removed keys, and the time at which the copy was last confirmed to be
 //! complete.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -75,7 +75,7 @@
         self.at.map(|_| now.since(self.confirmed_at))
     }
 
-    /// Records that the view was complete at a time. Earlier times than the last one recorded are ignored.
+    /// Records that the view was complete at the given time. Times before the last recorded one are ignored.
     pub fn confirm(&mut self, at: Timestamp) {
         self.confirmed_at = self.confirmed_at.max(at);
     }
@@ -89,7 +89,7 @@
         let present: BTreeSet<Arc<str>> =
             listed.iter().filter(|item| item.value().is_some()).map(|item| item.key.clone()).collect();
         let mut changed = self.store_newer(listed);
-        // Items of the view may be newer than the list and then are not missing.
+        // Items of the view that changed after the list was read are not missing.
         let is_missing = |key: &Arc<str>, stored: &StoredState| {
             matches!(stored.state, KeyState::Present(_)) && stored.revision <= at && !present.contains(key)
         };
--- a/crates/core/src/serving/relay/mod.rs
+++ b/crates/core/src/serving/relay/mod.rs
@@ -10,7 +10,7 @@
 //! Depends on the records of the storage nodes ([`super::jobs::directory`]). The caller (the gateway crate's `fleet`)
 //! performs the calls and provides the clock and the randomness.
 //!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
 //! | [`item`] | revisions, and items at a revision |
 //! | [`mirror`] | one node's copy of the store, and the changes since a revision |
@@ -21,7 +21,7 @@
 //! | [`contents`] | the complete contents of a relay's view, compressed |
 //! | [`bounds`] | time bounds within which a node must see changes |
 //! | [`outage`] | outages observed by a node, and how to treat records that are missing afterwards |
-//! | [`policy`] | where a node obtains the next changes, and how long it waits |
+//! | [`policy`] | where a node obtains the next changes, and the waits between its calls |
 
 pub mod bounds;
 pub mod choice;
--- a/crates/core/src/serving/relay/outage.rs
+++ b/crates/core/src/serving/relay/outage.rs
@@ -56,16 +56,16 @@
     }
 }
 
-/// Deadlines until which workers may still be used whose records a node finds missing.
+/// Deadlines until which workers whose records are missing may still be used.
 ///
 /// Invariant: both lie within the bounds for a node that can reach the store, counted from the state of the view and
 /// the last failed call, never from when this node reads the store again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordGrace {
-    /// Deadline for a worker whose record was removed, if no other worker serves.
+    /// Deadline for a worker whose record was removed, if its service has no other worker.
     pub removed_usable_until: Timestamp,
-    /// Deadline for a worker whose record may have expired in an outage and be written again; `None` if no record can
-    /// have expired.
+    /// Deadline for a worker whose record may have expired during an outage and may be written again; `None` if no
+    /// record can have expired.
     pub expired_usable_until: Option<Timestamp>,
 }
 
@@ -82,7 +82,7 @@
         Self { removed_usable_until, expired_usable_until: expired_usable_until.filter(|until| *until > view.now) }
     }
 
-    /// Returns how to treat records that a list of the store lacks.
+    /// Returns how to treat records that are missing from a list of the store.
     pub fn missing_keys(&self) -> MissingKeys {
         match self.expired_usable_until {
             Some(_) => MissingKeys::MayHaveExpired,
--- a/crates/core/src/serving/relay/policy.rs
+++ b/crates/core/src/serving/relay/policy.rs
@@ -1,4 +1,4 @@
-//! Decides where a node obtains the store's next changes, and how long it waits.
+//! Decides where a node obtains the store's next changes, and the waits between its calls.
 //!
 //! Tracks the outcome of the node's calls. The caller performs the calls and provides the clock and the view; the
 //! intervals come from [`super::bounds`].
--- a/crates/core/src/serving/relay/tiers.rs
+++ b/crates/core/src/serving/relay/tiers.rs
@@ -15,7 +15,7 @@
 use crate::identity::NodeId;
 use crate::serving::jobs::directory::StorageDirectory;
 
-/// Number of storage nodes of a zone that may watch the store for it: as many as a node tries.
+/// Number of storage nodes of a zone that may watch the store for it. Equals the number of relays that a node tries.
 const ROOTS_PER_ZONE: usize = 3;
 /// Number of storage nodes of a zone per forwarder.
 const NODES_PER_FORWARDER: usize = 4;
--- a/crates/core/src/serving/request.rs
+++ b/crates/core/src/serving/request.rs
@@ -1,6 +1,6 @@
 //! The request attributes that decisions depend on: deadline, resume position and prompt.
 //!
-//! The adapter reads them from the request's headers; the body is never parsed.
+//! The gateway crate reads them from the request's headers; the body is never parsed.
 
 use std::sync::Arc;
 
@@ -30,7 +30,7 @@
 pub struct RequestAttributes {
     /// The caller's id for this attempt.
     pub id: Arc<str>,
-    /// How long the caller waits for the answer, counted from when the request was read.
+    /// Time for which the caller waits for the answer, counted from when the request was read.
     pub deadline: Option<Millis>,
     /// The last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
@@ -42,11 +42,11 @@
 
 /// Hashes the parts of a prompt cumulatively, so that each hash covers the model and all earlier parts.
 pub fn hash_prefix(model: &str, parts: &[PromptPart]) -> Vec<PrefixBlock> {
-    let mut links = Vec::with_capacity(parts.len());
+    let mut blocks = Vec::with_capacity(parts.len());
     let mut chain = hash_parts(&[model.as_bytes()]);
     for part in parts {
         chain = hash_parts(&[&chain.to_le_bytes(), part.id.as_bytes()]);
-        links.push(PrefixBlock { chain, tokens: part.tokens });
+        blocks.push(PrefixBlock { chain, tokens: part.tokens });
     }
-    links
+    blocks
 }
--- a/crates/core/src/serving/stopping.rs
+++ b/crates/core/src/serving/stopping.rs
@@ -2,22 +2,21 @@
 
 use crate::time::Millis;
 
-/// How long a stopping gateway keeps accepting connections, so that callers have time to notice that it is not
-/// ready.
+/// Time for which a stopping gateway continues to accept connections, so that callers can notice that it is not ready.
 const DRAIN_PERIOD: Millis = Millis(2_600);
 /// Part of the grace period left unused, so that the process exits before the platform kills it.
 const GRACE_MARGIN: Millis = Millis(400);
-/// How long a stopping storage node waits for its leadership to be transferred to a caught-up voter, which takes over
-/// without an election.
+/// Maximum time that a stopping storage node waits for the transfer of its leadership to a caught-up voter. Without
+/// the transfer, the group has no leader until an election timeout has passed.
 pub const LEADERSHIP_TRANSFER_TIMEOUT: Millis = Millis(1_500);
 
 /// The phases of a gateway's graceful shutdown, measured from its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayStop {
-    /// How long the gateway reports not ready but still accepts connections. Afterwards each connection is closed once
-    /// its current request is complete.
+    /// Time for which the gateway reports that it is not ready but still accepts connections. Afterwards each
+    /// connection is closed once its current request is complete.
     pub drain_period: Millis,
-    /// When the process exits, even if connections are still open.
+    /// Time after which the process exits, even if connections are still open.
     pub ends_after: Millis,
 }
 
--- a/crates/core/src/serving/workers/cold_start.rs
+++ b/crates/core/src/serving/workers/cold_start.rs
@@ -1,4 +1,4 @@
-//! Cold starts: how long a started worker counts as cold, and this node's permits to send it requests.
+//! Cold starts: the time for which a started worker counts as cold, and this node's permits to send it requests.
 //!
 //! A cold worker tolerates a limited request rate from all nodes together. Nodes that each see an idle worker would
 //! exceed it, so sending a request to a cold worker requires a permit from the leader of the job table
@@ -18,8 +18,8 @@
 use crate::serving::configuration::tenant::MilliRequests;
 use crate::time::{Millis, Timestamp};
 
-/// Lifetime of a permit, counted from the request for it. Short, because it bounds how many unused permits can
-/// accumulate across nodes and be used at once.
+/// Lifetime of a permit, counted from the request for it. Short, because it bounds the number of unused permits that
+/// can accumulate across nodes and be used at once.
 pub const PERMIT_LIFETIME: Millis = Millis(400);
 /// Minimum time between two permit requests of a node, which limits the load on the leader.
 pub const PERMIT_INTERVAL: Millis = Millis(100);
@@ -34,7 +34,7 @@
 pub struct ColdStart {
     /// Maximum request rate of a cold worker, from all nodes together.
     pub per_s: MilliRequests,
-    /// How long a worker is cold after its start.
+    /// Time for which a worker is cold after its start.
     pub lasts: Millis,
 }
 
--- a/crates/core/src/serving/workers/health.rs
+++ b/crates/core/src/serving/workers/health.rs
@@ -19,7 +19,7 @@
 const BASE_UNREACHABLE_EJECTION: Millis = Millis(1_200);
 /// Maximum ejection, so that recovered workers are tried again.
 const MAX_EJECTION: Millis = Millis(4_000);
-/// Ejection after each report that a worker failed other nodes, so that not every node has to detect a dead worker
+/// Ejection after each report of other nodes that a worker failed, so that not every node has to detect the failure
 /// itself.
 const PEER_REPORTED_EJECTION: Millis = Millis(500);
 /// Assumed mean time to the first event until the process has samples.
--- a/crates/core/src/serving/workers/load_report.rs
+++ b/crates/core/src/serving/workers/load_report.rs
@@ -54,17 +54,17 @@
     }
 }
 
-/// A node's report on its requests, or the response with those of all other nodes.
+/// A node's report on its requests, or the answer with those of all other nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Workers with anything to report.
     pub workers: Vec<WorkerReport>,
     /// Requests placed per second.
     pub placed_per_s: u32,
-    /// In a response: the number of nodes that report to the responder. In a report: the number of gateways known to
-    /// the sender, including unreachable ones.
+    /// In an answer: the number of nodes that report to the answering node. In a report: the number of gateways known
+    /// to the sender, including unreachable ones.
     pub reporters: u32,
-    /// Number of gateways covered: in a response all but the requester, in the report of a single gateway 0.
+    /// Number of gateways covered: in an answer all but the requester, in the report of a single gateway 0.
     pub nodes: u32,
     /// Mean age of the underlying reports, weighted by requests placed.
     pub age: Millis,
--- a/crates/core/src/serving/workers/mod.rs
+++ b/crates/core/src/serving/workers/mod.rs
@@ -3,7 +3,7 @@
 //! The view is built from worker records in the metadata store, the outcomes of local attempts, and the load reports of
 //! other nodes.
 //!
-//! | module | description |
+//! | module | contents |
 //! |---|---|
 //! | [`table`] | the set of known workers, and which of them accept requests |
 //! | `worker` | the state kept for one worker |
--- a/crates/core/src/serving/workers/permit_grants.rs
+++ b/crates/core/src/serving/workers/permit_grants.rs
@@ -20,7 +20,7 @@
 const GRANTED_FRACTION: f64 = 0.7;
 /// Maximum number of permits that accumulate for a worker while none are requested.
 const MAX_ACCUMULATED_PERMITS: f64 = 4.0;
-/// How long a worker's bucket is retained after the last request for its permits.
+/// Time for which a worker's bucket is retained after the last request for its permits.
 const IDLE_RETENTION: Millis = Millis(10_000);
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/core/src/serving/workers/table.rs
+++ b/crates/core/src/serving/workers/table.rs
@@ -16,8 +16,7 @@
 use crate::serving::regions::RegionMap;
 use crate::time::{Millis, Timestamp};
 
-/// How long a departed worker stays in the table, so that a stale record does not make a drained worker available
-/// again.
+/// Time for which a departed worker is retained, so that a stale record does not make a drained worker available again.
 const DEPARTED_RETENTION: Millis = Millis(60_000);
 
 /// This node's view of all workers.
--- a/crates/core/src/serving/workers/worker.rs
+++ b/crates/core/src/serving/workers/worker.rs
@@ -13,11 +13,11 @@
 use crate::moving_mean::MovingMean;
 use crate::time::{Millis, Timestamp, UnixMillis};
 
-/// How long a load reported by the worker itself stays valid.
+/// Time for which a load reported by the worker itself is valid.
 const REPORT_LIFETIME: Millis = Millis(2_000);
-/// How long a reported slowdown stays valid; it changes many times a second.
+/// Time for which a reported slowdown is valid. Short, since a slowdown changes many times a second.
 const SLOWDOWN_LIFETIME: Millis = Millis(300);
-/// How long the aggregated load of the other nodes stays valid.
+/// Time for which the aggregated load of the other nodes is valid.
 pub(super) const PEER_LOAD_LIFETIME: Millis = Millis(1_200);
 
 /// Identifies a worker. A restarted worker may reuse its id; see [`WorkerIncarnation`].
