--- a/crates/core/src/node/batch_flow.rs
+++ b/crates/core/src/node/batch_flow.rs
@@ -226,7 +226,7 @@
     }
 
     /// Stops all batch streams and withdraws all capacity requests, for a graceful shutdown.
-    pub(super) fn give_back_batch(&mut self) {
+    pub(super) fn stop_batch(&mut self) {
         let attempts: Vec<AttemptId> = self.batch.dispatcher.streams().map(|(attempt, _)| attempt).collect();
         for attempt in attempts {
             self.stop_stream(attempt, StreamEnd::Paused);
--- a/crates/core/src/node/configuration/apply.rs
+++ b/crates/core/src/node/configuration/apply.rs
@@ -2,7 +2,7 @@
 //!
 //! The parts are written first, each under its digest, so repeating a write is idempotent. The change
 //! is then committed by one compare-and-swap of the manifest against the version that was read. If a
-//! response is lost, the manifest is read again: it lists the ids of the most recent changes.
+//! response is lost, the manifest is read again: it lists the IDs of the most recent changes.
 
 use super::bundle::{ApplyId, Bundle, Manifest, PartDigest};
 use crate::time::{Millis, Timestamp};
@@ -70,7 +70,7 @@
     deadline: Timestamp,
     unwritten: Vec<PartDigest>,
     base: Option<(u64, Manifest)>,
-    /// Whether a swap was sent, in which case the change may be in force.
+    /// Whether a swap was sent, in which case the change may have taken effect.
     swap_sent: bool,
 }
 
@@ -82,7 +82,7 @@
         Self { id, bundle, expected_revision, deadline, unwritten, base: None, swap_sent: false }
     }
 
-    /// Returns the id of the change.
+    /// Returns the ID of the change.
     pub fn id(&self) -> ApplyId {
         self.id
     }
--- a/crates/core/src/node/configuration/fleet.rs
+++ b/crates/core/src/node/configuration/fleet.rs
@@ -31,7 +31,7 @@
     pub name: Arc<str>,
     /// Number of replica groups to create. Read only when the fleet is bootstrapped.
     pub replica_groups: u32,
-    /// How long finished jobs, marks and idle sessions remain readable.
+    /// Retention period of finished jobs, marks and idle sessions.
     pub retention: Millis,
 }
 
--- a/crates/core/src/node/configuration_flow.rs
+++ b/crates/core/src/node/configuration_flow.rs
@@ -337,12 +337,12 @@
 
     pub(super) fn on_peer_revision(&mut self, peer: NodeId, revision: u64) {
         let from = self.settings.id;
-        let own = self.configuration.revision();
+        let active_revision = self.configuration.revision();
         self.record_confirmation(peer, revision);
         if revision > self.configuration.newest_revision() {
             self.send(peer, PeerMessage::Configuration(ConfigurationMessage::ManifestRequest { from }));
-        } else if revision < own {
-            let offer = ConfigurationMessage::Offer { from, revision: own };
+        } else if revision < active_revision {
+            let offer = ConfigurationMessage::Offer { from, revision: active_revision };
             self.send(peer, PeerMessage::Configuration(offer));
         }
     }
@@ -358,8 +358,8 @@
             ConfigurationMessage::ManifestRequest { from } => {
                 if let Some(active) = self.configuration.active() {
                     let manifest = active.manifest.clone();
-                    let own = self.settings.id;
-                    let answer = ConfigurationMessage::ManifestAnswer { from: own, manifest };
+                    let local_id = self.settings.id;
+                    let answer = ConfigurationMessage::ManifestAnswer { from: local_id, manifest };
                     self.send(from, PeerMessage::Configuration(answer));
                 }
             }
--- a/crates/core/src/node/control/founding.rs
+++ b/crates/core/src/node/control/founding.rs
@@ -18,7 +18,7 @@
 /// The bootstrap record: the initial members of each group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupsRecord {
-    /// The initial members, indexed by group id.
+    /// The initial members, indexed by group ID.
     pub groups: Vec<BTreeSet<NodeId>>,
 }
 
--- a/crates/core/src/node/control_flow.rs
+++ b/crates/core/src/node/control_flow.rs
@@ -71,12 +71,12 @@
     }
 
     fn update_lease_state(&mut self) {
-        let held = self.control_epoch(self.clock.now);
-        if held == self.control.last_epoch {
+        let held_epoch = self.control_epoch(self.clock.now);
+        if held_epoch == self.control.last_epoch {
             return;
         }
-        self.control.last_epoch = held;
-        match held {
+        self.control.last_epoch = held_epoch;
+        match held_epoch {
             Some(epoch) => self.log(LogEvent::ControlTaken, format!("epoch {epoch}")),
             None => {
                 self.control.orders.clear();
--- a/crates/core/src/node/engines_flow.rs
+++ b/crates/core/src/node/engines_flow.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Polls each engine that is not polled regularly once, for the holder of the control lease.
+    /// Sends one poll to each engine that is not polled regularly, for the holder of the control lease.
     pub(super) fn poll_all_engines(&mut self) {
         let polled: Vec<EngineName> = self.polls.due.keys().cloned().collect();
         let others = self.engines.iter().filter(|(name, _)| !polled.contains(name));
--- a/crates/core/src/node/groups.rs
+++ b/crates/core/src/node/groups.rs
@@ -142,7 +142,7 @@
         self.settle_group(group);
     }
 
-    /// Bootstraps a hosted replica with the initial membership from the founding record.
+    /// Bootstraps a hosted replica with the initial membership from the bootstrap record.
     pub(super) fn bootstrap_group(&mut self, group: GroupId, membership: GroupMembership) {
         if self.groups.get(group).is_none() {
             self.groups.open(group, PersistedReplica::default(), self.clock.now);
@@ -180,7 +180,7 @@
     }
 
     fn update_leadership(&mut self, group: GroupId) {
-        let own = self.settings.id;
+        let local_id = self.settings.id;
         let Some(hosted) = self.groups.hosted.get_mut(&group) else { return };
         let entry = DirectoryEntry {
             group,
@@ -201,7 +201,7 @@
         if leads {
             self.log(LogEvent::LeaderElected, format!("group {group} in term {}", entry.term.0));
         } else {
-            self.log(LogEvent::LeaderStoodDown, format!("group {group} at {own}"));
+            self.log(LogEvent::LeaderStoodDown, format!("group {group} at {local_id}"));
             self.reject_pending_commands(group);
         }
         self.batch.is_dirty = true;
@@ -274,7 +274,7 @@
     /// pending.
     pub(super) fn transfer_all_leadership(&mut self) -> bool {
         let now = self.clock.now;
-        let own = self.settings.id;
+        let local_id = self.settings.id;
         let present: Vec<NodeId> = self.membership.present().map(|member| member.id).collect();
         let mut leads_none = true;
         for group in self.groups.ids() {
@@ -285,7 +285,7 @@
             let voters = hosted.replica.membership().voters.clone();
             let target = voters
                 .into_iter()
-                .filter(|voter| *voter != own && present.contains(voter))
+                .filter(|voter| *voter != local_id && present.contains(voter))
                 .max_by_key(|voter| hosted.replica.progress(*voter).map(|progress| progress.matched));
             if let Some(target) = target {
                 leads_none = false;
--- a/crates/core/src/node/key_value_flow.rs
+++ b/crates/core/src/node/key_value_flow.rs
@@ -106,8 +106,8 @@
         state.refilled_at = now;
         let mut deferred = VecDeque::new();
         while let Some(waiting) = state.waiting.pop_front() {
-            let floor = if waiting.purpose.is_urgent() { CALL_TOKENS } else { CALL_TOKENS + RESERVED_TOKENS };
-            if now < waiting.not_before || state.tokens < floor {
+            let required_tokens = if waiting.purpose.is_urgent() { CALL_TOKENS } else { CALL_TOKENS + RESERVED_TOKENS };
+            if now < waiting.not_before || state.tokens < required_tokens {
                 deferred.push_back(waiting);
                 continue;
             }
--- a/crates/core/src/node/machine.rs
+++ b/crates/core/src/node/machine.rs
@@ -256,7 +256,7 @@
         }
     }
 
-    // Helpers shared by the flows.
+    // Helpers shared by the event handlers.
 
     /// Returns the active configuration.
     pub(super) fn fleet(&self) -> Option<Arc<FleetConfiguration>> {
--- a/crates/core/src/node/membership/member.rs
+++ b/crates/core/src/node/membership/member.rs
@@ -22,7 +22,7 @@
 /// severe status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The id of the node.
+    /// The ID of the node.
     pub id: NodeId,
     /// The incarnation number, incremented only by the node itself.
     pub incarnation: u64,
--- a/crates/core/src/node/membership/mod.rs
+++ b/crates/core/src/node/membership/mod.rs
@@ -5,8 +5,8 @@
 //! before it declares it dead. Changes are piggybacked on the probes. A suspected node refutes the
 //! suspicion with a higher incarnation. The probe load per node is independent of the number of nodes.
 //!
-//! Two extensions: nodes exchange their full views on joining and periodically, and periodically contact
-//! a seed or a dead node so that the sides of a network partition rejoin after it heals.
+//! Extends the protocol in two ways: nodes exchange their full views on joining and periodically, and
+//! periodically contact a seed or a dead node so that the sides of a network partition rejoin after it heals.
 
 mod dissemination;
 mod member;
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -11,7 +11,7 @@
 //! | [`partition`] | the replicated state of each group: jobs, items, results, marks, sessions |
 //! | [`routing`] | engines, their load, and engine selection |
 //! | [`scheduling`] | batch credits and the dispatch of batch items |
-//! | [`online`] | the lifecycle of an online request, from admission to the last chunk |
+//! | [`online`] | the lifecycle of an online request, from admission to the last chunk of the answer |
 //! | [`control`] | bootstrap of replica groups, the control lease, placement of models |
 //!
 //! These modules implement [`Node`] on top of the state machines:
--- a/crates/core/src/node/online_flow.rs
+++ b/crates/core/src/node/online_flow.rs
@@ -23,7 +23,7 @@
 use crate::retry_budget::RetryBudget;
 use crate::time::{Millis, Timestamp};
 
-/// An attempt fails if its engine sends nothing for this long.
+/// Time without an event from the engine after which an attempt fails.
 const ENGINE_IDLE_TIMEOUT: Millis = Millis(10_000);
 /// Online requests of a node and the state they share.
 pub(super) struct OnlineState {
--- a/crates/core/src/node/stopping.rs
+++ b/crates/core/src/node/stopping.rs
@@ -30,7 +30,7 @@
         }
         let now = self.clock.now;
         self.log(LogEvent::NodeStopping, self.settings.id.to_string());
-        self.give_back_batch();
+        self.stop_batch();
         self.stopping = Some(StopState { started: now, next_transfer: now, exit_at: None });
         self.tick_stop();
     }
--- a/crates/gateway/src/adapter/metadata.rs
+++ b/crates/gateway/src/adapter/metadata.rs
@@ -46,7 +46,7 @@
         /// Name of the machine.
         machine: Arc<str>,
     },
-    /// A key that is written by this product's own nodes changed.
+    /// A key that is written by gateways or storage nodes changed.
     InternalItem(MetadataItem),
     /// An item is malformed and is skipped. Its previous version stays in effect, except for a worker's record: that
     /// worker is treated as unregistered.
@@ -69,8 +69,8 @@
 }
 
 impl FleetUpdate {
-    /// Returns the update for a worker without a record. A record that another node reports as expired counts as removed
-    /// unless this node's own view allows for expired records.
+    /// Returns the update for a worker without a record. A record that another node reports as expired counts as
+    /// removed, unless `grace` covers expired records.
     pub fn without_record(worker: WorkerId, state: &KeyState, grace: &RecordGrace) -> Self {
         match (state, grace.expired_usable_until) {
             (KeyState::Lapsed, Some(until)) => Self::WorkerMissing { worker, until },
@@ -136,8 +136,8 @@
     /// Returns the changes after a revision, waiting up to `wait` for the first one.
     fn changes(&self, since: Revision, wait: Millis) -> BoxFuture<'_, Result<ItemSnapshot, ReadFailure>>;
 
-    /// Converts an item to a fleet update; `None` if the item is irrelevant to the fleet. `grace` applies to workers whose
-    /// records are missing.
+    /// Converts an item to a fleet update; `None` if the item is irrelevant to the fleet. `grace` applies to workers
+    /// whose records are missing.
     fn interpret(&self, item: &MetadataItem, grace: &RecordGrace) -> Option<FleetUpdate>;
 
     /// Writes the progress of draining a machine, for the operator. Returns whether the write succeeded.
--- a/crates/gateway/src/batch/job_calls.rs
+++ b/crates/gateway/src/batch/job_calls.rs
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Refuses a job if any storage node is outside the job's allowed regions, since each of them may store the job table.
+    /// Refuses a job if any storage node is outside the job's allowed regions, since each of them may store the job
+    /// table.
     fn refuse_outside_regions(&self, regions: &AllowedRegions) -> Option<Refusal> {
         let storage = self.view.storage();
         let outside = storage.records().find(|record| !self.view.regions.allows(regions, &record.zone))?;
@@ -161,8 +162,8 @@
     }
 }
 
-/// Refusal of a call for which no leader answered. If the request may have arrived, the refusal states an unknown
-/// outcome, and the caller can retry safely.
+/// Returns the refusal of a call that no leader answered. If the request may have arrived, the refusal states an
+/// unknown outcome, and the caller can retry safely.
 fn no_leader_refusal(no_leader: NoLeader) -> Refusal {
     let detail = "the job table has no leader that answers";
     if no_leader.may_have_arrived {
@@ -171,7 +172,7 @@
     Refusal::new(ErrorKind::StateUnavailable, detail).with_retry_after(NO_LEADER_RETRY_AFTER.0)
 }
 
-/// Refusal which states that the request may or may not have taken effect.
+/// Returns a refusal which states that the request may or may not have taken effect.
 fn indeterminate_refusal(detail: &str) -> Refusal {
     Refusal::new(ErrorKind::DeadlineExceeded, detail).with_ran(Ran::Unknown)
 }
--- a/crates/gateway/src/batch/mod.rs
+++ b/crates/gateway/src/batch/mod.rs
@@ -1,6 +1,6 @@
 //! The gateway's endpoints for batch jobs.
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! |---|---|
 //! | [`job_calls`] | submitting, reading and ending jobs through the leader of the job table |
 
--- a/crates/gateway/src/callers/server.rs
+++ b/crates/gateway/src/callers/server.rs
@@ -1,7 +1,7 @@
 //! The listener for callers.
 //!
-//! Owns the callers' connections. Reads requests, admits them (`stallmoor_core::serving::online::admission`, tenants' rate
-//! limits) and dispatches them to [`online`] or to [`JobCalls`].
+//! Owns the callers' connections. Reads requests, admits them (`stallmoor_core::serving::online::admission`, tenants'
+//! rate limits) and dispatches them to [`online`] or to [`JobCalls`].
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -101,7 +101,7 @@
             let _ = stop.wait_for(|phase| *phase >= StopPhase::Closing).await;
         };
         tokio::select! {
-            // Connection errors need no log line of their own: the outcome of each request is logged.
+            // Connection errors need no separate log line: the outcome of each request is logged.
             _ = connection.as_mut() => return,
             () = closing => {}
         }
--- a/crates/gateway/src/fleet/fleet_view.rs
+++ b/crates/gateway/src/fleet/fleet_view.rs
@@ -224,7 +224,7 @@
         lock(&self.random)
     }
 
-    /// Locks the budget for retrying requests of slow workers elsewhere.
+    /// Locks the budget for retrying the requests of slow workers on other workers.
     pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
         lock(&self.retry_budget)
     }
--- a/crates/gateway/src/fleet/metadata_view.rs
+++ b/crates/gateway/src/fleet/metadata_view.rs
@@ -18,9 +18,9 @@
 
 use crate::clock::NodeClock;
 
-/// Maximum time that a request waits for changes, whatever the caller asks for.
+/// Maximum time that a request waits for changes, regardless of the wait that the caller requests.
 const MAX_HOLD: Millis = Millis(5_000);
-/// How long packed items are reused, so that many nodes that start at once don't each cause a new packing.
+/// Time for which packed items are reused, so that many nodes that start at once don't each cause a new packing.
 const PACKED_ITEMS_LIFETIME: Millis = Millis(500);
 
 #[derive(Debug, Default)]
@@ -163,7 +163,7 @@
         Ok(GroupAnswerBody::Contents(answer))
     }
 
-    /// Waits for changes, up to the requested time. Returns when the request arrived.
+    /// Waits for changes, up to the requested time. Returns the time at which the request arrived.
     async fn wait_for_changes(&self, request: ChangesRequest) -> Timestamp {
         let received_at = self.clock.now();
         self.record_request(received_at);
--- a/crates/gateway/src/fleet/metadata_watch.rs
+++ b/crates/gateway/src/fleet/metadata_watch.rs
@@ -89,7 +89,8 @@
         self.role = role;
     }
 
-    /// Waits for a call. Returns `None` if a request from another node arrives first and the role yields to requests.
+    /// Waits for a call. In a role that yields to requests, cancels the call and returns `None` if a request from
+    /// another node arrives first.
     async fn run_until_requested<T>(&self, call: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             answer = call => Some(answer),
--- a/crates/gateway/src/fleet/relay_calls.rs
+++ b/crates/gateway/src/fleet/relay_calls.rs
@@ -1,7 +1,7 @@
 //! Requests to relays of this version and the previous one.
 //!
 //! Owns the links to relays and the set of those that support only the legacy request. A relay of the previous version
-//! closes the connection on a request that it can't decode; it then gets the legacy request for a while.
+//! closes the connection on a request that it can't decode; it is then sent the legacy request for a while.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,14 +15,14 @@
 use crate::clock::NodeClock;
 use crate::peers::peer_link::{FollowAnswer, FollowRequest, PeerCallError, PeerLinks};
 
-/// How long a relay that did not answer gets the legacy request, as it may still run the previous version.
+/// Time for which a relay that did not answer is sent the legacy request, as it may still run the previous version.
 const LEGACY_REQUEST_PERIOD: Millis = Millis(60_000);
 
 /// Client for this node's requests to relays.
 pub(super) struct RelayCalls {
     links: PeerLinks,
     clock: NodeClock,
-    /// Relays that get the legacy request, and until when.
+    /// Relays that are sent the legacy request, and the time until which they are.
     legacy_relays: Mutex<BTreeMap<NodeId, Timestamp>>,
 }
 
--- a/crates/gateway/src/leader/client.rs
+++ b/crates/gateway/src/leader/client.rs
@@ -21,7 +21,7 @@
     links: PeerLinks,
     /// The last known leader, shared by all requests.
     leader: Mutex<Option<NodeId>>,
-    /// Number of tries of all searches, so that each search continues where the previous one ended.
+    /// Number of attempts of all searches, so that each search continues where the previous one ended.
     tries: AtomicUsize,
 }
 
@@ -33,8 +33,8 @@
 
     /// Sends a request to the leader, with retries until there is an answer or the deadline has passed.
     ///
-    /// A refusal applies only to the try that it answers. If an earlier try may have reached a leader and may still take
-    /// effect, [`JobsAnswer::Indeterminate`] is returned instead.
+    /// A refusal applies only to the attempt that it answers. If an earlier attempt may have reached a leader and may
+    /// still take effect, [`JobsAnswer::Indeterminate`] is returned instead.
     ///
     /// # Errors
     ///
--- a/crates/gateway/src/leader/load_exchange.rs
+++ b/crates/gateway/src/leader/load_exchange.rs
@@ -1,5 +1,6 @@
-//! Reports this node's online load and receives the load of all other nodes. The partner is the job table's leader or, in
-//! large fleets, an aggregator, which is a storage node of the zone. [`LoadSchedule`] decides on partner and interval.
+//! Reports this node's online load and receives the load of all other nodes. The partner is the job table's leader or,
+//! in large fleets, an aggregator, which is a storage node of the zone. [`LoadSchedule`] decides on partner and
+//! interval.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/gateway/src/leader/mod.rs
+++ b/crates/gateway/src/leader/mod.rs
@@ -6,10 +6,10 @@
 //! | [`load_exchange`] | reporting this gateway's load and receiving the load of the others |
 //! | [`rate_limits`] | admitting requests within tenants' limits and reporting admissions |
 //!
-//! Each exchange has a fallback for times without a leader: loads age out, and a gateway applies its share of a tenant's
-//! limit. Unexpected answers are logged and handled as missing ones. [`stallmoor_core::serving::leader`] and
-//! [`stallmoor_core::serving::quota`] make the decisions; calls go through [`crate::peers`], and [`crate::fleet`] provides
-//! the storage nodes.
+//! Each exchange has a fallback for times without a leader: loads age out, and a gateway applies its share of a
+//! tenant's limit. Unexpected answers are logged and handled as missing ones. [`stallmoor_core::serving::leader`] and
+//! [`stallmoor_core::serving::quota`] make the decisions; calls go through [`crate::peers`], and [`crate::fleet`]
+//! provides the storage nodes.
 
 pub mod client;
 pub mod load_exchange;
--- a/crates/gateway/src/leader/rate_limits.rs
+++ b/crates/gateway/src/leader/rate_limits.rs
@@ -1,4 +1,5 @@
-//! Enforces tenants' rate limits: admits requests through [`RateLimiter`] and sends its reports to the job table's leader.
+//! Enforces tenants' rate limits: admits requests through [`RateLimiter`] and sends its reports to the job table's
+//! leader.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/crates/gateway/src/observe/log_writer.rs
+++ b/crates/gateway/src/observe/log_writer.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 fn now() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis())
 }
--- a/crates/gateway/src/online/mod.rs
+++ b/crates/gateway/src/online/mod.rs
@@ -1,11 +1,11 @@
 //! Serves online requests, from admission to the last byte of the answer.
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! |---|---|
 //! | `stream` | forwarding a stream and resuming it at another worker |
 //! | `records` | the log lines and metrics of a request |
 //!
-//! This module only does the I/O: [`RequestState`] and the worker table decide each step, and the result of the step is
+//! This module only performs the I/O: [`RequestState`] and the worker table decide each step, and the result of it is
 //! reported back to them. Attempts are made through `workers`; the state of the fleet comes from `fleet`.
 
 mod records;
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Refuses a quarantined request, that is, one that has crashed too many workers. If one more crash would quarantine
-    /// it, waits for the pending crash check first.
+    /// Refuses a quarantined request, that is, one that has crashed too many workers. If one more crash would
+    /// quarantine it, waits for the pending crash check first.
     async fn check_quarantine(&mut self) -> Result<(), Refusal> {
         let view = self.client.view.clone();
         if self.crash_check.is_none() && view.has_no_crashes() {
@@ -264,7 +264,8 @@
         }
     }
 
-    /// Ends the current run after a complete answer, which shows that this request did not cause earlier worker crashes.
+    /// Ends the current run after a complete answer, which shows that this request did not cause earlier worker
+    /// crashes.
     fn run_completed(&mut self) {
         if let Some(run) = self.run.take() {
             run.finish();
--- a/crates/gateway/src/online/stream.rs
+++ b/crates/gateway/src/online/stream.rs
@@ -73,7 +73,7 @@
         let _ = sender.send(Err(Aborted)).await;
     }
 
-    /// Offers a partially sent stream to workers, in rounds, until one of them resumes it.
+    /// Sends the request to workers, in rounds, until one of them resumes the partially sent stream.
     async fn resume(&mut self) -> Option<OpenAnswer> {
         let mut rounds = ResumeRounds::default();
         loop {
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Records how long the stream occupied a slot, from its first event until now, if one worker served all of it.
+    /// Records the time for which the stream occupied a slot, from its first event until now, if one worker served all
+    /// of it.
     fn record_stream_slot_time(&self, first_event_at: Option<Timestamp>) {
         if let Some(first_event_at) = first_event_at.filter(|_| self.state.was_served_by_one_worker()) {
             let elapsed = self.now().since(first_event_at);
--- a/crates/gateway/src/peers/peer_link.rs
+++ b/crates/gateway/src/peers/peer_link.rs
@@ -33,7 +33,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum time for a write before the connection is closed, in case the peer is stalled.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The same for snapshots, which may be large and sent over a slow link.
+/// Like [`WRITE_TIMEOUT`], for snapshots, which may be large and sent over a slow link.
 const SNAPSHOT_WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Why a request to a peer failed.
--- a/crates/gateway/src/process/gateway.rs
+++ b/crates/gateway/src/process/gateway.rs
@@ -1,4 +1,4 @@
-//! Startup and planned stop of a gateway.
+//! Startup and graceful shutdown of a gateway.
 
 use std::path::Path;
 use std::sync::Arc;
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -1,15 +1,15 @@
-//! Runs a gateway or a storage node as a process: startup, planned stop and reload.
+//! Runs a gateway or a storage node as a process: startup, graceful shutdown and reload.
 //!
 //! Owns the process's tasks and the channels between them, and determines the order in which components start and stop.
-//! The timeouts of a stop are defined in [`stallmoor_core::serving::stopping`].
+//! The timeouts of a shutdown are defined in [`stallmoor_core::serving::stopping`].
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! |---|---|
 //! | [`settings`] | the settings file |
 //! | [`signals`] | signal handlers |
 //! | `parts` | components common to both kinds of process |
-//! | `gateway` | startup and planned stop of a gateway |
-//! | `storage_node` | startup and planned stop of a storage node |
+//! | `gateway` | startup and graceful shutdown of a gateway |
+//! | `storage_node` | startup and graceful shutdown of a storage node |
 //! | `reload` | reloading the settings on a signal |
 
 mod gateway;
--- a/crates/gateway/src/process/reload.rs
+++ b/crates/gateway/src/process/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads the settings on a signal, until the signal to stop.
+//! Reloads the settings on each reload signal until a stop signal arrives.
 
 use std::path::Path;
 
--- a/crates/gateway/src/process/settings.rs
+++ b/crates/gateway/src/process/settings.rs
@@ -75,7 +75,7 @@
     /// Batch jobs; used by storage nodes.
     #[serde(default)]
     pub jobs: JobsTable,
-    /// Planned stop of the process.
+    /// Graceful shutdown of the process.
     #[serde(default)]
     pub stop: StopTable,
     /// Logging.
@@ -156,7 +156,7 @@
         DEFAULT_HEARTBEAT_MS
     }
 
-    /// Returns the time limits within which the node must learn of changes.
+    /// Returns the time limits within which the node must receive changes.
     pub fn watch_bounds(&self) -> WatchBounds {
         let millis = |value: f64| Millis(value.max(0.0) as u64);
         WatchBounds {
@@ -234,12 +234,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StopTable {
-    /// Maximum duration of a planned stop, in seconds.
+    /// Maximum duration of a graceful shutdown, in seconds.
     pub grace_s: f64,
 }
 
 impl StopTable {
-    /// Returns the maximum duration of a planned stop.
+    /// Returns the maximum duration of a graceful shutdown.
     pub fn grace(&self) -> Millis {
         Millis((self.grace_s * 1_000.0) as u64)
     }
--- a/crates/gateway/src/process/signals.rs
+++ b/crates/gateway/src/process/signals.rs
@@ -15,7 +15,7 @@
 /// Action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalRequest {
-    /// Start a planned stop.
+    /// Start a graceful shutdown.
     Stop,
     /// Reload the settings.
     Reload,
--- a/crates/gateway/src/process/storage_node.rs
+++ b/crates/gateway/src/process/storage_node.rs
@@ -1,4 +1,4 @@
-//! Startup and planned stop of a storage node.
+//! Startup and graceful shutdown of a storage node.
 
 use std::path::Path;
 use std::sync::Arc;
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -5,8 +5,8 @@
 
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// How long sent data may remain unacknowledged before the connection is closed, so that requests to an unreachable peer
-/// fail.
+/// Maximum time for which sent data may remain unacknowledged before the connection is closed, so that requests to an
+/// unreachable peer fail.
 const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Idle time before the first keepalive probe, and the interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
@@ -40,8 +40,8 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts the next connection. Failures, for example a lack of file descriptors or a connection that was already reset,
-/// are retried indefinitely after a short delay.
+/// Accepts the next connection. Failures, for example a lack of file descriptors or a connection that was already
+/// reset, are retried indefinitely after a short delay.
 pub async fn accept_next(listener: &TcpListener) -> TcpStream {
     let mut has_failed = false;
     loop {
--- a/crates/gateway/src/storage/item_run.rs
+++ b/crates/gateway/src/storage/item_run.rs
@@ -1,7 +1,7 @@
 //! One run of a batch item on a worker.
 //!
 //! Owns the attempt and its output while the run is active. Timeouts and the classification of responses are defined in
-//! `core/serving/jobs/dispatch`; connections and in-flight counts are managed by [`WorkerClient`].
+//! [`stallmoor_core::serving::jobs::dispatch`]; connections and in-flight counts are managed by [`WorkerClient`].
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/crates/gateway/src/storage/peer_listener.rs
+++ b/crates/gateway/src/storage/peer_listener.rs
@@ -36,7 +36,7 @@
     Request {
         /// Node that sent the request.
         from: NodeId,
-        /// The request itself.
+        /// Content of the request.
         request: JobsRequest,
         /// Receives the answer.
         reply: Reply,
--- a/crates/gateway/src/storage/registration.rs
+++ b/crates/gateway/src/storage/registration.rs
@@ -21,7 +21,7 @@
 pub const PAIR_KEY: &str = "stallmoor/jobs/pair";
 /// Delay between calls to the metadata store; limits the load on a store that is down.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// How long to wait for the target number of voters before bootstrapping with the minimum.
+/// Maximum wait for the target number of voters before the group is bootstrapped with the minimum.
 const FULL_GROUP_TIMEOUT: Millis = Millis(3_000);
 /// Delay per position in the list of initial voters before a node tries to write the founding record; usually only the
 /// first one needs to.
--- a/crates/gateway/src/storage/service/item_runner.rs
+++ b/crates/gateway/src/storage/service/item_runner.rs
@@ -105,7 +105,7 @@
         self.abort_all();
     }
 
-    /// Number of items without a result.
+    /// Returns the number of items without a result.
     pub(super) fn open_count(&self) -> usize {
         self.dispatcher.open_count()
     }
@@ -229,7 +229,7 @@
         true
     }
 
-    /// Whether an item is quarantined because it crashed workers.
+    /// Returns whether an item is quarantined because it crashed workers.
     fn is_quarantined(&self, start: &ItemStart) -> bool {
         let view = &self.workers.view;
         if view.has_no_crashes() {
--- a/crates/gateway/src/storage/service/joins.rs
+++ b/crates/gateway/src/storage/service/joins.rs
@@ -1,4 +1,5 @@
-//! Join requests of a spare, which go only to the leader; the spare has to locate the leader first.
+//! Sends the join requests of a spare, that is, of a storage node that is not a member of the group. The requests must
+//! reach the leader, so the spare locates it first.
 //!
 //! Owns the request in progress. A spare also reports the leader it found to nodes that query it, so that a search for
 //! the leader takes two steps regardless of the number of storage nodes.
@@ -28,7 +29,7 @@
         Self { client, is_in_progress: Arc::default() }
     }
 
-    /// The leader that the last search found, if any.
+    /// Returns the leader that the last search found, if any.
     pub(super) fn leader(&self) -> Option<NodeId> {
         self.client.leader()
     }
--- a/crates/gateway/src/storage/service/load_exchange.rs
+++ b/crates/gateway/src/storage/service/load_exchange.rs
@@ -52,12 +52,12 @@
         self.aggregator.clear();
     }
 
-    /// Rate at which all nodes together place online requests, per second.
+    /// Returns the rate at which all nodes together place online requests, per second.
     pub(super) fn placed_per_s(&mut self, now: Timestamp) -> u32 {
         self.aggregator.placed_per_s(now)
     }
 
-    /// Number of gateways, based on the reports to this node.
+    /// Returns the number of gateways, based on the reports to this node.
     pub(super) fn gateways(&mut self, now: Timestamp) -> GatewayCount {
         self.aggregator.gateways(now)
     }
@@ -96,7 +96,7 @@
             let answer = client.send_request(JobsRequest::ReportLoad(report), now + ANSWER_TIMEOUT).await;
             let loads = match answer {
                 Ok(JobsAnswer::Loads(loads)) => Some(loads),
-                // No leader is reachable. Until the next exchange the zone relies on its own loads.
+                // No leader is reachable. Until the next exchange the zone uses only the loads reported to this node.
                 Ok(_) | Err(_) => None,
             };
             // The receiver is dropped only when the process ends.
--- a/crates/gateway/src/storage/service/mod.rs
+++ b/crates/gateway/src/storage/service/mod.rs
@@ -1,6 +1,6 @@
 //! Main task of a storage node: drives one replica of the job table and runs items while the node is the leader.
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! |---|---|
 //! | this one | the event loop, which routes each event to the components |
 //! | `replica_driver` | the replica, its disk and its links; executes effects in order, each after preceding writes |
@@ -78,7 +78,7 @@
 }
 
 impl StorageService {
-    /// Runs until a planned stop is complete or the disk fails.
+    /// Runs until a graceful shutdown is complete or the disk fails.
     ///
     /// # Errors
     ///
@@ -96,7 +96,8 @@
                 Some(result) = inputs.writes.recv() => service.on_written(result?),
                 Some(report) = results.runs.recv() => service.on_run_ended(report),
                 Some(update) = inputs.updates.recv() => service.membership.on_update(&update),
-                Some(initial_membership) = inputs.initial_membership.recv() => service.membership.set_initial_membership(initial_membership),
+                Some(initial_membership) = inputs.initial_membership.recv() =>
+                    service.membership.set_initial_membership(initial_membership),
                 Some(read) = results.pairs.recv() => service.membership.planner().finish_pair_write(read),
                 Some(loads) = results.loads.recv() => service.on_leader_loads(loads),
                 _ = ticks.tick() => service.tick(),
@@ -354,6 +355,7 @@
     fn update_leadership(&mut self) {
         let now = self.now();
         let node = self.replica.node();
+        // A leader that temporarily may not answer keeps its running items.
         let is_leader = node.may_answer(now) || (self.is_leader && node.replica().is_leader());
         if is_leader == self.is_leader {
             return;
@@ -373,7 +375,7 @@
         self.permits.reset(now);
     }
 
-    /// Advances a planned stop by transferring leadership. Returns whether the process may exit.
+    /// Advances a graceful shutdown by transferring leadership. Returns whether the process may exit.
     fn stop(&mut self) -> bool {
         let replica = self.replica.node().replica();
         if !replica.is_leader() {
--- a/crates/gateway/src/storage/service/replica_driver.rs
+++ b/crates/gateway/src/storage/service/replica_driver.rs
@@ -53,12 +53,12 @@
         &mut self.node
     }
 
-    /// Whether the disk has capacity for a job.
+    /// Returns whether the disk has capacity for a job.
     pub(super) fn admits(&self, submission: &Submission) -> bool {
         self.budget.admits(submission, &self.node)
     }
 
-    /// Whether all effects are executed and all writes are durable.
+    /// Returns whether all effects are executed and all writes are durable.
     pub(super) fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.awaited_write.is_none()
     }
--- a/crates/gateway/src/storage/service/startup.rs
+++ b/crates/gateway/src/storage/service/startup.rs
@@ -59,7 +59,7 @@
     pub updates: mpsc::UnboundedReceiver<FleetUpdate>,
     /// The initial membership, sent once when it is known.
     pub initial_membership: mpsc::UnboundedReceiver<GroupMembership>,
-    /// Set to true to start a planned stop.
+    /// Set to true to start a graceful shutdown.
     pub stop: watch::Receiver<bool>,
 }
 
--- a/crates/gateway/src/workers/attempt.rs
+++ b/crates/gateway/src/workers/attempt.rs
@@ -1,7 +1,7 @@
 //! A single attempt to run a request at a worker, from connecting to the head of the answer.
 //!
-//! Tracks the number of requests at each worker and reports the result of each attempt to the worker table, which decides
-//! on the consequences.
+//! Tracks the number of requests at each worker and reports the result of each attempt to the worker table, which
+//! decides on the consequences.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,9 +26,9 @@
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(50);
 /// Client for sending requests to workers.
 pub struct WorkerClient {
-    /// The fleet that the workers belong to.
+    /// This node's view of the fleet.
     pub view: Arc<FleetView>,
-    /// The wire format of the platform's workers.
+    /// The HTTP format of the platform.
     pub dialect: Arc<dyn Dialect>,
     /// Idle connections for reuse.
     pub connections: Arc<ConnectionPool>,
@@ -92,7 +92,7 @@
 }
 
 impl OpenAnswer {
-    /// Makes the connection available for reuse. To be called only after the complete body was read.
+    /// Makes the connection available for reuse. Must be called only after the complete body was read.
     pub fn release(mut self) {
         let keep_alive = self.attributes.keep_alive.map(|span| Duration::from_millis(span.0));
         if !wants_close(&self.headers) {
--- a/crates/gateway/src/workers/connections.rs
+++ b/crates/gateway/src/workers/connections.rs
@@ -23,10 +23,10 @@
 
 /// Maximum time to connect, which delays requests that select an unreachable worker.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long idle connections are reused if the worker does not state its keep-alive time.
+/// Idle timeout of connections to a worker that does not state its keep-alive time.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Percentage of the worker's keep-alive time for which an idle connection is reused, so that the worker doesn't close it
-/// first.
+/// Percentage of the worker's keep-alive time for which an idle connection is reused, so that the worker doesn't close
+/// it first.
 const IDLE_TIMEOUT_PERCENT: u32 = 75;
 /// Maximum time for a connection to become ready after an answer before it is closed.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -45,7 +45,8 @@
     }
 }
 
-/// A connection that serves one request. Returned to the pool on drop after [`WorkerConnection::keep`], closed otherwise.
+/// A connection that serves one request. Returned to the pool on drop after [`WorkerConnection::keep`], closed
+/// otherwise.
 pub struct WorkerConnection {
     /// `None` only while the connection is being dropped.
     sender: Option<SendRequest<Full<Bytes>>>,
--- a/crates/gateway/src/workers/crash_check.rs
+++ b/crates/gateway/src/workers/crash_check.rs
@@ -1,8 +1,8 @@
 //! Checks whether a worker crashed after a request ended there without a complete answer.
 //!
 //! Connections break for many reasons, so only a worker that accepts no new connection counts as crashed. This
-//! distinguishes requests that crash workers from those whose connection was reset. As a worker may run a canceled request
-//! for a moment longer, the check is repeated over that time.
+//! distinguishes requests that crash workers from those whose connection was reset. As a worker may run a canceled
+//! request for a moment longer, the check is repeated over that time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 use crate::workers::attempt::WorkerClient;
 use crate::workers::connections::WorkerEndpoint;
 
-/// Delay between the end of a run and the first check: an exiting process closes its connections before its listener, or
-/// the other way round.
+/// Delay between the end of a run and the first check: an exiting process closes its connections before its listener,
+/// or the other way round.
 const FIRST_CHECK_DELAY: Duration = Duration::from_millis(20);
 /// Delay between the first and the second check, short enough to detect a slightly later crash early.
 const SECOND_CHECK_DELAY: Duration = Duration::from_millis(80);
--- a/crates/gateway/src/workers/permits.rs
+++ b/crates/gateway/src/workers/permits.rs
@@ -1,8 +1,8 @@
 //! Requests permits from the job table's leader for sending requests to workers that have just started.
 //!
-//! Collects the workers for which permits are wanted between two requests to the leader. The worker table decides when a
-//! worker is cold and what a permit allows; the leader decides on the grants. Nodes of versions without permits close the
-//! connection on such a request, so a separate connection is used.
+//! Collects the workers for which permits are wanted between two requests to the leader. The worker table decides when
+//! a worker is cold and what a permit allows; the leader decides on the grants. Nodes of versions without permits close
+//! the connection on such a request, so a separate connection is used.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -31,7 +31,7 @@
     permits_wanted: Notify,
     /// Counts completed requests to the leader, including failed ones.
     completed_requests: watch::Sender<u64>,
-    /// The last request to the leader failed, so requests don't wait for the next answer.
+    /// Whether the last request to the leader failed, in which case requests don't wait for the next answer.
     has_no_leader: AtomicBool,
 }
 
