--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -3,7 +3,7 @@
 //! The nodes' production decision code runs against the engine emulator on a virtual clock, once with batch
 //! jobs and once without. Both runs use the same online arrivals.
 //!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
 //! | `profile` | fleet and load parameters of each profile |
 //! | `workload` | arrivals, generated once and used by both runs |
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,6 +1,6 @@
 //! Simulation, experiments and load generation for `stallmoor node`.
 //!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
 //! | [`chaos`] | load and checks against a running fleet under fault injection |
 //! | [`experiment`] | the shared-fleet experiment on a virtual clock |
--- a/crates/bench/src/simulation/mod.rs
+++ b/crates/bench/src/simulation/mod.rs
@@ -4,7 +4,7 @@
 //! callers and operators. A run is determined by its seed. What callers observed is checked against what the
 //! engines executed; each violation names its seed, and rerunning that seed reproduces it.
 //!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
 //! | `world` | the virtual clock, the event queue, and one run from start to report |
 //! | `events` | event types |
--- a/crates/bench/src/simulation/nodes.rs
+++ b/crates/bench/src/simulation/nodes.rs
@@ -53,7 +53,7 @@
     pub retired: bool,
     /// Whether the node is paused.
     pub paused: bool,
-    /// Whether a planned stop has been requested.
+    /// Whether a graceful shutdown has been requested.
     pub stopping: bool,
     /// Point at which the node crashes in its next write, if any.
     pub crash: Option<CrashPoint>,
@@ -210,7 +210,7 @@
         })
     }
 
-    /// Handles the end of a planned stop and checks that no caller is left waiting.
+    /// Handles the end of a graceful shutdown and checks that no caller is left waiting.
     pub(super) fn exit_node(&mut self, slot: usize) {
         let pending: Vec<CallerId> =
             self.calls.iter().filter(|(_, owner)| owner.slot == slot).map(|(caller, _)| *caller).collect();
--- a/crates/bench/src/simulation/oracle.rs
+++ b/crates/bench/src/simulation/oracle.rs
@@ -27,7 +27,7 @@
 pub const AT_MOST_ONCE: &str = "at_most_once";
 /// A leaving engine is offered no new work after the grace period.
 pub const NO_WORK_FOR_LEAVING: &str = "leaving_gets_nothing";
-/// A planned stop interrupts no request.
+/// A graceful shutdown interrupts no request.
 pub const PLANNED_STOP_INTERRUPTS_NOTHING: &str = "planned_stop_cuts_nothing";
 /// The revision in force at a node never decreases.
 pub const REVISION_NEVER_DECREASES: &str = "configuration_never_reverts";
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,6 +1,6 @@
 //! The `stallmoor` binary: server processes and operator commands.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | `arguments` | command-line definition |
 //! | `node_command` | `stallmoor node` |
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -4,7 +4,7 @@
 //! from sockets and clocks; in the simulation, from a seeded queue. The caller executes effects in order
 //! and must make every persist effect durable before executing any later effect of the same batch.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | [`configuration`] | configuration files: parsing, validation, and the active revision |
 //! | [`membership`] | SWIM-based failure detection and the set of live nodes |
@@ -16,7 +16,7 @@
 //!
 //! These modules implement [`Node`] on top of the state machines:
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | `callers` | simple queries of callers and operators |
 //! | `online_flow` | online requests: admission, completion, refusals |
--- a/crates/core/src/serving/crashes/digest.rs
+++ b/crates/core/src/serving/crashes/digest.rs
@@ -1,4 +1,4 @@
-//! Content-based digests that identify a request when it is sent again under another id.
+//! Content-based digests that identify a request when it is sent again under another ID.
 
 use std::num::ParseIntError;
 use std::str::FromStr;
@@ -10,7 +10,7 @@
 use crate::serving::request::RequestAttributes;
 
 /// The parts of a request that determine how a worker processes it. Excludes what differs between attempts, such as
-/// ids, deadlines and the last received event.
+/// IDs, deadlines and the last received event.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
     /// Caller of the request. Requests of different tenants have different digests.
@@ -36,7 +36,7 @@
     }
 
     /// Computes the digest over caller, method, path and prompt, or returns `None` if the head does not identify the
-    /// prompt. Unlike the body, prompt part ids do not change between attempts. It must be the same in all versions.
+    /// prompt. Unlike the body, prompt part IDs do not change between attempts. It must be the same in all versions.
     pub fn of_prompt(content: &RequestContent<'_>) -> Option<Self> {
         let last = content.attributes.prefix.last()?;
         let prompt = hash_parts(&[&last.chain.to_le_bytes(), &content.attributes.prompt_tokens.to_le_bytes()]);
--- a/crates/core/src/serving/crashes/report.rs
+++ b/crates/core/src/serving/crashes/report.rs
@@ -14,7 +14,7 @@
 pub struct Crash {
     /// Digest of the request.
     pub digest: RequestDigest,
-    /// Id of the worker.
+    /// ID of the worker.
     pub worker: WorkerId,
     /// Time of the crash, by the clock of the node that observed it.
     pub at: UnixMillis,
--- a/crates/core/src/serving/jobs/command.rs
+++ b/crates/core/src/serving/jobs/command.rs
@@ -7,7 +7,7 @@
 use crate::serving::configuration::tenant::{CallerIdentity, TenantName};
 use crate::time::{Millis, UnixMillis};
 
-/// Identifies a job by the id that its submitter chose.
+/// Identifies a job by the ID that its submitter chose.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobKey(pub Arc<str>);
 
@@ -38,7 +38,7 @@
 /// A job item as submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobItem {
-    /// The id chosen by the submitter, also sent to the worker.
+    /// The ID chosen by the submitter, also sent to the worker.
     pub id: Arc<str>,
     /// The path of the request to the worker.
     pub path: Arc<str>,
@@ -53,7 +53,7 @@
 /// A job as submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
-    /// The id of the job.
+    /// The ID of the job.
     pub key: JobKey,
     /// The name of the route that matched the submission.
     pub route: Arc<str>,
@@ -113,7 +113,7 @@
 pub struct PartialOutput {
     /// The data of all events so far, joined by line feeds.
     pub text: String,
-    /// The id of the last event; `None` before the first event.
+    /// The ID of the last event; `None` before the first event.
     pub last_event: Option<u64>,
 }
 
@@ -133,7 +133,7 @@
         true
     }
 
-    /// Appends the data of an event without checking its id.
+    /// Appends the data of an event without checking its ID.
     pub fn push(&mut self, data: &str, id: Option<u64>) {
         if self.last_event.is_some() {
             self.text.push('\n');
@@ -148,7 +148,7 @@
 pub struct LoggedOutput {
     /// The length of the logged text in bytes.
     pub bytes: usize,
-    /// The id of the last logged event.
+    /// The ID of the last logged event.
     pub last_event: Option<u64>,
 }
 
@@ -161,7 +161,7 @@
     pub after: LoggedOutput,
     /// The text to append.
     pub text: Arc<str>,
-    /// The id of the last event in `text`.
+    /// The ID of the last event in `text`.
     pub last_event: Option<u64>,
 }
 
@@ -214,7 +214,7 @@
 pub enum JobOutcome {
     /// The job is in the table, added by this command or by an earlier one.
     Accepted,
-    /// Another tenant already has a job with this id.
+    /// Another tenant already has a job with this ID.
     KeyTaken,
     /// The result or the progress was stored.
     Committed,
--- a/crates/core/src/serving/jobs/dispatch/mod.rs
+++ b/crates/core/src/serving/jobs/dispatch/mod.rs
@@ -47,7 +47,7 @@
     pub key: ItemKey,
     /// The number of the run; later runs have greater numbers.
     pub run: u64,
-    /// The id of the last event that the item produced; 0 for none.
+    /// The ID of the last event that the item produced; 0 for none.
     pub events: u64,
     /// Whether the item has already been requested to pause.
     pub is_pausing: bool,
@@ -72,7 +72,7 @@
     logged: LoggedOutput,
     /// Start time of the last run.
     started_at: Timestamp,
-    /// The id of the last event before the last run; 0 for none.
+    /// The ID of the last event before the last run; 0 for none.
     started_after: u64,
 }
 
--- a/crates/core/src/serving/jobs/load_aggregator.rs
+++ b/crates/core/src/serving/jobs/load_aggregator.rs
@@ -21,7 +21,7 @@
 const REBUILD_INTERVAL: Millis = Millis(100);
 
 /// Represents the leader of the table among the nodes that report to the aggregator of a zone. No real node has this
-/// id.
+/// ID.
 const LEADER_ID: NodeId = NodeId(0);
 
 #[derive(Debug)]
--- a/crates/core/src/serving/jobs/node/messages.rs
+++ b/crates/core/src/serving/jobs/node/messages.rs
@@ -47,7 +47,7 @@
 /// The reason why a command was not proposed. It has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotProposed {
-    /// Another replica leads; its id is given if known.
+    /// Another replica leads; its ID is given if known.
     NotLeader(Option<NodeId>),
     /// This replica leads but is not ready.
     Busy,
--- a/crates/core/src/serving/jobs/request.rs
+++ b/crates/core/src/serving/jobs/request.rs
@@ -31,7 +31,7 @@
     Body {
         /// The job that contains the item.
         job: JobKey,
-        /// The id of the item.
+        /// The ID of the item.
         item: Arc<str>,
         /// The caller that reads.
         caller: CallerIdentity,
@@ -84,7 +84,7 @@
     },
     /// The job was rejected because there is not enough disk space.
     NoRoom,
-    /// The job was rejected because another tenant has a job with this id.
+    /// The job was rejected because another tenant has a job with this ID.
     KeyTaken,
     /// The job does not exist or is not visible to the caller.
     UnknownJob,
@@ -92,7 +92,7 @@
     Page(ResultPage),
     /// The body of an item.
     Body(Arc<[u8]>),
-    /// The job has no item with this id and without a result.
+    /// The job has no item with this ID and without a result.
     UnknownItem,
     /// The job has ended.
     Ended,
--- a/crates/core/src/serving/jobs/table.rs
+++ b/crates/core/src/serving/jobs/table.rs
@@ -17,7 +17,7 @@
 pub struct CommittedResult {
     /// The zero-based index of the item in its job.
     pub item: u32,
-    /// The id of the item.
+    /// The ID of the item.
     pub id: Arc<str>,
     /// The final state of the item.
     pub state: ItemState,
@@ -112,7 +112,7 @@
         self.open_items().map(|item| self.submission.items[item as usize].token_count).sum()
     }
 
-    /// Returns the item with the given id, unless it already has a result.
+    /// Returns the item with the given ID, unless it already has a result.
     pub fn open_item_by_id(&self, id: &str) -> Option<&JobItem> {
         let index = self.submission.items.iter().position(|item| &*item.id == id)?;
         (!self.with_result[index]).then(|| &self.submission.items[index])
--- a/crates/core/src/serving/online/attempt.rs
+++ b/crates/core/src/serving/online/attempt.rs
@@ -50,7 +50,7 @@
 pub struct AnswerMetadata<'a> {
     /// The HTTP status.
     pub status: u16,
-    /// The id of the request that is answered.
+    /// The ID of the request that is answered.
     pub request_id: Option<&'a str>,
     /// Whether the answer carries the worker's signature.
     pub is_signed: bool,
@@ -61,7 +61,7 @@
 }
 
 impl AnswerMetadata<'_> {
-    /// Checks that this is the answer to the given request. A success must carry both the signature and the id, since
+    /// Checks that this is the answer to the given request. A success must carry both the signature and the ID, since
     /// it is forwarded to the caller unchanged.
     ///
     /// # Errors
--- a/crates/core/src/serving/request.rs
+++ b/crates/core/src/serving/request.rs
@@ -7,7 +7,7 @@
 use crate::hashing::hash_parts;
 use crate::time::Millis;
 
-/// One part of a prompt. Parts with the same id contain the same text.
+/// One part of a prompt. Parts with the same ID contain the same text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
     /// Identifies the text.
@@ -28,7 +28,7 @@
 /// The attributes that a request states in its headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestAttributes {
-    /// The caller's id for this attempt.
+    /// The caller's ID for this attempt.
     pub id: Arc<str>,
     /// Time for which the caller waits for the answer, counted from when the request was read.
     pub deadline: Option<Millis>,
--- a/crates/core/src/serving/workers/activity.rs
+++ b/crates/core/src/serving/workers/activity.rs
@@ -12,7 +12,7 @@
 use super::worker::{WorkerEntry, WorkerId};
 use crate::time::Timestamp;
 
-/// Ids of the workers that may be active.
+/// IDs of the workers that may be active.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ActiveWorkers {
     ids: BTreeSet<WorkerId>,
--- a/crates/core/src/serving/workers/choice.rs
+++ b/crates/core/src/serving/workers/choice.rs
@@ -55,7 +55,7 @@
 /// A selected worker, with the estimates that the selection used.
 #[derive(Clone, Debug)]
 pub struct Choice {
-    /// Id of the worker.
+    /// ID of the worker.
     pub id: WorkerId,
     /// Start time of the selected incarnation, if reported.
     pub started_at: Option<UnixMillis>,
--- a/crates/core/src/serving/workers/load_report.rs
+++ b/crates/core/src/serving/workers/load_report.rs
@@ -25,7 +25,7 @@
 /// Number of requests at a worker, or of requests allowed there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerCount {
-    /// Id of the worker.
+    /// ID of the worker.
     pub worker: WorkerId,
     /// Number of requests.
     pub requests: u32,
@@ -34,7 +34,7 @@
 /// Report on one worker, from one node or summed over several.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerReport {
-    /// Id of the worker.
+    /// ID of the worker.
     pub worker: WorkerId,
     /// Number of requests of the reporting nodes at the worker.
     pub requests: u32,
--- a/crates/core/src/serving/workers/worker.rs
+++ b/crates/core/src/serving/workers/worker.rs
@@ -20,7 +20,7 @@
 /// Time for which the aggregated load of the other nodes is valid.
 pub(super) const PEER_LOAD_LIFETIME: Millis = Millis(1_200);
 
-/// Identifies a worker. A restarted worker may reuse its id; see [`WorkerIncarnation`].
+/// Identifies a worker. A restarted worker may reuse its ID; see [`WorkerIncarnation`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkerId(pub Arc<str>);
 
@@ -30,14 +30,14 @@
     }
 }
 
-/// One incarnation of a worker, from its start to its exit. A worker that restarts under the same id keeps no state, so
+/// One incarnation of a worker, from its start to its exit. A worker that restarts under the same ID keeps no state, so
 /// load and health observed for one incarnation do not apply to the next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerIncarnation {
-    /// Id of the worker.
+    /// ID of the worker.
     pub id: WorkerId,
     /// Start time of this incarnation; `None` if the worker does not report it, for example because it never reuses its
-    /// id.
+    /// ID.
     pub started_at: Option<UnixMillis>,
 }
 
@@ -53,7 +53,7 @@
 /// Registration record of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerRecord {
-    /// Id of the worker.
+    /// ID of the worker.
     pub id: WorkerId,
     /// Service that the worker belongs to.
     pub service: Arc<str>,
--- a/crates/gateway/src/adapter/dialect.rs
+++ b/crates/gateway/src/adapter/dialect.rs
@@ -44,7 +44,7 @@
     Body {
         /// Key of the job.
         job: JobKey,
-        /// Id of the item.
+        /// ID of the item.
         item: Arc<str>,
     },
     /// Ends the job.
@@ -61,7 +61,7 @@
     pub worker: &'a WorkerId,
     /// Time left until the caller's deadline.
     pub remaining: Option<Millis>,
-    /// Id of the last event received; the stream is resumed after it.
+    /// ID of the last event received; the stream is resumed after it.
     pub after_event: Option<u64>,
     /// Identity of the caller.
     pub identity: &'a CallerIdentity,
@@ -70,7 +70,7 @@
 /// Metadata of a worker's answer, parsed from its status and headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerAttributes {
-    /// Id of the request that the answer belongs to.
+    /// ID of the request that the answer belongs to.
     pub request_id: Option<Arc<str>>,
     /// Whether the worker states that it did not run the request.
     pub not_run: bool,
@@ -95,7 +95,7 @@
     /// Fails if the request is about a batch job but malformed.
     fn job_call(&self, method: &Method, uri: &Uri, headers: &HeaderMap) -> Result<Option<JobCall>, BadRequest>;
 
-    /// Returns the request id set by the caller; `None` if it is missing or malformed.
+    /// Returns the request ID set by the caller; `None` if it is missing or malformed.
     fn request_id<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
 
     /// Returns the caller's API key; `None` if it is missing or malformed.
--- a/crates/gateway/src/adapter/metadata.rs
+++ b/crates/gateway/src/adapter/metadata.rs
@@ -20,14 +20,14 @@
     Worker(WorkerRecord),
     /// A worker's record was removed.
     WorkerRemoved {
-        /// Id of the worker.
+        /// ID of the worker.
         worker: WorkerId,
         /// Time until which the worker may be used if its service has no other.
         usable_until: Timestamp,
     },
     /// A worker's record was missing when the store became reachable again. The worker may re-register.
     WorkerMissing {
-        /// Id of the worker.
+        /// ID of the worker.
         worker: WorkerId,
         /// Time until which the worker is used without a record.
         until: Timestamp,
@@ -53,7 +53,7 @@
     Unreadable {
         /// Key of the item and the reason.
         detail: String,
-        /// Id of the worker, if the item is a worker's record.
+        /// ID of the worker, if the item is a worker's record.
         worker: Option<WorkerId>,
     },
     /// The store is reachable again.
--- a/crates/gateway/src/adapter/mod.rs
+++ b/crates/gateway/src/adapter/mod.rs
@@ -1,7 +1,7 @@
 //! The interface of a platform adapter. All headers, paths and metadata keys that are specific to a platform are behind
 //! these traits.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | [`dialect`] | the HTTP format of requests and answers |
 //! | [`metadata`] | the metadata store and the fleet updates derived from it |
--- a/crates/gateway/src/batch/mod.rs
+++ b/crates/gateway/src/batch/mod.rs
@@ -1,6 +1,6 @@
 //! The gateway's endpoints for batch jobs.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | [`job_calls`] | submitting, reading and ending jobs through the leader of the job table |
 
--- a/crates/gateway/src/callers/mod.rs
+++ b/crates/gateway/src/callers/mod.rs
@@ -1,6 +1,6 @@
 //! The caller-facing side of a gateway.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | [`server`] | the listener: reading and admitting requests, closing connections during shutdown |
 
--- a/crates/gateway/src/fleet/fleet_view.rs
+++ b/crates/gateway/src/fleet/fleet_view.rs
@@ -36,7 +36,7 @@
 /// A worker crash that this node observed while the worker ran one of its requests.
 #[derive(Clone, Debug)]
 pub struct ObservedCrash {
-    /// The request's id.
+    /// The request's ID.
     pub request: Arc<str>,
     /// The digests by which the request's crashes are counted.
     pub keys: RequestKeys,
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -3,7 +3,7 @@
 //! Uses the adapter to call the store and interpret its items, [`crate::peers`] to call relays, and
 //! [`stallmoor_core::serving::relay`] for decisions.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | [`crash_reports`] | publishing this machine's record of worker crashes |
 //! | [`fleet_view`] | the active configuration, the workers and the storage nodes |
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -1,6 +1,6 @@
 //! HTTP components shared by gateways and storage nodes.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | [`answer_body`] | the body of an answer: complete or streamed |
 //! | [`headers`] | the selection of headers to forward |
--- a/crates/gateway/src/leader/mod.rs
+++ b/crates/gateway/src/leader/mod.rs
@@ -1,6 +1,6 @@
 //! Exchanges between a node and the leader of the job table.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | [`client`] | finding the leader and sending it requests |
 //! | [`load_exchange`] | reporting this gateway's load and receiving the load of the others |
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,7 +8,7 @@
 //! Each module depends only on those above it in the table, with one exception: [`leader`] uses the leader client of
 //! [`batch`] ([`batch::job_calls::JobCalls`]).
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | [`sockets`], [`clock`] | socket options, listening and accepting; a node's clocks |
 //! | [`http`] | answers, refusals and plain HTTP listeners |
--- a/crates/gateway/src/observe/mod.rs
+++ b/crates/gateway/src/observe/mod.rs
@@ -1,6 +1,6 @@
 //! Logging and metrics. Neither blocks the process: log lines that exceed the queue are dropped and counted.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | [`journal`] | structured log lines: numbered events with named fields |
 //! | [`log_writer`] | the thread that writes log lines |
--- a/crates/gateway/src/online/mod.rs
+++ b/crates/gateway/src/online/mod.rs
@@ -1,6 +1,6 @@
 //! Serves online requests, from admission to the last byte of the answer.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | `stream` | forwarding a stream and resuming it at another worker |
 //! | `records` | the log lines and metrics of a request |
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -3,7 +3,7 @@
 //! Uses `stallmoor_wire` to encode messages and [`crate::sockets`] to connect. Incoming connections are handled by
 //! `crate::storage::peer_listener`.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | [`frames`] | framing of messages on a stream |
 //! | [`peer_link`] | connections to other nodes, for one-way messages and requests |
--- a/crates/gateway/src/process/mod.rs
+++ b/crates/gateway/src/process/mod.rs
@@ -3,7 +3,7 @@
 //! Owns the process's tasks and the channels between them, and determines the order in which components start and stop.
 //! The timeouts of a shutdown are defined in [`stallmoor_core::serving::stopping`].
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | [`settings`] | the settings file |
 //! | [`signals`] | signal handlers |
--- a/crates/gateway/src/process/parts.rs
+++ b/crates/gateway/src/process/parts.rs
@@ -103,7 +103,7 @@
     Xoshiro256PlusPlus::from_os_rng().random()
 }
 
-/// Returns a random node id. 0 is excluded because it means "no node" on the wire.
+/// Returns a random node ID. 0 is excluded because it means "no node" on the wire.
 pub(super) fn new_node_id() -> NodeId {
     NodeId(random_u64().max(1))
 }
--- a/crates/gateway/src/storage/item_run.rs
+++ b/crates/gateway/src/storage/item_run.rs
@@ -147,7 +147,7 @@
     }
 }
 
-/// Returns the keys that identify the item's content for crash tracking, independent of the id it was submitted under.
+/// Returns the keys that identify the item's content for crash tracking, independent of the ID it was submitted under.
 pub fn item_keys(item: &JobItem, identity: &CallerIdentity, dialect: &dyn Dialect) -> RequestKeys {
     RequestKeys::of(&RequestContent {
         identity,
--- a/crates/gateway/src/storage/mod.rs
+++ b/crates/gateway/src/storage/mod.rs
@@ -1,6 +1,6 @@
 //! The storage node, which stores one replica of the job table and runs batch items while it is the leader.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | [`service`] | the main task: replica, requests of other nodes, group membership, running items |
 //! | [`item_run`] | one run of one item on a worker |
--- a/crates/gateway/src/storage/service/mod.rs
+++ b/crates/gateway/src/storage/service/mod.rs
@@ -1,6 +1,6 @@
 //! Main task of a storage node: drives one replica of the job table and runs items while the node is the leader.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | this one | the event loop, which routes each event to the components |
 //! | `replica_driver` | the replica, its disk and its links; executes effects in order, each after preceding writes |
--- a/crates/gateway/src/workers/attempt.rs
+++ b/crates/gateway/src/workers/attempt.rs
@@ -42,7 +42,7 @@
     pub choice: Choice,
     /// The service that the worker belongs to.
     pub service: Arc<str>,
-    /// The id that the worker's answer must repeat.
+    /// The ID that the worker's answer must repeat.
     pub request_id: Arc<str>,
     /// The HTTP method.
     pub method: Method,
--- a/crates/gateway/src/workers/crash_check.rs
+++ b/crates/gateway/src/workers/crash_check.rs
@@ -30,7 +30,7 @@
     pub choice: Choice,
     /// The worker's service, which determines the limit on connections.
     pub service: Arc<str>,
-    /// The request's id.
+    /// The request's ID.
     pub request_id: Arc<str>,
     /// The digests by which the request's crashes are counted.
     pub keys: RequestKeys,
--- a/crates/gateway/src/workers/mod.rs
+++ b/crates/gateway/src/workers/mod.rs
@@ -1,6 +1,6 @@
 //! Sending online requests and batch items to workers.
 //!
-//! | module | responsibility |
+//! | module | contents |
 //! |---|---|
 //! | [`attempt`] | a single attempt at a worker, from connecting to the head of the answer |
 //! | [`crash_check`] | detecting worker crashes after interrupted requests |
--- a/crates/node/src/running.rs
+++ b/crates/node/src/running.rs
@@ -66,7 +66,7 @@
 }
 
 impl RunningNode {
-    /// Starts a planned stop.
+    /// Starts a graceful shutdown.
     pub async fn stop(&self) {
         self.events.send(Event::Stop).await;
     }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -25,7 +25,7 @@
     pub data_folder: Option<PathBuf>,
     /// Number of storage nodes that must be present before the replica groups are bootstrapped.
     pub founding_stores: usize,
-    /// Maximum time that a planned stop waits for pending requests.
+    /// Maximum time that a graceful shutdown waits for pending requests.
     pub stop_timeout: Millis,
     /// Address of the key-value service.
     pub key_value: SocketAddr,
--- a/crates/node/tests/engine_faults.rs
+++ b/crates/node/tests/engine_faults.rs
@@ -1,4 +1,4 @@
-//! Faulty engines, planned stops and service outages, tested over real sockets.
+//! Faulty engines, graceful shutdowns and service outages, tested over real sockets.
 
 #[allow(dead_code)]
 mod support;
